--- a/src/process/gossip.cc
+++ b/src/process/gossip.cc
@@ -122,7 +122,7 @@
     OnLinkDown(link);
     return;
   }
-  membership_.OnHeard(link);
+  membership_.OnMessageReceived(link);
   std::visit([&](const auto& m) { Handle(link, m); }, *message);
 }
 
--- a/src/process/membership.cc
+++ b/src/process/membership.cc
@@ -180,7 +180,7 @@
   }
 }
 
-void Membership::OnHeard(LinkId link) {
+void Membership::OnMessageReceived(LinkId link) {
   const auto it = links_.find(link);
   if (it == links_.end()) {
     return;
--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -119,7 +119,7 @@
   // An attempt failed or a link broke.
   void OnLinkDown(LinkId link);
   // Any message came on a link.
-  void OnHeard(LinkId link);
+  void OnMessageReceived(LinkId link);
   void OnHeartbeat(LinkId link, const HeartbeatMessage& message);
   // The peer will close the link on purpose.
   void OnPeerLeavesLink(LinkId link);
--- a/tests/process/membership_test.cc
+++ b/tests/process/membership_test.cc
@@ -56,7 +56,7 @@
   LinkUp(kLink, true, "p");
   std::uint64_t sequence = 0;
   const auto speak = [&](std::uint64_t echo) {
-    members_.OnHeard(kLink);
+    members_.OnMessageReceived(kLink);
     members_.OnHeartbeat(kLink, {++sequence, echo});
   };
   std::uint64_t echo = 0;
