--- a/src/process/gossip.cc
+++ b/src/process/gossip.cc
@@ -364,8 +364,8 @@
     Send(request.link, request.message, false);
   }
   for (const DialRequest& request : actions.dial) {
-    membership_.OnDialling(request.peer,
-                           transport_.dial(request.address, request.port));
+    membership_.OnDialStarted(request.peer,
+                              transport_.dial(request.address, request.port));
   }
 }
 
--- a/src/process/membership.cc
+++ b/src/process/membership.cc
@@ -93,7 +93,7 @@
   }
 }
 
-void Membership::OnDialling(const base::InstanceId& peer, LinkId link) {
+void Membership::OnDialStarted(const base::InstanceId& peer, LinkId link) {
   attempts_[link] = peer;
 }
 
--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -110,7 +110,7 @@
   void OnFact(const ViewItem& item);
 
   // The attempt that a DialRequest asked for is under way as `link`.
-  void OnDialling(const base::InstanceId& peer, LinkId link);
+  void OnDialStarted(const base::InstanceId& peer, LinkId link);
   // A greeting came. False: close the link with `reason`.
   bool OnLinkUp(LinkId link,
                 bool dialled,
--- a/tests/process/membership_test.cc
+++ b/tests/process/membership_test.cc
@@ -97,7 +97,7 @@
   LinkUp(kLink, true, "p");
   hear(2);
   members_.OnLinkDown(kLink);
-  members_.OnDialling(base::InstanceId("p"), 8);
+  members_.OnDialStarted(base::InstanceId("p"), 8);
   members_.OnLinkDown(8);
   // Another lost it too, suspected it first, and had its answer.
   hear(3);
@@ -133,7 +133,7 @@
   const auto dial = members_.Tick().dial;
   ASSERT_EQ(dial.size(), 1u);
   EXPECT_EQ(dial[0].address, "10.0.0.2");
-  members_.OnDialling(dial[0].peer, kLink);
+  members_.OnDialStarted(dial[0].peer, kLink);
   LinkUp(kLink, true, "p");
   ASSERT_TRUE(accepted_);
   members_.SetRows(rows);
