--- a/src/process/gossip.cc
+++ b/src/process/gossip.cc
@@ -189,7 +189,7 @@
 }
 
 void Gossip::Handle(LinkId link, const LeaveMessage& /*message*/) {
-  membership_.OnPeerLeavesLink(link);
+  membership_.OnLinkClosedByPeer(link);
   outboxes_.erase(link);
 }
 
--- a/src/process/membership.cc
+++ b/src/process/membership.cc
@@ -203,7 +203,7 @@
   }
 }
 
-void Membership::OnPeerLeavesLink(LinkId link) {
+void Membership::OnLinkClosedByPeer(LinkId link) {
   const auto it = links_.find(link);
   if (it == links_.end()) {
     return;
--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -122,7 +122,7 @@
   void OnMessageReceived(LinkId link);
   void OnHeartbeat(LinkId link, const HeartbeatMessage& message);
   // The peer will close the link on purpose.
-  void OnPeerLeavesLink(LinkId link);
+  void OnLinkClosedByPeer(LinkId link);
 
   // To be called about every 100 ms.
   MembershipActions Tick();
