--- a/src/process/membership.cc
+++ b/src/process/membership.cc
@@ -257,7 +257,7 @@
   return members;
 }
 
-std::vector<base::InstanceId> Membership::LiveIn(
+std::vector<base::InstanceId> Membership::LiveInstances(
     const base::ZoneId& zone) const {
   std::vector<base::InstanceId> ids;
   for (const Member& member : Members()) {
--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -137,7 +137,7 @@
   // Every known instance, this one included.
   std::vector<Member> Members() const;
   // Ids of the live instances of a zone, this one included unless it leaves.
-  std::vector<base::InstanceId> LiveIn(const base::ZoneId& zone) const;
+  std::vector<base::InstanceId> LiveInstances(const base::ZoneId& zone) const;
 
  private:
   struct Peer {
--- a/tests/process/gossip_test.cc
+++ b/tests/process/gossip_test.cc
@@ -183,7 +183,8 @@
   net.Run(seconds(10));
   for (const std::size_t other : {0, 1, 3}) {
     EXPECT_EQ(net.StateSeenBy(other, "a-2"), MemberState::kSuspect);
-    const auto live = net.node(other).membership().LiveIn(base::ZoneId("a"));
+    const auto live =
+        net.node(other).membership().LiveInstances(base::ZoneId("a"));
     EXPECT_EQ(live.size(), 3u);
   }
   net.Run(minutes(40));
--- a/tests/process/membership_test.cc
+++ b/tests/process/membership_test.cc
@@ -119,7 +119,7 @@
   const auto list = members_.Members();
   ASSERT_EQ(list.size(), 2u);
   EXPECT_EQ(list[1].state, MemberState::kSuspect);
-  EXPECT_EQ(members_.LiveIn(base::ZoneId("z")).size(), 1u);
+  EXPECT_EQ(members_.LiveInstances(base::ZoneId("z")).size(), 1u);
   // It is looked for nevertheless.
   EXPECT_EQ(members_.Tick().dial.size(), 1u);
 }
