--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -37,7 +37,7 @@
   base::Duration heartbeat_interval = std::chrono::seconds(1);
   // A link on which nothing was heard, or whose peer does not hear us, for
   // this long is closed; an instance that is silent this long is suspected.
-  base::Duration silence_limit = std::chrono::seconds(4);
+  base::Duration silence_timeout = std::chrono::seconds(4);
   // Between two attempts at one peer; doubles up to the maximum, jittered.
   base::Duration min_backoff = std::chrono::milliseconds(500);
   base::Duration max_backoff = std::chrono::seconds(30);
--- a/src/process/membership_tick.cc
+++ b/src/process/membership_tick.cc
@@ -53,8 +53,8 @@
 void Membership::CheckLinks(base::Time now, MembershipActions* actions) {
   std::vector<LinkId> broken;
   for (auto& [id, link] : links_) {
-    const bool silent = now - link.heard > options_.silence_limit;
-    const bool unheard = now - link.echoed > options_.silence_limit;
+    const bool silent = now - link.heard > options_.silence_timeout;
+    const bool unheard = now - link.echoed > options_.silence_timeout;
     if (silent || unheard) {
       actions->close.push_back(
           {id, silent ? "silent" : "heard but does not hear"});
@@ -103,7 +103,7 @@
 
 void Membership::SuspectSilent(base::Time now) {
   for (auto& [id, peer] : peers_) {
-    const bool silent = now - peer.heard > options_.silence_limit;
+    const bool silent = now - peer.heard > options_.silence_timeout;
     const bool tried = peer.failures > 0;
     if (!peer.lost || !silent || !tried || !peer.version ||
         StateOf(*peer.version) != MemberState::kLive) {
