--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -54,7 +54,7 @@
   base::Duration unwanted_link_grace = std::chrono::seconds(60);
   // A peer that is gone, or of which nothing is heard and no row exists, is
   // forgotten after this.
-  base::Duration forget_after = std::chrono::minutes(15);
+  base::Duration stale_peer_retention = std::chrono::minutes(15);
   LinkChoiceOptions links;
 };
 
--- a/src/process/membership_tick.cc
+++ b/src/process/membership_tick.cc
@@ -197,7 +197,7 @@
     const Peer& peer = entry.second;
     const base::Time last_word = std::max(peer.heard, peer.known_at);
     return !peer.listed && !peer.dialling && !IsLinked(entry.first) &&
-           now - last_word > options_.forget_after;
+           now - last_word > options_.stale_peer_retention;
   });
 }
 
