--- a/src/process/membership.cc
+++ b/src/process/membership.cc
@@ -8,10 +8,10 @@
 namespace lynxglade::process {
 
 namespace {
-// Head start of the zone that sorts first in linking to another, so that the
-// two relays of a pair seldom dial each other at once.
-constexpr base::Duration kRelayHeadStart = std::chrono::seconds(2);
-// Attempts that failed in a row before a peer counts as out of reach.
+// Delays dialling into zones that sort before our own, so that the two relays
+// of a pair rarely dial each other at the same time.
+constexpr base::Duration kRelayDialDelay = std::chrono::seconds(2);
+// Consecutive failed attempts after which a peer counts as unreachable.
 constexpr int kUnreachableFailures = 2;
 constexpr int kMaxBackoffDoublings = 10;
 
@@ -29,7 +29,7 @@
       random_(std::move(random)) {
   last_tick_ = clock_();
   next_probe_ = last_tick_ + Jittered(options_.probe_interval);
-  // The first own fact goes out with the first tick.
+  // Publish the own fact on the first tick.
   next_refresh_ = last_tick_;
 }
 
@@ -45,16 +45,16 @@
       it->second.listed = true;
       continue;
     }
-    if (row.leaving || AddressTaken(row)) {
+    if (row.leaving || IsAddressInUse(row)) {
       continue;
     }
     Peer peer;
     peer.fact = {row.zone, row.address, row.peer_port};
     peer.listed = true;
-    peer.heard = now;
+    peer.heard_at = now;
     peer.known_at = now;
     peer.next_dial =
-        row.zone < self_.zone ? now + kRelayHeadStart : base::Time{};
+        row.zone < self_.zone ? now + kRelayDialDelay : base::Time{};
     peers_.emplace(row.id, std::move(peer));
   }
 }
@@ -62,7 +62,8 @@
 void Membership::OnFact(const ViewItem& item) {
   const base::InstanceId id(item.key);
   if (id == self_.id) {
-    // A suspicion of ourselves, or our own earlier word echoed.
+    // A peer suspects this instance, or holds a fact of our own that is newer
+    // than our version. Refute it with the next even sequence.
     if (item.version > own_version_ && item.version.epoch == kRunningEpoch &&
         !leaving_) {
       const std::uint64_t next = item.version.sequence | 1;
@@ -79,17 +80,17 @@
   const auto [it, is_new] = peers_.try_emplace(id);
   Peer& peer = it->second;
   if (is_new) {
-    peer.heard = now;
-    peer.next_dial = fact->zone < self_.zone ? now + kRelayHeadStart : now;
+    peer.heard_at = now;
+    peer.next_dial = fact->zone < self_.zone ? now + kRelayDialDelay : now;
   }
   peer.known_at = now;
   peer.fact = *fact;
   const bool was_suspect = StateOfPeer(peer) == MemberState::kSuspect;
   peer.version = item.version;
   if (was_suspect && StateOfPeer(peer) == MemberState::kLive) {
-    // It lives by its own word, though not in our reach: the loss was
-    // answered and is not raised again before we had a link.
-    peer.lost = false;
+    // The peer refuted the suspicion, though we cannot reach it. Do not suspect
+    // it again for the same lost link.
+    peer.link_lost = false;
   }
 }
 
@@ -104,7 +105,7 @@
   if (const auto it = attempts_.find(link); it != attempts_.end()) {
     if (const auto peer = peers_.find(it->second); peer != peers_.end()) {
       peer->second.dialling = false;
-      // Another process answered at its address.
+      // Another process answered at the peer's address.
       if (it->second != hello.instance) {
         ScheduleRetry(&peer->second);
       }
@@ -112,48 +113,48 @@
     attempts_.erase(it);
   }
   if (hello.instance == self_.id) {
-    *reason = "own instance";
+    *reason = "peer has the id of this instance";
     return false;
   }
   const InstanceFact fact{hello.zone, hello.address, hello.port};
-  TakeOverAddress(hello.instance, fact);
+  ReplaceInstanceAt(hello.instance, fact);
   const base::Time now = clock_();
   const auto [it, is_new] = peers_.try_emplace(hello.instance);
   Peer& peer = it->second;
   peer.fact = fact;
-  peer.heard = now;
+  peer.heard_at = now;
   peer.known_at = now;
-  peer.lost = false;
+  peer.link_lost = false;
   peer.failures = 0;
   peer.next_dial = {};
   if (!peer.version) {
     peer.version = ViewVersion{kRunningEpoch, 0};
   }
-  // Of two links between the same two, both ends keep the one that the lesser
-  // id started.
+  // When two instances dialled each other, both ends keep the link started by
+  // the instance with the smaller id.
   const auto other = std::ranges::find_if(links_, [&](const auto& entry) {
     return entry.second.peer == hello.instance;
   });
   if (other != links_.end()) {
-    // Another link in the same direction replaces the one before it, which
-    // the peer has lost already.
+    // A new link in the same direction replaces the previous one: the peer has
+    // already lost that one.
     const bool same_direction = dialled == other->second.dialled;
     const bool keep_other =
         other->second.dialled == (self_.id < hello.instance);
     if (!same_direction && keep_other) {
-      *reason = "second link";
+      *reason = "duplicate link";
       return false;
     }
     other->second.replaced = true;
   }
-  Link fresh;
-  fresh.peer = hello.instance;
-  fresh.dialled = dialled;
-  fresh.up_since = now;
-  fresh.heard = now;
-  fresh.echoed = now;
-  fresh.next_heartbeat = now;
-  links_.emplace(link, fresh);
+  Link new_link;
+  new_link.peer = hello.instance;
+  new_link.dialled = dialled;
+  new_link.up_since = now;
+  new_link.heard_at = now;
+  new_link.echoed_at = now;
+  new_link.next_heartbeat = now;
+  links_.emplace(link, new_link);
   return true;
 }
 
@@ -174,8 +175,9 @@
   links_.erase(it);
   const auto peer = peers_.find(id);
   if (peer != peers_.end() && !IsLinked(id)) {
-    peer->second.lost = true;
-    // Healing: not all who lost the same peer try it at the same moment.
+    peer->second.link_lost = true;
+    // Jitter, so that the instances that lost the same peer do not all redial
+    // at the same time.
     peer->second.next_dial = clock_() + Jittered(options_.min_backoff);
   }
 }
@@ -185,9 +187,9 @@
   if (it == links_.end()) {
     return;
   }
-  it->second.heard = clock_();
+  it->second.heard_at = clock_();
   if (const auto peer = peers_.find(it->second.peer); peer != peers_.end()) {
-    peer->second.heard = it->second.heard;
+    peer->second.heard_at = it->second.heard_at;
   }
 }
 
@@ -199,7 +201,7 @@
   it->second.received = std::max(it->second.received, message.sequence);
   if (message.echo > it->second.last_echo) {
     it->second.last_echo = message.echo;
-    it->second.echoed = clock_();
+    it->second.echoed_at = clock_();
   }
 }
 
@@ -211,7 +213,7 @@
   const base::InstanceId id = it->second.peer;
   links_.erase(it);
   if (const auto peer = peers_.find(id); peer != peers_.end()) {
-    peer->second.lost = false;
+    peer->second.link_lost = false;
   }
 }
 
@@ -273,7 +275,7 @@
 }
 
 MemberState Membership::StateOfPeer(const Peer& peer) const {
-  // A row alone proves nothing.
+  // A row of the instance list does not prove that the peer runs.
   return peer.version ? StateOf(*peer.version) : MemberState::kSuspect;
 }
 
@@ -299,9 +301,10 @@
   return candidates;
 }
 
-// Whether somebody who has shown to run is at the row's address: then the row
-// is late, or names the same instance in the platform's own words.
-bool Membership::AddressTaken(const InstanceRow& row) const {
+// Whether a peer that a fact or hello message has confirmed uses the row's
+// address. If so, the row is outdated, or the platform lists that peer under
+// another id.
+bool Membership::IsAddressInUse(const InstanceRow& row) const {
   return std::ranges::any_of(peers_, [&](const auto& entry) {
     const Peer& peer = entry.second;
     return peer.fact.address == row.address &&
@@ -310,9 +313,10 @@
   });
 }
 
-// A greeting proves who is at an address now; whoever was there is gone.
-void Membership::TakeOverAddress(const base::InstanceId& id,
-                                 const InstanceFact& fact) {
+// A hello message proves which instance is at an address. Any other
+// peer at that address is marked as gone, or removed if only a row named it.
+void Membership::ReplaceInstanceAt(const base::InstanceId& id,
+                                   const InstanceFact& fact) {
   for (auto it = peers_.begin(); it != peers_.end();) {
     const auto next = std::next(it);
     Peer& peer = it->second;
@@ -324,7 +328,7 @@
     } else if (replaced && peer.version && peer.version->epoch < kGoneEpoch) {
       peer.version = ViewVersion{kGoneEpoch, 0};
       peer.known_at = clock_();
-      peer.lost = false;
+      peer.link_lost = false;
       to_publish_.push_back(FactOf(it->first, peer.fact, *peer.version));
     }
     it = next;
--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -1,14 +1,14 @@
-// Who the other instances are, which of them this one links to, and whether
-// they run.
+// Tracks the other entry instances, their state, and the links to them.
 //
-// A pure state machine: it is told what happened (rows of the instance list,
-// links up and down, heartbeats, facts) and gives back what to do. Knowledge
-// comes from three places: rows, which lag and only say where to look;
-// greetings and heartbeats on links, which are evidence; and kInstance facts
-// passed on by peers (instance_fact.h).
+// A state machine without I/O: the caller reports events (instance list rows,
+// links up and down, heartbeats, facts) and carries out the returned actions.
+// Rows of the instance list lag and serve as addresses to try. Hello messages
+// and heartbeats on a link prove that a peer runs. kInstance facts forwarded by
+// peers report the rest (instance_fact.h).
 //
-// An instance that lost its link and does not answer is suspected, never
-// struck off: it keeps being looked for, and clears itself with its next word.
+// An instance whose link broke and that does not answer becomes suspect. It is
+// not removed: it is probed further and clears the suspicion by publishing a
+// newer fact.
 #ifndef LYNXGLADE_PROCESS_MEMBERSHIP_H_
 #define LYNXGLADE_PROCESS_MEMBERSHIP_H_
 
@@ -30,35 +30,36 @@
 
 namespace lynxglade::process {
 
-// Names a link; given by whoever makes it.
+// Identifies a link; assigned by the transport.
 using LinkId = std::uint64_t;
 
 struct MembershipOptions {
   base::Duration heartbeat_interval = std::chrono::seconds(1);
-  // A link on which nothing was heard, or whose peer does not hear us, for
-  // this long is closed; an instance that is silent this long is suspected.
+  // A link is closed when nothing was received on it, or the peer acknowledged
+  // none of our heartbeats, for this long. An unlinked peer that has been
+  // silent for this long becomes suspect.
   base::Duration silence_timeout = std::chrono::seconds(4);
-  // Between two attempts at one peer; doubles up to the maximum, jittered.
+  // Exponential backoff between dial attempts to one peer, with jitter.
   base::Duration min_backoff = std::chrono::milliseconds(500);
   base::Duration max_backoff = std::chrono::seconds(30);
-  // Between any two attempts of this instance, and between two at peers that
-  // did not answer before.
+  // Minimum time between any two dial attempts, and between two attempts to
+  // peers whose previous attempt failed.
   base::Duration dial_spacing = std::chrono::milliseconds(50);
   base::Duration retry_spacing = std::chrono::seconds(1);
-  // Suspected and unreachable peers are tried at this mean interval, one at a
-  // time.
+  // Mean interval between probes of suspect and unreachable peers; each probe
+  // dials one of them.
   base::Duration probe_interval = std::chrono::seconds(5);
-  // Own fact is published again this often.
+  // Mean interval at which this instance republishes its own fact.
   base::Duration refresh_interval = std::chrono::minutes(5);
-  // A link that neither side chooses any more is kept this long.
+  // How long a link that neither end selects any more is kept.
   base::Duration unwanted_link_grace = std::chrono::seconds(60);
-  // A peer that is gone, or of which nothing is heard and no row exists, is
-  // forgotten after this.
+  // How long a peer that has no row and no link is kept after it was last heard
+  // from or last updated by a fact.
   base::Duration stale_peer_retention = std::chrono::minutes(15);
   LinkChoiceOptions links;
 };
 
-// How this instance sees one instance.
+// A known instance and its state as this instance sees it.
 struct Member {
   base::InstanceId id;
   base::ZoneId zone;
@@ -85,7 +86,7 @@
   HeartbeatMessage message;
 };
 
-// What the owner is to do; in this order.
+// Actions for the caller, to be carried out in the order of the members.
 struct MembershipActions {
   std::vector<ViewItem> publish;
   std::vector<CloseRequest> close;
@@ -106,50 +107,55 @@
 
   // The instance list as last fetched.
   void SetRows(const std::vector<InstanceRow>& rows);
-  // A kInstance fact that the store has just taken.
+  // Call for each kInstance fact newly merged into the view store.
   void OnFact(const ViewItem& item);
 
-  // The attempt that a DialRequest asked for is under way as `link`.
+  // The attempt for a DialRequest has started and is identified by `link`.
   void OnDialStarted(const base::InstanceId& peer, LinkId link);
-  // A greeting came. False: close the link with `reason`.
+  // The peer's hello message arrived. If false, the caller must close the link
+  // with `reason`.
   bool OnLinkUp(LinkId link,
                 bool dialled,
                 const HelloMessage& hello,
                 std::string* reason);
   // An attempt failed or a link broke.
   void OnLinkDown(LinkId link);
-  // Any message came on a link.
+  // Call for every message received on a link.
   void OnMessageReceived(LinkId link);
   void OnHeartbeat(LinkId link, const HeartbeatMessage& message);
-  // The peer will close the link on purpose.
+  // The peer announced that it closes the link deliberately.
   void OnLinkClosedByPeer(LinkId link);
 
-  // To be called about every 100 ms.
+  // Call about every 100 ms.
   MembershipActions Tick();
-  // The notice that this instance leaves; to be published at once.
+  // Marks this instance as leaving. Returns the fact to publish immediately.
   ViewItem Leave();
 
-  // Links that are up, with the peer's id.
+  // The peer at the other end of a link that is up; null for other links.
   const base::InstanceId* PeerOf(LinkId link) const;
+  // Links that are up.
   std::vector<LinkId> Links() const;
-  // Links that are up to peers of this instance's own zone.
+  // Links that are up to peers in this instance's zone.
   std::vector<LinkId> ZoneLinks() const;
-  // Every known instance, this one included.
+  // All known instances, including this one.
   std::vector<Member> Members() const;
-  // Ids of the live instances of a zone, this one included unless it leaves.
+  // Live instances of a zone, including this one unless it is leaving.
   std::vector<base::InstanceId> LiveInstances(const base::ZoneId& zone) const;
 
  private:
   struct Peer {
     InstanceFact fact;
-    // Version of the kInstance fact held; none for a peer known by row only.
+    // Version of the latest kInstance fact; empty for a peer known only from
+    // the instance list.
     std::optional<ViewVersion> version;
+    // Whether the latest instance list has a row for it.
     bool listed = false;
-    // Last direct word, or the time at which it became known.
-    base::Time heard{};
+    // Last message on a link to it, or when it became known.
+    base::Time heard_at{};
+    // Last update by a row, fact or hello message.
     base::Time known_at{};
-    // Had a link that was not given up on purpose, and is not linked now.
-    bool lost = false;
+    // Its last link broke without a deliberate close, and no link is up since.
+    bool link_lost = false;
     int failures = 0;
     base::Time next_dial{};
     bool dialling = false;
@@ -160,16 +166,16 @@
     base::InstanceId peer;
     bool dialled = false;
     base::Time up_since{};
-    base::Time heard{};
-    // When the peer last showed that it hears us.
-    base::Time echoed{};
+    base::Time heard_at{};
+    // When the peer last acknowledged one of our heartbeats.
+    base::Time echoed_at{};
     base::Time next_heartbeat{};
     std::uint64_t sent = 0;
     std::uint64_t received = 0;
     std::uint64_t last_echo = 0;
-    // Since when neither side chooses the link.
+    // When the link was first found to be selected by neither end.
     std::optional<base::Time> unwanted_since;
-    // Another link to the same peer is kept in its place.
+    // Superseded by another link to the same peer; to be closed.
     bool replaced = false;
   };
 
@@ -178,15 +184,15 @@
   bool IsCandidate(const Peer& peer) const;
   bool IsLinked(const base::InstanceId& id) const;
   std::vector<LinkCandidate> Candidates() const;
-  bool AddressTaken(const InstanceRow& row) const;
-  void TakeOverAddress(const base::InstanceId& id, const InstanceFact& fact);
+  bool IsAddressInUse(const InstanceRow& row) const;
+  void ReplaceInstanceAt(const base::InstanceId& id, const InstanceFact& fact);
   void ScheduleRetry(Peer* peer);
   base::Duration Jittered(base::Duration d);
 
   ViewItem FactOf(const base::InstanceId& id,
                   const InstanceFact& fact,
                   ViewVersion version) const;
-  void ForgiveOwnPause(base::Time now);
+  void AdjustForOwnPause(base::Time now);
   void CheckLinks(base::Time now, MembershipActions* actions);
   void CloseUnwanted(base::Time now, MembershipActions* actions);
   void SuspectSilent(base::Time now);
@@ -197,7 +203,7 @@
                Peer* peer,
                MembershipActions* actions);
   void RefreshOwnFact(base::Time now);
-  void Forget(base::Time now);
+  void EvictStalePeers(base::Time now);
 
   const MembershipOptions options_;
   const LinkCandidate self_;
@@ -208,7 +214,7 @@
   Peers peers_;
   std::map<LinkId, Link> links_;
   std::map<LinkId, base::InstanceId> attempts_;
-  // Facts to be handed out by the next Tick.
+  // Facts returned by the next Tick.
   std::vector<ViewItem> to_publish_;
   ViewVersion own_version_{kRunningEpoch, 0};
   bool leaving_ = false;
--- a/src/process/membership_tick.cc
+++ b/src/process/membership_tick.cc
@@ -1,4 +1,4 @@
-// What Membership does as time passes: the steps of Tick().
+// The time-driven part of Membership: Tick() and its steps.
 #include "process/membership.h"
 
 #include <algorithm>
@@ -9,18 +9,18 @@
 
 namespace {
 
-// A gap between two ticks that only a pause of this process explains.
-constexpr base::Duration kPauseGap = std::chrono::seconds(1);
-// How often the choice of links is worked out again from the members.
+// A longer gap between two ticks means that this process was paused.
+constexpr base::Duration kMinPauseGap = std::chrono::seconds(1);
+// How often the links to dial are selected again from the members.
 constexpr base::Duration kChoiceInterval = std::chrono::milliseconds(500);
-// How often links are compared with the choice of both ends.
+// How often links are checked against the selections of both ends.
 constexpr base::Duration kWantedCheckInterval = std::chrono::seconds(10);
 
 }  // namespace
 
 MembershipActions Membership::Tick() {
   const base::Time now = clock_();
-  ForgiveOwnPause(now);
+  AdjustForOwnPause(now);
   MembershipActions actions;
   CheckLinks(now, &actions);
   CloseUnwanted(now, &actions);
@@ -28,36 +28,38 @@
   RefreshOwnFact(now);
   DialChosen(now, &actions);
   Probe(now, &actions);
-  Forget(now);
+  EvictStalePeers(now);
   actions.publish = std::exchange(to_publish_, {});
   return actions;
 }
 
-// After a pause of our own every peer looks silent; the time that we slept
-// through is no evidence against them.
-void Membership::ForgiveOwnPause(base::Time now) {
+// After a pause of this process every peer appears silent. Shifts the
+// timestamps by the pause, so that it does not count towards the timeouts.
+void Membership::AdjustForOwnPause(base::Time now) {
   const base::Duration gap = now - last_tick_;
   last_tick_ = now;
-  if (gap < kPauseGap) {
+  if (gap < kMinPauseGap) {
     return;
   }
   for (auto& [id, link] : links_) {
-    link.heard += gap;
-    link.echoed += gap;
+    link.heard_at += gap;
+    link.echoed_at += gap;
   }
   for (auto& [id, peer] : peers_) {
-    peer.heard += gap;
+    peer.heard_at += gap;
   }
 }
 
 void Membership::CheckLinks(base::Time now, MembershipActions* actions) {
   std::vector<LinkId> broken;
   for (auto& [id, link] : links_) {
-    const bool silent = now - link.heard > options_.silence_timeout;
-    const bool unheard = now - link.echoed > options_.silence_timeout;
-    if (silent || unheard) {
-      actions->close.push_back(
-          {id, silent ? "silent" : "heard but does not hear"});
+    const bool silent = now - link.heard_at > options_.silence_timeout;
+    const bool not_acknowledged =
+        now - link.echoed_at > options_.silence_timeout;
+    if (silent || not_acknowledged) {
+      actions->close.push_back({id, silent
+                                        ? "nothing received"
+                                        : "peer does not receive heartbeats"});
       broken.push_back(id);
       continue;
     }
@@ -73,13 +75,13 @@
   if (now >= next_wanted_check_) {
     next_wanted_check_ = now + kWantedCheckInterval;
     const auto candidates = Candidates();
-    const auto mine = ChooseLinks(self_, candidates, options_.links);
+    const auto own_choice = ChooseLinks(self_, candidates, options_.links);
     auto with_self = candidates;
     with_self.push_back(self_);
     for (auto& [id, link] : links_) {
       const LinkCandidate peer{link.peer, peers_[link.peer].fact.zone};
       const bool wanted =
-          std::ranges::find(mine, link.peer) != mine.end() ||
+          std::ranges::find(own_choice, link.peer) != own_choice.end() ||
           std::ranges::count(ChooseLinks(peer, with_self, options_.links),
                              self_.id) > 0;
       if (wanted) {
@@ -94,7 +96,7 @@
     const auto& since = it->second.unwanted_since;
     const bool unwanted = since && now - *since >= options_.unwanted_link_grace;
     if (unwanted || it->second.replaced) {
-      actions->close.push_back({it->first, "not chosen"});
+      actions->close.push_back({it->first, "not selected or replaced"});
       links_.erase(it);
     }
     it = next;
@@ -103,13 +105,13 @@
 
 void Membership::SuspectSilent(base::Time now) {
   for (auto& [id, peer] : peers_) {
-    const bool silent = now - peer.heard > options_.silence_timeout;
+    const bool silent = now - peer.heard_at > options_.silence_timeout;
     const bool tried = peer.failures > 0;
-    if (!peer.lost || !silent || !tried || !peer.version ||
+    if (!peer.link_lost || !silent || !tried || !peer.version ||
         StateOf(*peer.version) != MemberState::kLive) {
       continue;
     }
-    peer.lost = false;
+    peer.link_lost = false;
     peer.version->sequence += 1;
     to_publish_.push_back(FactOf(id, peer.fact, *peer.version));
   }
@@ -129,35 +131,35 @@
       TryDial(now, id, &it->second, actions);
     }
   }
-  // Whoever was lost is tried once, chosen or not: the answer decides whether
-  // it is suspected.
+  // A peer whose link broke is dialled once even if it is not selected: the
+  // result decides whether it becomes suspect.
   for (auto& [id, peer] : peers_) {
-    if (peer.lost && peer.failures == 0) {
+    if (peer.link_lost && peer.failures == 0) {
       TryDial(now, id, &peer, actions);
     }
   }
 }
 
-// One peer at a time that is out of reach or suspected: how parted zones find
-// each other again without everybody dialling everybody.
+// Dials one random unreachable or suspect peer, so that zones reconnect after a
+// network partition without every instance dialling every other.
 void Membership::Probe(base::Time now, MembershipActions* actions) {
   if (leaving_ || now < next_probe_) {
     return;
   }
   next_probe_ = now + Jittered(options_.probe_interval);
-  std::vector<base::InstanceId> away;
+  std::vector<base::InstanceId> unreachable;
   for (const auto& [id, peer] : peers_) {
     const MemberState state = StateOfPeer(peer);
     const bool may_run =
         state == MemberState::kLive || state == MemberState::kSuspect;
     if (may_run && !IsCandidate(peer) && !IsLinked(id)) {
-      away.push_back(id);
+      unreachable.push_back(id);
     }
   }
-  if (away.empty()) {
+  if (unreachable.empty()) {
     return;
   }
-  const auto& id = away[base::UniformBelow(random_, away.size())];
+  const auto& id = unreachable[base::UniformBelow(random_, unreachable.size())];
   Peer& peer = peers_[id];
   peer.next_dial = now;
   TryDial(now, id, &peer, actions);
@@ -192,12 +194,12 @@
   to_publish_.push_back(FactOf(self_.id, self_fact_, own_version_));
 }
 
-void Membership::Forget(base::Time now) {
+void Membership::EvictStalePeers(base::Time now) {
   std::erase_if(peers_, [&](const auto& entry) {
     const Peer& peer = entry.second;
-    const base::Time last_word = std::max(peer.heard, peer.known_at);
+    const base::Time last_update = std::max(peer.heard_at, peer.known_at);
     return !peer.listed && !peer.dialling && !IsLinked(entry.first) &&
-           now - last_word > options_.stale_peer_retention;
+           now - last_update > options_.stale_peer_retention;
   });
 }
 
--- a/tests/process/membership_test.cc
+++ b/tests/process/membership_test.cc
@@ -1,4 +1,4 @@
-// Rules of Membership that need no network; the rest is in gossip_test.cc.
+// Membership without a network; gossip_test.cc tests it over a faulty one.
 #include "process/membership.h"
 
 #include <algorithm>
@@ -28,8 +28,8 @@
                                   &reason);
   }
 
-  // Runs for `duration` while `each` happens every 100 ms; gives back the
-  // reasons for which links were closed.
+  // Ticks every 100 ms for `duration`, calling `each` before each tick. Returns
+  // the reasons for which links were closed.
   template <typename F>
   std::string Run(base::Duration duration, F&& each) {
     std::string closed;
@@ -52,19 +52,20 @@
                       base::SeededRandom(1)};
 };
 
-TEST_F(MembershipTest, ALinkWhosePeerSpeaksButDoesNotHearIsClosed) {
+TEST_F(MembershipTest, ClosesLinkWhosePeerDoesNotAcknowledgeHeartbeats) {
   LinkUp(kLink, true, "p");
   std::uint64_t sequence = 0;
-  const auto speak = [&](std::uint64_t echo) {
+  const auto send_heartbeat = [&](std::uint64_t echo) {
     members_.OnMessageReceived(kLink);
     members_.OnHeartbeat(kLink, {++sequence, echo});
   };
   std::uint64_t echo = 0;
-  EXPECT_EQ(Run(seconds(20), [&] { speak(++echo); }), "");
-  EXPECT_EQ(Run(seconds(5), [&] { speak(echo); }), "heard but does not hear;");
+  EXPECT_EQ(Run(seconds(20), [&] { send_heartbeat(++echo); }), "");
+  EXPECT_EQ(Run(seconds(5), [&] { send_heartbeat(echo); }),
+            "peer does not receive heartbeats;");
 }
 
-TEST_F(MembershipTest, OfTwoLinksBothEndsKeepTheOneOfTheLesserId) {
+TEST_F(MembershipTest, KeepsLinkStartedBySmallerIdOfTwoLinks) {
   // "m" is the lesser of "m" and "p", the greater of "a" and "m".
   LinkUp(1, true, "p");
   LinkUp(2, false, "p");
@@ -77,7 +78,7 @@
   EXPECT_EQ(members_.Links(), (std::vector<LinkId>{1, 4}));
 }
 
-TEST_F(MembershipTest, ALinkThatThePeerMadeAnewReplacesTheFormerOne) {
+TEST_F(MembershipTest, NewLinkInSameDirectionReplacesFormerOne) {
   LinkUp(1, false, "p");
   LinkUp(2, false, "p");
   EXPECT_TRUE(accepted_);
@@ -85,8 +86,8 @@
   EXPECT_EQ(members_.Links(), std::vector<LinkId>{2});
 }
 
-TEST_F(MembershipTest, AnAnsweredSuspicionIsNotRaisedAgainByAnother) {
-  const auto hear = [&](std::uint64_t sequence) {
+TEST_F(MembershipTest, DoesNotRepeatSuspicionThatWasRefuted) {
+  const auto receive_fact = [&](std::uint64_t sequence) {
     members_.OnFact({ViewKind::kInstance,
                      "p",
                      {kRunningEpoch, sequence},
@@ -95,13 +96,13 @@
                      EncodeInstanceFact({base::ZoneId("z"), "10.0.0.2", 9})});
   };
   LinkUp(kLink, true, "p");
-  hear(2);
+  receive_fact(2);
   members_.OnLinkDown(kLink);
   members_.OnDialStarted(base::InstanceId("p"), 8);
   members_.OnLinkDown(8);
-  // Another lost it too, suspected it first, and had its answer.
-  hear(3);
-  hear(4);
+  // Another instance suspected the same peer first, and the peer refuted it.
+  receive_fact(3);
+  receive_fact(4);
   bool suspected = false;
   for (int i = 0; i < 100; ++i) {
     now_ += milliseconds(100);
@@ -112,7 +113,7 @@
   EXPECT_FALSE(suspected);
 }
 
-TEST_F(MembershipTest, ARowProvesNothingAndOwnRowIsPassedOver) {
+TEST_F(MembershipTest, RowAloneIsSuspectAndOwnRowIsIgnored) {
   members_.SetRows({{base::InstanceId("p"), base::ZoneId("z"), "10.0.0.2", 9},
                     {base::InstanceId("other name of m"), base::ZoneId("z"),
                      "10.0.0.1", 9}});
@@ -120,12 +121,12 @@
   ASSERT_EQ(list.size(), 2u);
   EXPECT_EQ(list[1].state, MemberState::kSuspect);
   EXPECT_EQ(members_.LiveInstances(base::ZoneId("z")).size(), 1u);
-  // It is looked for nevertheless.
+  // It is dialled nevertheless.
   EXPECT_EQ(members_.Tick().dial.size(), 1u);
 }
 
-// A row under a made-up id says only where to look.
-TEST_F(MembershipTest, TheGreetingReplacesARowThatNamedOnlyAnAddress) {
+// The instance list may give an instance an id that is not its own.
+TEST_F(MembershipTest, HelloReplacesRowWithTheSameAddress) {
   const std::vector<InstanceRow> rows = {
       {base::InstanceId("made-up"), base::ZoneId("z"), "10.0.0.2", 9, false}};
   members_.SetRows(rows);
