--- a/src/process/gossip.cc
+++ b/src/process/gossip.cc
@@ -10,29 +10,29 @@
 
 namespace {
 
-constexpr base::Duration kExpiryInterval = std::chrono::seconds(1);
-// Entries in one summary message: about 64 KB.
+constexpr base::Duration kExpiryCheckInterval = std::chrono::seconds(1);
+// Keeps a summary message at about 64 KB.
 constexpr std::size_t kSummaryEntriesPerMessage = 2000;
-// Encoded size of a fact beyond its key and body, at most.
+// Upper bound on the encoded size of a fact beyond its key and body.
 constexpr std::size_t kItemOverheadBytes = kMaxPeerIdBytes + 48;
-// Load reports go out together, because a message has a price of its own.
+// Load reports are batched to save the overhead per message.
 constexpr base::Duration kLoadFlushInterval = std::chrono::milliseconds(900);
-// The budget for load reports saves up at most this much time.
+// Burst size of the load report budget, as seconds of its rate.
 constexpr double kLoadBurstSeconds = 2.0;
 
-// Upper bound, for the size of batches.
-std::size_t SizeOf(const ViewItem& item) {
+// Upper bound on the encoded size, for limiting batches.
+std::size_t MaxEncodedSize(const ViewItem& item) {
   return item.key.size() + item.body.size() + kItemOverheadBytes;
 }
 
-// About what a load report takes in a message.
-std::size_t EncodedSize(const ViewItem& item) {
+// Approximate encoded size of a load report.
+std::size_t ApproximateEncodedSize(const ViewItem& item) {
   constexpr std::size_t kNumbers = 20;
   return item.key.size() + item.body.size() + item.source.str().size() +
          kNumbers;
 }
 
-// Facts that are worth a message of their own.
+// Whether the fact is sent without waiting for the next batch.
 bool IsUrgent(const ViewItem& item) {
   switch (item.kind) {
     case ViewKind::kConfigHead:
@@ -77,7 +77,7 @@
       last_load_flush_(clock_()) {}
 
 MergeResult Gossip::Publish(const ViewItem& item) {
-  const MergeResult result = Take(item, std::nullopt);
+  const MergeResult result = Apply(item, std::nullopt);
   if (result == MergeResult::kNewer && item.kind == ViewKind::kLoad) {
     EnqueueLoad(item);
   }
@@ -97,7 +97,7 @@
   outboxes_[link];
   base::Log(base::LogLevel::kInfo, "peer_link_up",
             {{"peer", hello.instance.str()}, {"zone", hello.zone.str()}});
-  // One side is enough; the exchange that follows goes both ways.
+  // One digest is enough: the exchange that it starts updates both ends.
   if (dialled) {
     SendDigest(link);
   }
@@ -128,12 +128,12 @@
 
 void Gossip::Tick() {
   const base::Time now = clock_();
-  Run(membership_.Tick());
+  ExecuteActions(membership_.Tick());
   if (now >= next_expiry_) {
-    next_expiry_ = now + kExpiryInterval;
+    next_expiry_ = now + kExpiryCheckInterval;
     store_.Expire();
   }
-  CompareWithOne(now);
+  SendDigestToRandomLink(now);
   FlushLoads(now);
   for (auto& [link, outbox] : outboxes_) {
     if (now >= outbox.next_batch) {
@@ -143,12 +143,13 @@
 }
 
 void Gossip::Leave() {
-  Take(membership_.Leave(), std::nullopt);
+  Apply(membership_.Leave(), std::nullopt);
 }
 
 void Gossip::Handle(LinkId link, const HelloMessage& /*message*/) {
-  // Greetings are judged before a link is up; a second one is a fault.
-  transport_.close(link, "second greeting");
+  // The hello message is handled before the link is up; another one is a
+  // protocol error.
+  transport_.close(link, "unexpected hello message on an established link");
   OnLinkDown(link);
 }
 
@@ -158,11 +159,11 @@
 
 void Gossip::Handle(LinkId link, const ViewBatchMessage& message) {
   for (const ViewItem& item : message.items) {
-    const MergeResult result = Take(item, link);
+    const MergeResult result = Apply(item, link);
     if (result == MergeResult::kKnown) {
-      // The peer has it, so it need not be sent there.
+      // The peer holds this version already.
       if (const auto it = outboxes_.find(link); it != outboxes_.end()) {
-        it->second.waiting.erase({item.kind, item.key});
+        it->second.pending.erase({item.kind, item.key});
       }
     }
   }
@@ -193,7 +194,7 @@
   outboxes_.erase(link);
 }
 
-MergeResult Gossip::Take(const ViewItem& item, std::optional<LinkId> from) {
+MergeResult Gossip::Apply(const ViewItem& item, std::optional<LinkId> from) {
   const MergeResult result = store_.Merge(item);
   switch (result) {
     case MergeResult::kNewer:
@@ -216,11 +217,11 @@
     membership_.OnFact(item);
   }
   on_newer_(item);
-  PassOn(item, from);
+  Forward(item, from);
   return result;
 }
 
-void Gossip::PassOn(const ViewItem& item, std::optional<LinkId> from) {
+void Gossip::Forward(const ViewItem& item, std::optional<LinkId> from) {
   if (item.kind == ViewKind::kLoad) {
     return;
   }
@@ -229,7 +230,7 @@
     if (from && *from == link) {
       continue;
     }
-    outbox.waiting.insert({item.kind, item.key});
+    outbox.pending.insert({item.kind, item.key});
     if (urgent) {
       Flush(link, &outbox);
     }
@@ -239,9 +240,9 @@
 void Gossip::EnqueueLoad(const ViewItem& item) {
   const ViewName name{item.kind, item.key};
   for (const LinkId link : membership_.ZoneLinks()) {
-    auto& loads = outboxes_[link].loads;
-    if (std::ranges::find(loads, name) == loads.end()) {
-      loads.push_back(name);
+    auto& pending_loads = outboxes_[link].pending_loads;
+    if (std::ranges::find(pending_loads, name) == pending_loads.end()) {
+      pending_loads.push_back(name);
     }
   }
 }
@@ -249,27 +250,28 @@
 void Gossip::Enqueue(LinkId link, const std::vector<ViewName>& names) {
   const auto it = outboxes_.find(link);
   if (it != outboxes_.end()) {
-    it->second.waiting.insert(names.begin(), names.end());
+    it->second.pending.insert(names.begin(), names.end());
   }
 }
 
 void Gossip::Flush(LinkId link, Outbox* outbox) {
-  if (outbox->waiting.empty()) {
+  if (outbox->pending.empty()) {
     return;
   }
   outbox->next_batch = clock_() + options_.batch_interval;
   std::vector<ViewItem> batch;
   std::size_t bytes = 0;
-  for (const ViewName& name : std::exchange(outbox->waiting, {})) {
+  for (const ViewName& name : std::exchange(outbox->pending, {})) {
     const ViewItem* item = store_.Find(name);
     if (item == nullptr) {
       continue;
     }
-    if (bytes + SizeOf(*item) > options_.max_batch_bytes && !batch.empty()) {
+    if (bytes + MaxEncodedSize(*item) > options_.max_batch_bytes &&
+        !batch.empty()) {
       SendBatch(link, std::exchange(batch, {}));
       bytes = 0;
     }
-    bytes += SizeOf(*item);
+    bytes += MaxEncodedSize(*item);
     batch.push_back(*item);
   }
   if (!batch.empty()) {
@@ -277,8 +279,9 @@
   }
 }
 
-// Spends each link's part of the budget on the reports that have waited
-// longest; one that was replaced while it waited goes out in its newest form.
+// Spends each link's share of the budget on the reports that have been queued
+// longest. A report that was replaced while queued is sent in its newest
+// version.
 void Gossip::FlushLoads(base::Time now) {
   if (now - last_load_flush_ < kLoadFlushInterval) {
     return;
@@ -291,14 +294,15 @@
     outbox.load_budget =
         std::min(outbox.load_budget + elapsed * rate, rate * kLoadBurstSeconds);
     std::vector<ViewItem> batch;
-    auto it = outbox.loads.begin();
-    for (; it != outbox.loads.end() && outbox.load_budget > 0; ++it) {
+    auto it = outbox.pending_loads.begin();
+    for (; it != outbox.pending_loads.end() && outbox.load_budget > 0; ++it) {
       if (const ViewItem* item = store_.Find(*it)) {
-        outbox.load_budget -= static_cast<double>(EncodedSize(*item));
+        outbox.load_budget -=
+            static_cast<double>(ApproximateEncodedSize(*item));
         batch.push_back(*item);
       }
     }
-    outbox.loads.erase(outbox.loads.begin(), it);
+    outbox.pending_loads.erase(outbox.pending_loads.begin(), it);
     if (!batch.empty()) {
       SendBatch(link, std::move(batch));
     }
@@ -337,7 +341,7 @@
   Send(link, store_.Digest(), true);
 }
 
-void Gossip::CompareWithOne(base::Time now) {
+void Gossip::SendDigestToRandomLink(base::Time now) {
   if (now < next_digest_) {
     return;
   }
@@ -350,9 +354,10 @@
   }
 }
 
-void Gossip::Run(const MembershipActions& actions) {
-  std::ranges::for_each(
-      actions.publish, [&](const ViewItem& item) { Take(item, std::nullopt); });
+void Gossip::ExecuteActions(const MembershipActions& actions) {
+  std::ranges::for_each(actions.publish, [&](const ViewItem& item) {
+    Apply(item, std::nullopt);
+  });
   for (const CloseRequest& request : actions.close) {
     base::Log(base::LogLevel::kInfo, "peer_link_closed",
               {{"reason", request.reason}});
--- a/src/process/gossip.h
+++ b/src/process/gossip.h
@@ -1,11 +1,11 @@
-// How facts spread: the view store and the membership put together, over
-// links that somebody else carries.
+// Replicates facts between instances: combines the view store and the
+// membership with a message transport supplied by the caller.
 //
-// A fact that is new to this instance goes on to every link but the one it
-// came by; facts that wait for a link are kept by name, so that only the
-// newest version is ever sent. A link that comes up, and now and then one at
-// random, is compared by digest, which finds whatever was lost. Load reports
-// go one hop, to links of the own zone, under a byte budget.
+// A fact that is new to this instance is forwarded to every link except the one
+// it came from. Pending facts are queued per link by name, so that only the
+// newest version is sent. Digests are compared when a link comes up and
+// periodically with a random peer, which repairs lost updates. Load reports
+// travel one hop, to peers in the same zone, under a bandwidth limit.
 #ifndef LYNXGLADE_PROCESS_GOSSIP_H_
 #define LYNXGLADE_PROCESS_GOSSIP_H_
 
@@ -36,21 +36,22 @@
   InstanceFact fact;
   MembershipOptions membership;
   ViewRules rules = DefaultViewRules();
-  // Between two batches on a link; configuration, quarantine and leaving
-  // notices do not wait for it.
+  // Minimum time between two batches on a link. Configuration and quarantine
+  // facts, and facts that an instance is not live, are sent without this delay.
   base::Duration batch_interval = std::chrono::milliseconds(200);
-  // Mean time between two comparisons with a random link.
+  // Mean time between two digests sent to a random link.
   base::Duration digest_interval = std::chrono::seconds(30);
-  // Bytes a second of load reports over all links together.
+  // Bandwidth limit for load reports, over all links.
   double load_bytes_per_second = 1000;
   std::size_t max_batch_bytes = 48u << 10;
 };
 
-// Carries messages; none of these may call back into Gossip.
+// Transport for messages. The functions must not call back into Gossip.
 struct GossipTransport {
-  // Starts an attempt and names it; its end is OnLinkUp or OnLinkDown.
+  // Starts to connect and returns the link's id. OnLinkUp or OnLinkDown reports
+  // the result.
   std::function<LinkId(const std::string& address, int port)> dial;
-  // `droppable`: may be thrown away for a slow peer.
+  // A `droppable` message may be discarded when the peer is slow.
   std::function<void(LinkId, std::string message, bool droppable)> send;
   std::function<void(LinkId, const std::string& reason)> close;
 };
@@ -58,7 +59,7 @@
 // Not thread-safe.
 class Gossip {
  public:
-  // `on_newer` is called for each fact that the store takes.
+  // `on_newer` is called for each fact that is newly merged into the store.
   Gossip(GossipOptions options,
          GossipTransport transport,
          base::Clock clock,
@@ -73,9 +74,9 @@
   void OnLinkUp(LinkId link, bool dialled, const HelloMessage& hello);
   void OnLinkDown(LinkId link);
   void OnMessage(LinkId link, std::string_view bytes);
-  // To be called about every 100 ms.
+  // Call about every 100 ms.
   void Tick();
-  // Sends the leaving notice at once.
+  // Announces to all links that this instance is leaving, without delay.
   void Leave();
 
   const ViewStore& store() const noexcept { return store_; }
@@ -83,9 +84,9 @@
 
  private:
   struct Outbox {
-    std::set<ViewName> waiting;
-    // Load reports, longest waiting first, and the bytes they may take now.
-    std::vector<ViewName> loads;
+    std::set<ViewName> pending;
+    // Load reports, longest queued first, and the bytes they may use now.
+    std::vector<ViewName> pending_loads;
     double load_budget = 0;
     base::Time next_batch{};
   };
@@ -98,8 +99,8 @@
   void Handle(LinkId link, const WantMessage& message);
   void Handle(LinkId link, const LeaveMessage& message);
 
-  MergeResult Take(const ViewItem& item, std::optional<LinkId> from);
-  void PassOn(const ViewItem& item, std::optional<LinkId> from);
+  MergeResult Apply(const ViewItem& item, std::optional<LinkId> from);
+  void Forward(const ViewItem& item, std::optional<LinkId> from);
   void EnqueueLoad(const ViewItem& item);
   void Enqueue(LinkId link, const std::vector<ViewName>& names);
   void Flush(LinkId link, Outbox* outbox);
@@ -108,8 +109,8 @@
   void SendSummary(LinkId link, std::vector<SummaryBucket> buckets);
   void Send(LinkId link, const PeerMessage& message, bool droppable);
   void SendDigest(LinkId link);
-  void CompareWithOne(base::Time now);
-  void Run(const MembershipActions& actions);
+  void SendDigestToRandomLink(base::Time now);
+  void ExecuteActions(const MembershipActions& actions);
   void CountReceived(std::string_view what, std::uint64_t n);
 
   const GossipOptions options_;
--- a/tests/process/fake_network.cc
+++ b/tests/process/fake_network.cc
@@ -8,9 +8,7 @@
 namespace {
 
 constexpr base::Duration kTick = std::chrono::milliseconds(100);
-// How often an instance looks at the instance list.
-constexpr base::Duration kRowsInterval = std::chrono::seconds(1);
-// What an attempt at an unreachable address takes to fail.
+constexpr base::Duration kInstanceListInterval = std::chrono::seconds(1);
 constexpr base::Duration kConnectTimeout = std::chrono::seconds(3);
 constexpr const char* kAddress = "10.0.0.1";
 
@@ -58,7 +56,7 @@
       options, transport, [this] { return now_; }, random_, node->metrics,
       [this, node](const process::ViewItem& item) {
         auto& newest = node->newest[{item.kind, item.key}];
-        steps_back_ += item.version < newest ? 1 : 0;
+        version_regressions_ += item.version < newest ? 1 : 0;
         newest = item.version;
         if (item.kind == process::ViewKind::kInstance &&
             process::StateOf(item.version) == process::MemberState::kSuspect) {
@@ -86,12 +84,12 @@
   nodes_[node]->paused = false;
 }
 
-void FakeNetwork::Cut(std::size_t from, std::size_t to) {
-  cuts_.emplace(from, to);
+void FakeNetwork::BlockTraffic(std::size_t from, std::size_t to) {
+  blocked_.emplace(from, to);
 }
 
-void FakeNetwork::Join(std::size_t from, std::size_t to) {
-  cuts_.erase({from, to});
+void FakeNetwork::RestoreTraffic(std::size_t from, std::size_t to) {
+  blocked_.erase({from, to});
 }
 
 void FakeNetwork::Run(base::Duration duration) {
@@ -105,7 +103,7 @@
       events_.erase(events_.begin());
       Node& node = *nodes_[event.node];
       if (node.paused) {
-        Later(event.node, kTick, event.run);
+        Schedule(event.node, kTick, event.run);
       } else if (node.alive) {
         event.run();
       }
@@ -113,7 +111,7 @@
     now_ = next_tick;
     const bool fetch_rows = now_ >= next_rows_;
     const auto rows = fetch_rows ? Rows() : std::vector<process::InstanceRow>();
-    next_rows_ = fetch_rows ? now_ + kRowsInterval : next_rows_;
+    next_rows_ = fetch_rows ? now_ + kInstanceListInterval : next_rows_;
     for (const auto& node : nodes_) {
       if (node->alive && !node->paused) {
         if (fetch_rows) {
@@ -158,8 +156,8 @@
 LinkId FakeNetwork::Dial(std::size_t from, int port) {
   const LinkId link = next_link_++;
   dials_.push_back(now_);
-  Later(from, RandomDelay(),
-        [this, from, link, port] { Connect(from, link, port); });
+  Schedule(from, RandomDelay(),
+           [this, from, link, port] { Connect(from, link, port); });
   return link;
 }
 
@@ -178,7 +176,7 @@
     return;
   }
   if (nodes_[to]->paused || !Reaches(from, to) || !Reaches(to, from)) {
-    Later(from, kConnectTimeout, fail);
+    Schedule(from, kConnectTimeout, fail);
     return;
   }
   const LinkId accepted = next_link_++;
@@ -206,10 +204,10 @@
   if (peer == ends_.end() || lost || !Reaches(from, peer->second.node)) {
     return;
   }
-  const int copies = Chance(faults_.doubling) ? 2 : 1;
+  const int copies = Chance(faults_.duplication) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
-    Later(peer->second.node, RandomDelay(),
-          [this, peer_end, bytes] { Deliver(peer_end, bytes); });
+    Schedule(peer->second.node, RandomDelay(),
+             [this, peer_end, bytes] { Deliver(peer_end, bytes); });
   }
 }
 
@@ -229,8 +227,8 @@
   ends_.erase(it);
   const auto peer = ends_.find(end.peer_end);
   if (peer != ends_.end() && Reaches(end.node, peer->second.node)) {
-    Later(peer->second.node, faults_.max_delay,
-          [this, id = end.peer_end] { Break(id); });
+    Schedule(peer->second.node, faults_.max_delay,
+             [this, id = end.peer_end] { Break(id); });
   }
 }
 
@@ -244,7 +242,7 @@
 }
 
 bool FakeNetwork::Reaches(std::size_t from, std::size_t to) const {
-  return !cuts_.contains({from, to});
+  return !blocked_.contains({from, to});
 }
 
 process::HelloMessage FakeNetwork::HelloOf(const Node& node) const {
@@ -252,9 +250,9 @@
           base::ZoneId(node.zone), kAddress, node.port};
 }
 
-void FakeNetwork::Later(std::size_t node,
-                        base::Duration delay,
-                        std::function<void()> run) {
+void FakeNetwork::Schedule(std::size_t node,
+                           base::Duration delay,
+                           std::function<void()> run) {
   events_.emplace(now_ + delay, Event{node, std::move(run)});
 }
 
--- a/tests/process/fake_network.h
+++ b/tests/process/fake_network.h
@@ -1,5 +1,6 @@
-// Several Gossip objects, joined by links that lose, double, delay and reorder
-// messages, can be cut one way, and run on a clock that the test moves.
+// Several Gossip objects connected by simulated links that lose, duplicate,
+// delay and reorder messages and can be blocked in one direction, on a
+// simulated clock.
 #ifndef LYNXGLADE_TESTS_PROCESS_FAKE_NETWORK_H_
 #define LYNXGLADE_TESTS_PROCESS_FAKE_NETWORK_H_
 
@@ -20,10 +21,12 @@
 namespace lynxglade::tests {
 
 struct NetworkFaults {
-  // Chances that a droppable message is lost, and that any is doubled.
+  // Probability that a droppable message is lost, and that any message is
+  // duplicated.
   double loss = 0;
-  double doubling = 0;
-  // Messages arrive after up to this long, in any order.
+  double duplication = 0;
+  // Upper bound of the random delay of each message; messages may overtake
+  // each other.
   base::Duration max_delay = std::chrono::milliseconds(5);
 };
 
@@ -33,16 +36,16 @@
   FakeNetwork(const FakeNetwork&) = delete;
   FakeNetwork& operator=(const FakeNetwork&) = delete;
 
-  // Starts an instance at an address that only it uses, or at that of `old`.
-  // Returns its index. It is in the instance list at once.
+  // Starts an instance at a new address, or at that of `old`, and adds it to
+  // the instance list. Returns its index.
   std::size_t Add(const std::string& id, const std::string& zone);
   std::size_t RestartAs(std::size_t old, const std::string& new_id);
   void Kill(std::size_t node);
   void Pause(std::size_t node);
   void Resume(std::size_t node);
-  // Whether messages from `from` reach `to`.
-  void Cut(std::size_t from, std::size_t to);
-  void Join(std::size_t from, std::size_t to);
+  // Blocks or restores messages from `from` to `to`.
+  void BlockTraffic(std::size_t from, std::size_t to);
+  void RestoreTraffic(std::size_t from, std::size_t to);
   void SetFaults(const NetworkFaults& faults) { faults_ = faults; }
 
   void Run(base::Duration duration);
@@ -51,17 +54,16 @@
   std::size_t count() const { return nodes_.size(); }
   base::Time now() const { return now_; }
   process::MemberState StateSeenBy(std::size_t node, const std::string& id);
-  // Facts of all compared kinds, equal when two nodes agree.
+  // All facts of the compared kinds as text, equal when two nodes agree.
   std::string Contents(std::size_t node) const;
-  // Times at which a node took a fact that was not newer than what it held.
-  int steps_back() const { return steps_back_; }
-  // Every suspicion that any node has taken: whom, and its sequence.
+  // Number of facts that a node accepted although it had held a newer version.
+  int version_regressions() const { return version_regressions_; }
+  // All suspicions accepted by any node: the suspected id and the sequence.
   const std::set<std::pair<std::string, std::uint64_t>>& suspicions() const {
     return suspicions_;
   }
-  // Attempts to link, each with its time.
+  // Times of all dial attempts.
   const std::vector<base::Time>& dials() const { return dials_; }
-  // Bytes that a node has sent.
   std::uint64_t BytesSent(std::size_t node) const;
   std::uint64_t MessagesSent(std::size_t node) const;
 
@@ -77,7 +79,7 @@
     base::Metrics metrics;
     std::unique_ptr<process::Gossip> gossip;
     std::map<process::ViewName, process::ViewVersion> newest;
-    // Listed under a name that its successor has taken over.
+    // Whether the instance list has a row for it.
     bool listed = true;
   };
   struct End {
@@ -101,8 +103,10 @@
   void Break(process::LinkId end);
   bool Reaches(std::size_t from, std::size_t to) const;
   process::HelloMessage HelloOf(const Node& node) const;
-  // Runs `run` at `node` after a delay; while the node is paused it waits.
-  void Later(std::size_t node, base::Duration delay, std::function<void()> run);
+  // Runs `run` at `node` after a delay, or later if the node is paused then.
+  void Schedule(std::size_t node,
+                base::Duration delay,
+                std::function<void()> run);
   base::Duration RandomDelay();
   bool Chance(double p);
   std::vector<process::InstanceRow> Rows() const;
@@ -111,7 +115,7 @@
   base::RandomSource random_;
   NetworkFaults faults_;
   std::vector<std::unique_ptr<Node>> nodes_;
-  std::set<std::pair<std::size_t, std::size_t>> cuts_;
+  std::set<std::pair<std::size_t, std::size_t>> blocked_;
   std::map<process::LinkId, End> ends_;
   std::multimap<base::Time, Event> events_;
   std::vector<base::Time> dials_;
@@ -119,7 +123,7 @@
   base::Time next_rows_{};
   process::LinkId next_link_ = 1;
   int next_port_ = 1000;
-  int steps_back_ = 0;
+  int version_regressions_ = 0;
 };
 
 }  // namespace lynxglade::tests
--- a/tests/process/gossip_test.cc
+++ b/tests/process/gossip_test.cc
@@ -1,4 +1,4 @@
-// Facts and membership over a network that fails; see fake_network.h.
+// Gossip and membership over a faulty network; see fake_network.h.
 #include "process/gossip.h"
 
 #include <algorithm>
@@ -19,8 +19,8 @@
 using std::chrono::seconds;
 using tests::FakeNetwork;
 
-// More than any two comparisons by digest with a random link need to meet.
-constexpr base::Duration kSettle = minutes(5);
+// Long enough for random digests to reconcile any two instances.
+constexpr base::Duration kConvergenceTime = minutes(5);
 
 ViewItem Fact(const FakeNetwork& net,
               ViewKind kind,
@@ -30,7 +30,7 @@
   return {kind, key, version, base::InstanceId("source"), net.now(), body};
 }
 
-// A network of `zones` zones with `each` instances: "<zone>-<number>".
+// Adds `zones` zones with `each` instances, named "<zone>-<number>".
 void Fill(FakeNetwork* net, int zones, int each) {
   for (int z = 0; z < zones; ++z) {
     const std::string zone(1, static_cast<char>('a' + z));
@@ -46,9 +46,9 @@
   });
 }
 
-// Instances publish their own facts again now and then, so two that agree may
-// differ while such a fact is under way; it takes less than two seconds.
-bool AgreeSoon(FakeNetwork* net, const std::vector<std::size_t>& nodes) {
+// Instances republish their own facts periodically, so their stores may differ
+// briefly while such a fact is in transit. Retries for two seconds.
+bool AgreeEventually(FakeNetwork* net, const std::vector<std::size_t>& nodes) {
   for (int i = 0; i < 20 && !AllAgree(*net, nodes); ++i) {
     net->Run(std::chrono::milliseconds(100));
   }
@@ -82,7 +82,7 @@
 }
 
 RC_GTEST_PROP(GossipProperty,
-              ConvergesAndNeverStepsBackWhateverTheNetworkDoes,
+              ConvergesWithoutVersionRegressionUnderAnyFaults,
               ()) {
   FakeNetwork net(*rc::gen::arbitrary<std::uint64_t>());
   Fill(&net, *rc::gen::inRange(1, 4), *rc::gen::inRange(1, 4));
@@ -96,23 +96,25 @@
     const auto key = std::to_string(*rc::gen::inRange(0, 4));
     const ViewVersion version{*rc::gen::inRange<std::uint64_t>(1, 4),
                               *rc::gen::inRange<std::uint64_t>(0, 4)};
-    // Two instances may publish other bodies under one version.
+    // Two instances may publish different bodies under one version.
     const auto body = std::to_string(*rc::gen::inRange(0, 2));
     const auto from = *rc::gen::inRange<std::size_t>(0, net.count());
     net.node(from).Publish(Fact(net, kind, key, version, body));
     net.Run(std::chrono::milliseconds(*rc::gen::inRange(0, 1000)));
   }
   net.SetFaults({});
-  net.Run(kSettle);
-  RC_ASSERT(net.steps_back() == 0);
-  RC_ASSERT(AgreeSoon(&net, Range(0, net.count())));
+  net.Run(kConvergenceTime);
+  RC_ASSERT(net.version_regressions() == 0);
+  RC_ASSERT(AgreeEventually(&net, Range(0, net.count())));
 }
 
-RC_GTEST_PROP(GossipProperty, AnyCutHealsAndEachSideGoesOnMeanwhile, ()) {
+RC_GTEST_PROP(GossipProperty,
+              EachSideWorksDuringPartitionAndBothReconcileAfterIt,
+              ()) {
   FakeNetwork net(*rc::gen::arbitrary<std::uint64_t>());
   Fill(&net, 2, 3);
   net.Run(seconds(30));
-  // Zone a cannot reach zone b, or neither can reach the other.
+  // Block zone a to zone b, or both directions.
   const bool both_ways = *rc::gen::arbitrary<bool>();
   const auto each_pair = [&](const auto& change) {
     for (std::size_t a = 0; a < 3; ++a) {
@@ -122,9 +124,9 @@
     }
   };
   each_pair([&](std::size_t a, std::size_t b) {
-    net.Cut(a, b);
+    net.BlockTraffic(a, b);
     if (both_ways) {
-      net.Cut(b, a);
+      net.BlockTraffic(b, a);
     }
   });
   net.Run(seconds(*rc::gen::inRange(1, 600)));
@@ -136,25 +138,25 @@
     RC_ASSERT(net.node(i).store().Find({ViewKind::kTarget, own}) != nullptr);
   }
   each_pair([&](std::size_t a, std::size_t b) {
-    net.Join(a, b);
-    net.Join(b, a);
+    net.RestoreTraffic(a, b);
+    net.RestoreTraffic(b, a);
   });
-  const base::Time healed = net.now();
-  net.Run(kSettle);
-  RC_ASSERT(net.steps_back() == 0);
-  RC_ASSERT(AgreeSoon(&net, Range(0, 6)));
+  const base::Time restored = net.now();
+  net.Run(kConvergenceTime);
+  RC_ASSERT(net.version_regressions() == 0);
+  RC_ASSERT(AgreeEventually(&net, Range(0, 6)));
   for (std::size_t i = 0; i < 6; ++i) {
     RC_ASSERT(net.StateSeenBy(i, "a-0") == MemberState::kLive);
     RC_ASSERT(net.StateSeenBy(i, "b-0") == MemberState::kLive);
   }
-  // No storm: an instance makes at most one retry a second and at most one
-  // first try beside it, and few attempts in all.
-  RC_ASSERT(MostDialsInASecond(net.dials(), healed) <= 2u * net.count());
-  RC_ASSERT(DialsBetween(net.dials(), healed, healed + seconds(30)) <=
+  // No reconnect storm: per second an instance makes at most one retry and one
+  // first attempt, and few attempts in total.
+  RC_ASSERT(MostDialsInASecond(net.dials(), restored) <= 2u * net.count());
+  RC_ASSERT(DialsBetween(net.dials(), restored, restored + seconds(30)) <=
             4u * net.count());
 }
 
-TEST(Gossip, ASuspectStaysInTheListAndClearsItselfWhenItWakes) {
+TEST(Gossip, PausedInstanceIsSuspectUntilItResumes) {
   FakeNetwork net(1);
   Fill(&net, 2, 3);
   net.Run(seconds(30));
@@ -166,16 +168,15 @@
   net.Resume(1);
   net.Run(seconds(30));
   for (const std::size_t i : Range(0, 6)) {
-    // Neither is the sleeper suspected, nor does it suspect those who were
-    // awake.
+    // The resumed instance is no longer suspect and suspects no other.
     for (const char* id : {"a-0", "a-1", "a-2", "b-0", "b-1", "b-2"}) {
       EXPECT_EQ(net.StateSeenBy(i, id), MemberState::kLive) << i << id;
     }
   }
-  EXPECT_EQ(net.steps_back(), 0);
+  EXPECT_EQ(net.version_regressions(), 0);
 }
 
-TEST(Gossip, AKilledInstanceIsSuspectedAndNeverStruckOffWhileListed) {
+TEST(Gossip, KilledInstanceStaysSuspectWhileListed) {
   FakeNetwork net(2);
   Fill(&net, 1, 4);
   net.Run(seconds(30));
@@ -193,7 +194,7 @@
   }
 }
 
-TEST(Gossip, ARestartUnderTheSameAddressReplacesTheFormerInstance) {
+TEST(Gossip, RestartAtTheSameAddressReplacesTheFormerInstance) {
   FakeNetwork net(3);
   Fill(&net, 2, 3);
   net.Run(seconds(30));
@@ -203,14 +204,14 @@
     EXPECT_EQ(net.StateSeenBy(i, "a-1-again"), MemberState::kLive) << i;
     EXPECT_EQ(net.StateSeenBy(i, "a-1"), MemberState::kGone) << i;
   }
-  EXPECT_TRUE(AgreeSoon(&net, {0, 2, 3, 4, 5, 6}));
+  EXPECT_TRUE(AgreeEventually(&net, {0, 2, 3, 4, 5, 6}));
 }
 
-TEST(Gossip, APairThatCannotReachEachOtherDoesNotCondemnEitherOne) {
+TEST(Gossip, UnreachablePairStaysLiveThroughOtherPeers) {
   FakeNetwork net(4);
   Fill(&net, 1, 5);
   net.Run(seconds(30));
-  net.Cut(0, 1);
+  net.BlockTraffic(0, 1);
   net.Run(minutes(2));
   net.node(0).Publish(Fact(net, ViewKind::kConfigDelta, "9", {9, 0}, "{}"));
   net.Run(seconds(5));
@@ -219,26 +220,27 @@
     EXPECT_EQ(net.StateSeenBy(i, "a-0"), MemberState::kLive) << i;
     EXPECT_EQ(net.StateSeenBy(i, "a-1"), MemberState::kLive) << i;
   }
-  // Each of the two may suspect the other once, and no more after the answer.
+  // Each of the two may suspect the other once, but not again after that was
+  // refuted.
   EXPECT_LE(net.suspicions().size(), 2u);
 }
 
-TEST(Gossip, AnAnswerToOneSuspicionCountsForAllWhoLostTheSamePeer) {
+TEST(Gossip, OneRefutationClearsTheSuspicionOfAllInstances) {
   FakeNetwork net(8);
   Fill(&net, 1, 5);
   net.Run(seconds(30));
   for (const std::size_t other : {1, 2, 3}) {
-    net.Cut(0, other);
+    net.BlockTraffic(0, other);
   }
   net.Run(minutes(2));
-  // a-0 once, and each of the three once by a-0.
+  // One suspicion of a-0, and one by a-0 of each of the three.
   EXPECT_LE(net.suspicions().size(), 4u);
   for (const std::size_t i : Range(0, 5)) {
     EXPECT_EQ(net.StateSeenBy(i, "a-0"), MemberState::kLive) << i;
   }
 }
 
-TEST(Gossip, APauseOfAllAtOnceIsNotTakenForSilence) {
+TEST(Gossip, SimultaneousPauseOfAllInstancesRaisesNoSuspicion) {
   FakeNetwork net(7);
   Fill(&net, 2, 3);
   net.Run(seconds(30));
@@ -255,7 +257,7 @@
   EXPECT_TRUE(net.suspicions().empty());
 }
 
-TEST(Gossip, ALeavingNoticeIsHeardAtOnceAndNotUndone) {
+TEST(Gossip, LeavingNoticeSpreadsImmediatelyAndIsPermanent) {
   FakeNetwork net(5);
   Fill(&net, 3, 3);
   net.Run(seconds(30));
@@ -271,7 +273,7 @@
   }
 }
 
-TEST(Gossip, LoadReportsStayInTheZoneAndWithinTheirBudget) {
+TEST(Gossip, LoadReportsStayInTheZoneAndWithinTheBudget) {
   FakeNetwork net(6);
   Fill(&net, 2, 3);
   net.Run(seconds(30));
@@ -285,7 +287,7 @@
     }
     net.Run(seconds(1));
   }
-  // What node 1 holds beyond its own 33 came from the others of its zone.
+  // Reports beyond its own 33 came from other instances of the zone.
   EXPECT_GT(net.node(1).store().count(ViewKind::kLoad), 33u);
   for (const std::size_t other_zone : {3, 4, 5}) {
     EXPECT_EQ(net.node(other_zone).store().count(ViewKind::kLoad), 0u);
