--- a/src/process/view_store.cc
+++ b/src/process/view_store.cc
@@ -272,7 +272,7 @@
   if (entries.size() < rules.max_items) {
     return true;
   }
-  if (!rules.replace_lowest || entries.empty()) {
+  if (!rules.evict_lowest_version || entries.empty()) {
     return false;
   }
   const auto lowest = std::ranges::min_element(
--- a/src/process/view_store.h
+++ b/src/process/view_store.h
@@ -38,7 +38,7 @@
   std::size_t max_items = 0;
   // When full, whether the item of the lowest version makes room; otherwise
   // further keys are refused.
-  bool replace_lowest = false;
+  bool evict_lowest_version = false;
 };
 
 using ViewRules = std::array<ViewKindRules, kViewKinds>;
