--- a/src/process/view_item.h
+++ b/src/process/view_item.h
@@ -1,4 +1,4 @@
-// One fact that instances tell each other.
+// A versioned fact that instances replicate among each other by gossip.
 #ifndef LYNXGLADE_PROCESS_VIEW_ITEM_H_
 #define LYNXGLADE_PROCESS_VIEW_ITEM_H_
 
@@ -12,22 +12,23 @@
 namespace lynxglade::process {
 
 enum class ViewKind : std::uint8_t {
-  // An instance: alive or leaving. Key: instance id.
+  // An instance and its state; see instance_fact.h. Key: instance id.
   kInstance = 1,
-  // What an engine was last seen to be (role, model, draining, leaving).
-  // Key: target id.
+  // Last known role, model and state of an engine. Key: target id.
   kTarget = 2,
-  // A request content that crashes its targets. Key: hex content hash.
+  // Request content that crashes its targets. Key: hex content hash.
   kQuarantine = 3,
-  // A target's load report, aged. Key: target id.
+  // A target's load report. Key: target id.
   kLoad = 4,
-  // The configuration's head; version.epoch is its revision. Keys: "head" the
-  // newest accepted, "whole/<n>" a part of the newest snapshot.
+  // The head of the configuration; version.epoch is its revision. Keys: "head"
+  // for the newest accepted revision, "whole/<n>" for a part of the newest
+  // snapshot.
   kConfigHead = 5,
   // A configuration delta; version.epoch is its revision. Key: the revision
-  // modulo version::kPublishedDeltas, so that a store holds only the last ones.
+  // modulo version::kPublishedDeltas, so that a store keeps the latest ones
+  // only.
   kConfigDelta = 6,
-  // The configuration that an instance holds; version.epoch is its revision.
+  // The configuration in effect at an instance; version.epoch is its revision.
   // Key: instance id.
   kConfigInForce = 7,
   // A target's row in the platform's instance list (listed_rows.h);
@@ -35,9 +36,8 @@
   kListed = 8,
 };
 
-// Order of facts under one key: the greater epoch wins, then the greater
-// sequence. Epochs come from the key-value service's revisions or a target's
-// incarnation, sequences from the source.
+// Orders the facts under one key: the greater epoch wins, then the greater
+// sequence. The meaning of both depends on the kind.
 struct ViewVersion {
   std::uint64_t epoch = 0;
   std::uint64_t sequence = 0;
@@ -49,10 +49,10 @@
   std::string key;
   ViewVersion version;
   base::InstanceId source;
-  // When the source made it, by the receiver's clock: receipt less the age
-  // that the message carried.
+  // Creation time on the local clock: for a received fact, the time of receipt
+  // minus the age in the message.
   base::Time as_of{};
-  // JSON text of the fact; its shape belongs to the kind.
+  // JSON text; the schema depends on the kind.
   std::string body;
 };
 
--- a/src/process/view_service.cc
+++ b/src/process/view_service.cc
@@ -24,11 +24,11 @@
 using TickAtom = caf::atom_constant<caf::atom("view_tick")>;
 
 constexpr std::chrono::milliseconds kTickInterval{100};
-constexpr base::Duration kRowsInterval = std::chrono::seconds(1);
-// Link messages that may wait for the actor; further ones are dropped and
-// found again by digest.
-constexpr int kMaxWaitingMessages = 4096;
-constexpr std::size_t kMaxWaitingBytes = 16u << 20;
+constexpr base::Duration kInstanceListInterval = std::chrono::seconds(1);
+// Limits on the link messages queued for the actor. Further ones are dropped;
+// a later digest exchange recovers the facts.
+constexpr int kMaxQueuedMessages = 4096;
+constexpr std::size_t kMaxQueuedBytes = 16u << 20;
 constexpr std::string_view kInstanceRole = "instance";
 
 constexpr std::array kAllKinds{ViewKind::kInstance,      ViewKind::kTarget,
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-// What the actor is told. At namespace level because CAF wants their names.
+// The actor's messages. At namespace scope because CAF needs their names.
 struct LinkUpEvent {
   LinkId link = 0;
   bool dialled = false;
@@ -61,7 +61,7 @@
 
 }  // namespace lynxglade::process
 
-// They stay within the process and need no serialisation.
+// These messages stay within the process and need no serialisation.
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(lynxglade::process::LinkUpEvent)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(lynxglade::process::LinkDownEvent)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(lynxglade::process::LinkMessageEvent)
@@ -82,8 +82,8 @@
   return "certificate";
 }
 
-// Gossip is guarded by a lock that is held for computing only; links take
-// messages without blocking. Subscribers are called outside the lock.
+// `gossip` is guarded by a mutex that is held for computation only: sending on
+// a link does not block. Subscribers are called without the mutex.
 struct ViewService::Details {
   Details(caf::actor_system& sys,
           ViewServiceOptions opts,
@@ -97,26 +97,26 @@
 
   connection::PeerLinkOptions LinkOptions() const;
   connection::PeerLinkHooks LinkHooks();
-  std::string JudgeHello(const std::string& bytes,
-                         const connection::PeerIdentity* identity) const;
+  std::string ValidateHello(const std::string& bytes,
+                            const connection::PeerIdentity* identity) const;
   GossipTransport Transport();
   caf::behavior Behavior(caf::event_based_actor* self);
 
-  // The actor's reactions.
+  // The actor's message handlers.
   void OnTick();
   void OnLinkMessage(const LinkMessageEvent& event);
   void OnPublish(ViewItem item);
   void OnSubscribe(const SubscribeEvent& event);
-  // Runs `change` on the gossip under the lock, then tells the subscribers.
+  // Runs `change` on the gossip under the mutex, then notifies the subscribers.
   template <typename F>
-  void Change(F&& change);
-  void TellSubscribers();
+  void UpdateGossip(F&& change);
+  void NotifySubscribers();
   void UpdateGauges();
-  // Count and ages of one kind's facts.
+  // Count and ages of the facts of one kind.
   nlohmann::json ViewJson(ViewKind kind) const;
   void RegisterGauges();
 
-  // Read by gauges, which may outlive this object.
+  // Shared with the registered gauges, which may outlive this object.
   struct Gauges {
     std::array<std::atomic<double>, kViewKinds> items{};
     std::array<std::atomic<double>, kViewKinds> newest_age_seconds{};
@@ -129,17 +129,17 @@
   base::Metrics& metrics;
   const std::shared_ptr<Gauges> gauges = std::make_shared<Gauges>();
   caf::actor actor;
-  std::atomic<int> waiting_messages{0};
-  std::atomic<std::size_t> waiting_bytes{0};
+  std::atomic<int> queued_messages{0};
+  std::atomic<std::size_t> queued_bytes{0};
   connection::PeerLinks links;
 
   mutable std::mutex mutex;
   // Set by Start.
   std::optional<Gossip> gossip;
-  // Taken by the store, not yet told to subscribers.
-  std::vector<ViewItem> newer;
+  // Merged into the store but not yet passed to the subscribers.
+  std::vector<ViewItem> undelivered;
 
-  // Only on the actor's thread.
+  // Accessed on the actor's thread only.
   std::array<std::vector<Subscriber>, kViewKinds> subscribers;
   base::Time next_rows{};
 };
@@ -162,7 +162,7 @@
   };
   out.check_hello = [this](const std::string& bytes,
                            const connection::PeerIdentity* identity) {
-    return JudgeHello(bytes, identity);
+    return ValidateHello(bytes, identity);
   };
   out.on_up = [this](LinkId link, bool dialled, const std::string& bytes) {
     PeerMessageError error = PeerMessageError::kNone;
@@ -175,23 +175,23 @@
     caf::anon_send(actor, LinkDownEvent{link});
   };
   out.on_message = [this](LinkId link, const std::string& bytes) {
-    const bool full = waiting_messages.fetch_add(1) >= kMaxWaitingMessages ||
-                      waiting_bytes.load() + bytes.size() > kMaxWaitingBytes;
+    const bool full = queued_messages.fetch_add(1) >= kMaxQueuedMessages ||
+                      queued_bytes.load() + bytes.size() > kMaxQueuedBytes;
     if (full) {
-      waiting_messages.fetch_sub(1);
+      queued_messages.fetch_sub(1);
       metrics
           .GetCounter("lynxglade_peer_messages_dropped_total",
                       {{"reason", "mailbox_full"}})
           .Add();
       return;
     }
-    waiting_bytes.fetch_add(bytes.size());
+    queued_bytes.fetch_add(bytes.size());
     caf::anon_send(actor, LinkMessageEvent{link, bytes});
   };
   return out;
 }
 
-std::string ViewService::Details::JudgeHello(
+std::string ViewService::Details::ValidateHello(
     const std::string& bytes,
     const connection::PeerIdentity* identity) const {
   PeerMessageError error = PeerMessageError::kNone;
@@ -199,10 +199,10 @@
   const auto* hello = message ? std::get_if<HelloMessage>(&*message) : nullptr;
   std::string refusal;
   if (hello == nullptr) {
-    refusal = "no greeting";
+    refusal = "first message is not a hello message";
   } else if (hello->protocol != kPeerProtocolVersion) {
     refusal = "protocol version " + std::to_string(hello->protocol) +
-              ", this instance speaks " + std::to_string(kPeerProtocolVersion);
+              ", this instance uses " + std::to_string(kPeerProtocolVersion);
   } else if (identity != nullptr && identity->role != kInstanceRole) {
     refusal = "certificate of another role";
   } else if (identity != nullptr && identity->zone != hello->zone.str()) {
@@ -238,12 +238,12 @@
         OnTick();
       },
       [this](const LinkUpEvent& event) {
-        Change([&](Gossip& g) {
+        UpdateGossip([&](Gossip& g) {
           g.OnLinkUp(event.link, event.dialled, event.hello);
         });
       },
       [this](const LinkDownEvent& event) {
-        Change([&](Gossip& g) { g.OnLinkDown(event.link); });
+        UpdateGossip([&](Gossip& g) { g.OnLinkDown(event.link); });
       },
       [this](const LinkMessageEvent& event) { OnLinkMessage(event); },
       [this](const PublishEvent& event) { OnPublish(event.item); },
@@ -255,10 +255,10 @@
   const base::Time now = hooks.clock();
   std::optional<std::vector<InstanceRow>> rows;
   if (now >= next_rows) {
-    next_rows = now + kRowsInterval;
+    next_rows = now + kInstanceListInterval;
     rows = hooks.instance_rows();
   }
-  Change([&](Gossip& g) {
+  UpdateGossip([&](Gossip& g) {
     if (rows) {
       g.SetRows(*rows);
     }
@@ -270,9 +270,9 @@
 }
 
 void ViewService::Details::OnLinkMessage(const LinkMessageEvent& event) {
-  waiting_messages.fetch_sub(1);
-  waiting_bytes.fetch_sub(event.bytes.size());
-  Change([&](Gossip& g) { g.OnMessage(event.link, event.bytes); });
+  queued_messages.fetch_sub(1);
+  queued_bytes.fetch_sub(event.bytes.size());
+  UpdateGossip([&](Gossip& g) { g.OnMessage(event.link, event.bytes); });
 }
 
 void ViewService::Details::OnPublish(ViewItem item) {
@@ -282,7 +282,7 @@
   if (item.as_of == base::Time{}) {
     item.as_of = hooks.clock();
   }
-  Change([&](Gossip& g) { g.Publish(item); });
+  UpdateGossip([&](Gossip& g) { g.Publish(item); });
 }
 
 void ViewService::Details::OnSubscribe(const SubscribeEvent& event) {
@@ -296,19 +296,19 @@
 }
 
 template <typename F>
-void ViewService::Details::Change(F&& change) {
+void ViewService::Details::UpdateGossip(F&& change) {
   {
     const std::lock_guard lock(mutex);
     change(*gossip);
   }
-  TellSubscribers();
+  NotifySubscribers();
 }
 
-void ViewService::Details::TellSubscribers() {
+void ViewService::Details::NotifySubscribers() {
   std::vector<ViewItem> items;
   {
     const std::lock_guard lock(mutex);
-    items.swap(newer);
+    items.swap(undelivered);
   }
   for (const ViewItem& item : items) {
     std::ranges::for_each(
@@ -384,11 +384,11 @@
 bool ViewService::Start(ViewServiceError* last_error) {
   *last_error = ViewServiceError::kNone;
   Details* d = details_.get();
-  // The actor comes first, because link events are sent to it. It reacts to
-  // none before the gossip is there: both are made under the lock.
+  // The actor is created first, because link events are sent to it. The mutex
+  // keeps it from handling one before `gossip` exists.
   const std::lock_guard lock(d->mutex);
-  // The pointer is an argument in place of a capture: for a function without
-  // arguments the library binds a reference to a null pointer.
+  // The pointer is passed as an argument rather than captured: for a function
+  // without arguments the library binds a reference to a null pointer.
   d->actor =
       d->system.spawn([](caf::event_based_actor* self,
                          Details* details) { return details->Behavior(self); },
@@ -399,8 +399,9 @@
   options.instance = d->options.instance;
   options.fact = {d->options.zone, d->options.address, d->links.port()};
   d->gossip.emplace(std::move(options), d->Transport(), d->hooks.clock,
-                    d->hooks.random, d->metrics,
-                    [d](const ViewItem& item) { d->newer.push_back(item); });
+                    d->hooks.random, d->metrics, [d](const ViewItem& item) {
+                      d->undelivered.push_back(item);
+                    });
   if (!started) {
     *last_error = error == connection::PeerLinkError::kCertificate
                       ? ViewServiceError::kCertificate
--- a/src/process/view_service.h
+++ b/src/process/view_service.h
@@ -1,9 +1,9 @@
-// What this instance and its peers know, kept up to date over peer links.
+// Shares facts among the entry instances over peer links.
 //
 // ViewService owns the view store, the membership and the links, all driven by
-// one actor. Facts published here reach every instance that can be heard,
-// over a few hops; facts heard from peers reach the subscribers. A fact never
-// goes back to an older version. The rules are in
+// one actor. Published facts reach all connected instances over a few hops;
+// facts from peers are passed to the subscribers. A fact is never replaced by
+// an older version. The protocol is described in
 // docs/notes/membership-and-views.md.
 #ifndef LYNXGLADE_PROCESS_VIEW_SERVICE_H_
 #define LYNXGLADE_PROCESS_VIEW_SERVICE_H_
@@ -33,14 +33,14 @@
   kNone,
   // The listening socket could not be opened.
   kListen,
-  // Certificate, key or authority file missing or unreadable.
+  // The certificate, key or authority file is missing or unusable.
   kCertificate,
 };
 std::string_view ToString(ViewServiceError error) noexcept;
 
 // Files for mutual TLS between instances; all empty means plain TCP. The
 // certificate names zone and role in a URI subject alternative name,
-// "urn:lynxglade:<zone>:<role>", and peers take only the role "instance".
+// "urn:lynxglade:<zone>:<role>"; peers accept only the role "instance".
 struct PeerTlsFiles {
   std::string certificate;
   std::string key;
@@ -52,9 +52,9 @@
 struct ViewServiceOptions {
   base::InstanceId instance;
   base::ZoneId zone;
-  // IP number to listen on and to be reached at.
+  // IP address to listen on and to advertise to peers.
   std::string address = "127.0.0.1";
-  // 0: any free port, see port().
+  // 0 selects any free port; see port().
   int port = 0;
   PeerTlsFiles tls;
 };
@@ -63,13 +63,13 @@
   base::Clock clock;
   // Called on the actor's thread only.
   base::RandomSource random;
-  // The entry instances as last fetched; called about once a second on the
-  // actor's thread, so it must not block.
+  // Returns the instance list as last fetched. Called about once a second on
+  // the actor's thread, so it must not block.
   std::function<std::vector<InstanceRow>()> instance_rows;
 };
 
-// Thread-safe. Destruction closes all links without a leaving notice; call
-// Leave() before it in a planned stop.
+// Thread-safe. The destructor closes all links without a leaving notice; call
+// Leave() first for a planned shutdown.
 class ViewService {
  public:
   using Subscriber = std::function<void(const ViewItem&)>;
@@ -83,43 +83,43 @@
   ViewService(const ViewService&) = delete;
   ViewService& operator=(const ViewService&) = delete;
 
-  // Listens and starts to look for peers. Call once.
+  // Starts listening and connecting to peers. Call once.
   bool Start(ViewServiceError* last_error);
 
-  // The calls below need a Start() that succeeded.
+  // The calls below require a successful Start().
 
-  // Hands a fact to the local store, the subscribers and the peers. Returns
-  // at once. An empty source becomes this instance; an `as_of` of zero
-  // becomes now. Dropped (and counted) when the store holds a version at least
-  // as new. Configuration facts leave at once, others in the next batch.
+  // Passes a fact to the local store, the subscribers and the peers without
+  // blocking. An empty source is set to this instance, a zero `as_of` to the
+  // current time. The fact is dropped and counted if the store holds the same
+  // or a newer version. See GossipOptions::batch_interval for when it is sent.
   void Publish(ViewItem item);
 
-  // Calls `subscriber` for each newer fact of the kind, own ones included, on
-  // the actor's thread; it must not block. Facts already held are handed over
-  // first.
+  // Calls `subscriber` for each newer fact of the kind, including those
+  // published by this instance, starting with the facts already held. Called on
+  // the actor's thread, so it must not block.
   void Subscribe(ViewKind kind, Subscriber subscriber);
 
-  // Tells the linked peers that this instance leaves. Returns when the notice
-  // is in the links' queues. Links stay up until destruction.
+  // Notifies the linked peers that this instance is leaving. Returns when the
+  // notice is in the links' queues. Links stay up until Stop().
   void Leave();
 
-  // Closes the links and ends the actor: no subscriber is called after it
-  // returns, and Publish() does nothing. A second call does nothing.
+  // Closes the links and stops the actor: after it returns no subscriber is
+  // called and Publish() has no effect. Further calls have no effect.
   void Stop();
 
-  // Reads the TLS files again; links that are up keep their keys, new ones
-  // use the new files. On failure the old ones stay in use.
+  // Reloads the TLS files for new links; existing links keep their keys. On
+  // failure the previous files stay in use.
   bool ReloadCertificates(ViewServiceError* last_error);
 
-  // All facts held of a kind.
+  // All held facts of a kind.
   std::vector<ViewItem> Snapshot(ViewKind kind) const;
-  // Every known instance, this one included.
+  // All known instances, including this one.
   std::vector<Member> Members() const;
   // {"instance","zone","instances":[{"id","zone","address","peer_port","state",
   // "linked"}],"links":{"up",...},"views":{kind:{"count","newest_age_ms",
-  // "oldest_age_ms"}}} with null ages for a kind of which nothing is held.
+  // "oldest_age_ms"}}} with null ages for a kind without facts.
   std::string InstancesJson() const;
-  // The port listened on; 0 before Start().
+  // The listening port; 0 before Start().
   int port() const noexcept;
 
  private:
--- a/src/process/view_store.cc
+++ b/src/process/view_store.cc
@@ -23,11 +23,11 @@
   return key_hash % kDigestBuckets;
 }
 
-bool InDigest(ViewKind kind) noexcept {
+bool IsInDigest(ViewKind kind) noexcept {
   return kind != ViewKind::kLoad;
 }
 
-// Hash of one fact as it enters its bucket's hash.
+// A fact's contribution to the hash of its bucket.
 std::uint64_t EntryHash(std::uint64_t key_hash,
                         const ViewVersion& version,
                         std::uint64_t body_hash) noexcept {
@@ -77,11 +77,12 @@
   rules[IndexOf(ViewKind::kTarget)] = {{}, 32768, false};
   rules[IndexOf(ViewKind::kQuarantine)] = {hours(24), 8192, true};
   rules[IndexOf(ViewKind::kLoad)] = {seconds(60), 32768, false};
-  // The head and the parts of a whole of the largest size.
+  // Room for the head and all parts of the largest snapshot.
   rules[IndexOf(ViewKind::kConfigHead)] = {{}, 2048, false};
   rules[IndexOf(ViewKind::kConfigDelta)] = {{}, 1024, true};
   rules[IndexOf(ViewKind::kConfigInForce)] = {minutes(15), 4096, true};
-  // Tombstones, which no list renews, are the first to make room.
+  // An evicted row that is still listed is published again with a newer
+  // version; a tombstone is not.
   rules[IndexOf(ViewKind::kListed)] = {{}, 32768, true};
   return rules;
 }
@@ -96,10 +97,10 @@
   Entries& entries = entries_[IndexOf(item.kind)];
   const auto it = entries.find(item.key);
   if (it == entries.end()) {
-    if (BelowFloor(item)) {
+    if (IsSuperseded(item)) {
       return MergeResult::kOlder;
     }
-    if (!MakeRoom(item)) {
+    if (!EvictIfFull(item)) {
       return MergeResult::kFull;
     }
     Insert(item);
@@ -126,7 +127,7 @@
       const auto next = std::next(it);
       const ViewItem& item = it->second.item;
       if (Expired(item, now)) {
-        floors_[{item.kind, item.key}] = {
+        expired_versions_[{item.kind, item.key}] = {
             item.version, now + RulesOf(item.kind).time_to_live};
         Erase(item.kind, it);
         ++dropped;
@@ -134,8 +135,9 @@
       it = next;
     }
   }
-  std::erase_if(floors_,
-                [&](const auto& floor) { return floor.second.until < now; });
+  std::erase_if(expired_versions_, [&](const auto& expired) {
+    return expired.second.remembered_until < now;
+  });
   return dropped;
 }
 
@@ -201,14 +203,15 @@
     return names;
   }
   for (const auto& [key_hash, entry] : buckets_[bucket.bucket]) {
-    const SummaryEntry* theirs = FindEntry(bucket, key_hash);
+    const SummaryEntry* remote = FindEntry(bucket, key_hash);
     const ViewItem& item = entry->item;
-    const bool lacking = theirs == nullptr || theirs->version < item.version;
-    // Equal versions with other bodies: only the receiver's merge can tell
-    // which one wins.
-    const bool differs = !lacking && theirs->version == item.version &&
-                         theirs->body_hash != entry->body_hash;
-    if (lacking || differs) {
+    const bool missing_or_older =
+        remote == nullptr || remote->version < item.version;
+    // Same version with another body: the receiver's merge decides which one
+    // wins.
+    const bool differs = !missing_or_older && remote->version == item.version &&
+                         remote->body_hash != entry->body_hash;
+    if (missing_or_older || differs) {
       names.push_back({item.kind, item.key});
     }
   }
@@ -222,14 +225,14 @@
     return hashes;
   }
   const auto& held = buckets_[bucket.bucket];
-  for (const SummaryEntry& theirs : bucket.entries) {
-    const auto it = held.find(theirs.key_hash);
+  for (const SummaryEntry& remote : bucket.entries) {
+    const auto it = held.find(remote.key_hash);
     const bool newer = it == held.end() ||
-                       it->second->item.version < theirs.version ||
-                       (it->second->item.version == theirs.version &&
-                        it->second->body_hash != theirs.body_hash);
+                       it->second->item.version < remote.version ||
+                       (it->second->item.version == remote.version &&
+                        it->second->body_hash != remote.body_hash);
     if (newer) {
-      hashes.push_back(theirs.key_hash);
+      hashes.push_back(remote.key_hash);
     }
   }
   return hashes;
@@ -257,16 +260,16 @@
   return ttl > base::Duration::zero() && now - item.as_of >= ttl;
 }
 
-bool ViewStore::BelowFloor(const ViewItem& item) const {
-  const ViewVersion& pushed_out = pushed_out_[IndexOf(item.kind)];
-  if (pushed_out != ViewVersion{} && item.version <= pushed_out) {
+bool ViewStore::IsSuperseded(const ViewItem& item) const {
+  const ViewVersion& max_evicted = max_evicted_[IndexOf(item.kind)];
+  if (max_evicted != ViewVersion{} && item.version <= max_evicted) {
     return true;
   }
-  const auto it = floors_.find({item.kind, item.key});
-  return it != floors_.end() && item.version <= it->second.version;
+  const auto it = expired_versions_.find({item.kind, item.key});
+  return it != expired_versions_.end() && item.version <= it->second.version;
 }
 
-bool ViewStore::MakeRoom(const ViewItem& item) {
+bool ViewStore::EvictIfFull(const ViewItem& item) {
   Entries& entries = entries_[IndexOf(item.kind)];
   const ViewKindRules& rules = RulesOf(item.kind);
   if (entries.size() < rules.max_items) {
@@ -281,8 +284,8 @@
   if (item.version <= version) {
     return false;
   }
-  ViewVersion& pushed_out = pushed_out_[IndexOf(item.kind)];
-  pushed_out = std::max(pushed_out, version);
+  ViewVersion& max_evicted = max_evicted_[IndexOf(item.kind)];
+  max_evicted = std::max(max_evicted, version);
   Erase(item.kind, lowest);
   return true;
 }
@@ -300,7 +303,7 @@
 }
 
 void ViewStore::AddToDigest(const Entry& entry) {
-  if (!InDigest(entry.item.kind)) {
+  if (!IsInDigest(entry.item.kind)) {
     return;
   }
   const std::size_t bucket = BucketOf(entry.key_hash);
@@ -310,7 +313,7 @@
 }
 
 void ViewStore::RemoveFromDigest(const Entry& entry) {
-  if (!InDigest(entry.item.kind)) {
+  if (!IsInDigest(entry.item.kind)) {
     return;
   }
   const std::size_t bucket = BucketOf(entry.key_hash);
--- a/src/process/view_store.h
+++ b/src/process/view_store.h
@@ -1,11 +1,9 @@
-// The facts that this instance holds: the newest version of each, never an
-// older one.
+// In-memory store of the newest version of each fact; does no I/O.
 //
-// Pure: time comes in through the clock, nothing is sent. Two stores compare
-// themselves by a digest (one hash for each of kDigestBuckets buckets of
-// keys), then by a summary of the buckets that differ, and exchange only the
-// facts that one of them lacks. Load reports are left out of that: they are
-// passed on by whoever made them and are soon replaced.
+// Two stores are reconciled by comparing digests (one hash for each of
+// kDigestBuckets buckets of keys), then summaries of the buckets that differ,
+// and by exchanging only the facts that one of them lacks. Load reports are not
+// part of the digest, because their source replaces them frequently.
 #ifndef LYNXGLADE_PROCESS_VIEW_STORE_H_
 #define LYNXGLADE_PROCESS_VIEW_STORE_H_
 
@@ -28,42 +26,42 @@
 // Kinds are numbered from 1.
 inline constexpr std::size_t kViewKinds = 9;
 
-// "instance", "target", ... as counters and operators see it.
+// "instance", "target", ...; used in metrics and the administration API.
 std::string_view ToString(ViewKind kind) noexcept;
 
-// How facts of one kind are kept.
+// Retention of the facts of one kind.
 struct ViewKindRules {
-  // Facts older than this are dropped; zero keeps them for good.
+  // Older facts are dropped; zero means no expiry.
   base::Duration time_to_live{};
   std::size_t max_items = 0;
-  // When full, whether the item of the lowest version makes room; otherwise
-  // further keys are refused.
+  // When full, whether to evict the fact with the lowest version. Otherwise new
+  // keys are rejected.
   bool evict_lowest_version = false;
 };
 
 using ViewRules = std::array<ViewKindRules, kViewKinds>;
-// What the daemon uses; the reasons are in the design note.
+// The rules that the daemon uses.
 ViewRules DefaultViewRules();
 
 enum class MergeResult {
-  // Taken; it was newer than what was held.
+  // Stored: the key was absent or had an older version.
   kNewer,
-  // Held already.
+  // The same version and body are held already.
   kKnown,
-  // A newer version is held, or was before it expired.
+  // A newer version is held, or the version is not newer than one that expired
+  // or was evicted.
   kOlder,
   kExpired,
   kFull,
 };
 
-// Names a held fact.
 struct ViewName {
   ViewKind kind = ViewKind::kInstance;
   std::string key;
   auto operator<=>(const ViewName&) const = default;
 };
 
-// When the facts of a kind were made.
+// Creation times of the newest and the oldest fact of a kind.
 struct ViewAges {
   base::Time newest{};
   base::Time oldest{};
@@ -76,29 +74,30 @@
   ViewStore(const ViewStore&) = delete;
   ViewStore& operator=(const ViewStore&) = delete;
 
-  // Takes the fact if it is newer. Of two bodies under the same version the
-  // greater one wins, so that all stores end with the same.
+  // Stores the fact if it is newer. Of two bodies with the same version the
+  // greater one wins, so that all stores converge.
   MergeResult Merge(const ViewItem& item);
-  // Drops what has outlived its kind's time; returns how many.
+  // Drops expired facts; returns how many.
   std::size_t Expire();
 
   // Null when not held. Valid until the next Merge or Expire.
   const ViewItem* Find(const ViewName& name) const;
-  // In the order of keys.
+  // All facts of a kind, ordered by key.
   std::vector<ViewItem> Snapshot(ViewKind kind) const;
   std::size_t count(ViewKind kind) const noexcept;
-  // Nothing when no fact of the kind is held.
+  // Empty when no fact of the kind is held.
   std::optional<ViewAges> Ages(ViewKind kind) const;
 
   DigestMessage Digest() const;
-  // Buckets in which `other` differs from this store, in full.
+  // Full content of the buckets whose hash differs from that in `other`.
   std::vector<SummaryBucket> SummaryOfDifferences(
       const DigestMessage& other) const;
-  // Held facts that the sender of `bucket` lacks or has older.
+  // Held facts that the sender of `bucket` lacks or holds in an older version.
   std::vector<ViewName> ItemsNewerThan(const SummaryBucket& bucket) const;
-  // Key hashes of facts that the sender of `bucket` has newer.
+  // Key hashes of facts that this store lacks or holds in an older version than
+  // the sender of `bucket`.
   std::vector<std::uint64_t> ItemsOlderThan(const SummaryBucket& bucket) const;
-  // Names of held facts by their hashes; unknown ones are passed over.
+  // Names of the held facts with these key hashes; unknown hashes are skipped.
   std::vector<ViewName> Resolve(
       const std::vector<std::uint64_t>& key_hashes) const;
 
@@ -108,18 +107,18 @@
     std::uint64_t key_hash = 0;
     std::uint64_t body_hash = 0;
   };
-  // What was held before it expired; keeps late copies out.
-  struct Floor {
+  // Version of an expired fact; rejects late copies of it.
+  struct ExpiredVersion {
     ViewVersion version;
-    base::Time until{};
+    base::Time remembered_until{};
   };
-  // One kind's facts by key.
+  // The facts of one kind by key.
   using Entries = std::map<std::string, Entry>;
 
   const ViewKindRules& RulesOf(ViewKind kind) const;
   bool Expired(const ViewItem& item, base::Time now) const;
-  bool BelowFloor(const ViewItem& item) const;
-  bool MakeRoom(const ViewItem& item);
+  bool IsSuperseded(const ViewItem& item) const;
+  bool EvictIfFull(const ViewItem& item);
   void Insert(const ViewItem& item);
   void Erase(ViewKind kind, Entries::iterator it);
   void AddToDigest(const Entry& entry);
@@ -128,11 +127,11 @@
   const ViewRules rules_;
   const base::Clock clock_;
   std::array<Entries, kViewKinds> entries_;
-  std::map<ViewName, Floor> floors_;
-  // Greatest version that was pushed out of a full kind.
-  std::array<ViewVersion, kViewKinds> pushed_out_{};
+  std::map<ViewName, ExpiredVersion> expired_versions_;
+  // Greatest version evicted from each kind.
+  std::array<ViewVersion, kViewKinds> max_evicted_{};
   std::array<std::uint64_t, kDigestBuckets> bucket_hashes_{};
-  // Facts of each bucket by key hash; they point into entries_.
+  // Facts of each bucket by key hash; the pointers refer to entries_.
   std::array<std::map<std::uint64_t, const Entry*>, kDigestBuckets> buckets_;
 };
 
--- a/tests/process/view_service_test.cc
+++ b/tests/process/view_service_test.cc
@@ -1,4 +1,4 @@
-// Whole view services over real links on loopback.
+// View services connected by real links on loopback.
 #include "process/view_service.h"
 
 #include <algorithm>
@@ -21,10 +21,10 @@
 namespace lynxglade::process {
 namespace {
 
-// Far longer than any step takes; only a real fault waits it out.
-constexpr std::chrono::seconds kPatience{30};
+// Generous, so that only a real fault runs into it.
+constexpr std::chrono::seconds kTimeout{30};
 
-// The rows that all instances of a test see.
+// The instance list shared by all instances of a test.
 class RowList {
  public:
   void Add(const InstanceRow& row) {
@@ -41,7 +41,7 @@
   std::vector<InstanceRow> rows_;
 };
 
-// One instance and what its subscribers were told.
+// One instance and the facts that its subscribers received.
 class Node {
  public:
   Node(caf::actor_system& system,
@@ -59,7 +59,7 @@
                service_.port(), false});
     for (const ViewKind kind : {ViewKind::kInstance, ViewKind::kConfigDelta,
                                 ViewKind::kTarget, ViewKind::kLoad}) {
-      service_.Subscribe(kind, [this](const ViewItem& item) { Note(item); });
+      service_.Subscribe(kind, [this](const ViewItem& item) { OnItem(item); });
     }
   }
 
@@ -67,8 +67,8 @@
 
   bool WaitFor(const std::function<bool(const ViewItem&)>& match) {
     std::unique_lock lock(mutex_);
-    return changed_.wait_for(lock, kPatience,
-                             [&] { return std::ranges::any_of(seen_, match); });
+    return changed_.wait_for(
+        lock, kTimeout, [&] { return std::ranges::any_of(received_, match); });
   }
 
   bool WaitForState(const std::string& id, MemberState state) {
@@ -79,15 +79,15 @@
   }
 
  private:
-  void Note(const ViewItem& item) {
+  void OnItem(const ViewItem& item) {
     const std::lock_guard lock(mutex_);
-    seen_.push_back(item);
+    received_.push_back(item);
     changed_.notify_all();
   }
 
   std::mutex mutex_;
   std::condition_variable changed_;
-  std::vector<ViewItem> seen_;
+  std::vector<ViewItem> received_;
   base::Metrics metrics_;
   ViewService service_;
 };
@@ -124,7 +124,7 @@
       return item.kind == ViewKind::kConfigDelta && item.key == "17";
     }));
   }
-  // One that joins later hears what was said before.
+  // An instance that joins later receives earlier facts.
   Node& late = Add("late", "scl-a");
   EXPECT_TRUE(late.WaitFor([](const ViewItem& item) {
     return item.kind == ViewKind::kConfigDelta && item.key == "17" &&
@@ -149,7 +149,7 @@
   EXPECT_GE(json["views"]["instance"]["count"], 3);
 }
 
-TEST_F(ViewServiceTest, AnInstanceThatVanishesIsSuspectedByAll) {
+TEST_F(ViewServiceTest, VanishedInstanceBecomesSuspectEverywhere) {
   Add("a", "scl-a");
   Add("b", "scl-a");
   Add("c", "scl-a");
--- a/tests/process/view_store_test.cc
+++ b/tests/process/view_store_test.cc
@@ -27,7 +27,7 @@
   ViewStore store_{DefaultViewRules(), [this] { return now_; }};
 };
 
-TEST_F(ViewStoreTest, OnlyNewerVersionsAreTaken) {
+TEST_F(ViewStoreTest, MergesOnlyNewerVersions) {
   EXPECT_EQ(store_.Merge(Item(ViewKind::kTarget, "t", 2)), MergeResult::kNewer);
   EXPECT_EQ(store_.Merge(Item(ViewKind::kTarget, "t", 2)), MergeResult::kKnown);
   EXPECT_EQ(store_.Merge(Item(ViewKind::kTarget, "t", 1)), MergeResult::kOlder);
@@ -35,7 +35,7 @@
   EXPECT_EQ(store_.Find({ViewKind::kTarget, "t"})->version.epoch, 3u);
 }
 
-TEST_F(ViewStoreTest, EqualVersionsEndAlikeInWhateverOrder) {
+TEST_F(ViewStoreTest, EqualVersionsConvergeInAnyOrder) {
   ViewStore other(DefaultViewRules(), [this] { return now_; });
   store_.Merge(Item(ViewKind::kTarget, "t", 1, "one"));
   store_.Merge(Item(ViewKind::kTarget, "t", 1, "two"));
@@ -46,13 +46,13 @@
   EXPECT_EQ(store_.Digest().buckets, other.Digest().buckets);
 }
 
-TEST_F(ViewStoreTest, WhatExpiredDoesNotComeBackByALateCopy) {
+TEST_F(ViewStoreTest, LateCopyOfExpiredFactIsRejected) {
   const ViewItem old = Item(ViewKind::kInstance, "i", 1);
   store_.Merge(old);
   now_ += minutes(16);
   EXPECT_EQ(store_.Merge(old), MergeResult::kExpired);
   EXPECT_EQ(store_.Expire(), 1u);
-  // A copy whose age was understated by a slow network.
+  // A late copy with an understated age.
   ViewItem late = old;
   late.as_of = now_;
   EXPECT_EQ(store_.Merge(late), MergeResult::kOlder);
@@ -60,7 +60,7 @@
   EXPECT_EQ(store_.Merge(late), MergeResult::kNewer);
 }
 
-TEST_F(ViewStoreTest, AFullKindKeepsTheHighestVersionsOrRefuses) {
+TEST_F(ViewStoreTest, FullKindKeepsHighestVersionsOrRejects) {
   ViewRules rules = DefaultViewRules();
   rules[static_cast<std::size_t>(ViewKind::kConfigDelta)].max_items = 2;
   rules[static_cast<std::size_t>(ViewKind::kTarget)].max_items = 1;
@@ -77,7 +77,7 @@
   EXPECT_EQ(store.Merge(Item(ViewKind::kTarget, "b", 1)), MergeResult::kFull);
 }
 
-// One exchange of digest, summary and facts from `from` to `to`.
+// Brings `to` up to date with `from` by digest, summary and facts.
 void Synchronise(const ViewStore& from, ViewStore* to) {
   for (const SummaryBucket& bucket : to->SummaryOfDifferences(from.Digest())) {
     for (const ViewName& name : from.ItemsNewerThan(bucket)) {
@@ -86,7 +86,7 @@
   }
 }
 
-RC_GTEST_PROP(ViewStoreProperty, AnExchangeEachWayMakesTwoStoresEqual, ()) {
+RC_GTEST_PROP(ViewStoreProperty, ExchangeInBothDirectionsMakesStoresEqual, ()) {
   const base::Time now{hours(1)};
   const auto clock = [now] { return now; };
   ViewStore a(DefaultViewRules(), clock);
