--- a/src/process/call_pool.h
+++ b/src/process/call_pool.h
@@ -1,4 +1,4 @@
-// A few threads for calls that block, so that actors need not.
+// Thread pool for blocking calls, so that actors don't block.
 #ifndef LYNXGLADE_PROCESS_CALL_POOL_H_
 #define LYNXGLADE_PROCESS_CALL_POOL_H_
 
@@ -11,12 +11,12 @@
 
 namespace lynxglade::process {
 
-// Runs calls in the order in which they came. Thread-safe. The owner bounds
-// how many calls are waiting.
+// Starts calls in the order of Run(). Thread-safe. The queue is not bounded;
+// the owner has to limit the number of calls waiting.
 class CallPool {
  public:
   explicit CallPool(int threads);
-  // Runs what is queued, then ends the threads.
+  // Runs the queued calls, then ends the threads.
   ~CallPool();
   CallPool(const CallPool&) = delete;
   CallPool& operator=(const CallPool&) = delete;
--- a/src/process/change_permits.cc
+++ b/src/process/change_permits.cc
@@ -25,7 +25,7 @@
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-// A value that can't be read still takes its slot; it names no engine.
+// A value that can't be parsed still occupies its slot; it names no engine.
 Permit DecodePermit(const connection::KvEntry& entry) {
   Permit permit;
   permit.key = entry.key;
@@ -102,7 +102,7 @@
   if (!result || result->committed) {
     return result.has_value();
   }
-  // Gone already, by an earlier call whose answer was lost?
+  // It may have been released by an earlier call whose answer was lost.
   return std::ranges::none_of(result->found, [&](const auto& entry) {
     return entry.key == permit.key && entry.mod_revision == permit.mod_revision;
   });
--- a/src/process/change_permits.h
+++ b/src/process/change_permits.h
@@ -1,10 +1,11 @@
-// The right to have an engine of a service out for a change.
+// Permits to take an engine of a service out of service for a change.
 //
-// A service has as many permits as engines of it may be out at once, over all
-// zones; each is a key in the key-value service that names the engine. A
-// permit outlives its taker: the engine is still out when its holder dies, and
-// the successor finds the permit by the engine's id. An engine that failed to
-// change keeps its permit, which halts the roll-out of a bad version.
+// A service has as many permits as engines that may be out of service at once,
+// over all zones. Each is a key in the key-value service that names the engine.
+// A permit is not attached to a lease: when its holder fails, the engine is
+// still out of service and the next holder finds the permit by the engine's id.
+// An engine that failed to change keeps its permit, which stops the roll-out of
+// a bad version.
 #ifndef LYNXGLADE_PROCESS_CHANGE_PERMITS_H_
 #define LYNXGLADE_PROCESS_CHANGE_PERMITS_H_
 
@@ -27,33 +28,33 @@
   base::ZoneId zone;
 };
 
-// What must hold for the taker's authority.
+// The lease key, and the revision that it must have for a permit to change.
 struct LeaseGuard {
   std::string key;
   base::FencingToken fence;
 };
 
-// All permits of the fleet. Blocks.
+// All permits of the fleet; empty on an error. Blocks.
 std::optional<std::vector<Permit>> ListPermits(const OrderStore& store,
                                                connection::KvError* last_error);
 
 enum class PermitResult {
   kTaken,
-  // All are taken by other engines.
+  // Other engines hold all permits.
   kNoneFree,
-  // Not known, or the service gave no answer: list again.
+  // The outcome is unknown or the call failed: list the permits again.
   kUnknown,
 };
 
-// Takes a free permit of `permit.service` for `permit.target`; fills in key
-// and revision. An engine never gets a second one. Blocks.
+// Takes a free permit of `permit.service` for `permit.target` and sets key and
+// revision. If the engine has a permit already, returns that one. Blocks.
 PermitResult TakePermit(const OrderStore& store,
                         const LeaseGuard& guard,
                         int max_unavailable,
                         Permit* permit);
 
-// Gives it back. False: not known, so the call may still take effect; repeat it
-// before the permit is relied on again. Blocks.
+// Releases a permit. False means that the outcome is unknown and the call may
+// still take effect: repeat it before relying on the permit again. Blocks.
 bool ReleasePermit(const OrderStore& store,
                    const LeaseGuard& guard,
                    const Permit& permit);
--- a/src/process/control_system.cc
+++ b/src/process/control_system.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The library's own settings are kept out of flags and files.
+// Sets CAF options in code; flags and configuration files are not read.
 struct Config : caf::actor_system_config {
   explicit Config(int threads) {
     set("scheduler.policy", caf::atom("sharing"));
--- a/src/process/control_system.h
+++ b/src/process/control_system.h
@@ -11,10 +11,11 @@
 
 namespace lynxglade::process {
 
-// Owns one actor system with a few workers and the "sharing" scheduler: idle
-// workers sleep, where the default policy polls. Actors on it must not block.
-// One a process, made before and destroyed after everything that spawns on
-// it; destruction waits for all actors to end.
+// Owns the actor system. It uses the "sharing" scheduler, whose idle workers
+// sleep; those of the default policy poll. Actors must not block.
+//
+// Create one per process before everything that spawns actors on it and destroy
+// it after; the destructor waits for all actors to end.
 class ControlSystem {
  public:
   explicit ControlSystem(int threads = 2);
--- a/src/process/demand_estimator.cc
+++ b/src/process/demand_estimator.cc
@@ -35,8 +35,8 @@
   }
   const double error = rate - At(base::Duration::zero()).mean;
   observed_ += over;
-  // While young, the averages weigh all samples alike instead of clinging to
-  // the first one.
+  // Until a window has passed, all samples have about equal weight, so that the
+  // first one does not dominate.
   const double age = Seconds(observed_);
   const auto step = [&](double window) {
     return 1 - std::exp(-dt / std::min(window, age));
@@ -68,7 +68,7 @@
       noise_ *
       (1 / (2 * fast_s_) + 1 / (2 * slow_s_) - 2 / (fast_s_ + slow_s_)) /
       Square(lag);
-  // A trend that noise alone could have made is shrunk, down to nothing.
+  // Shrinks the trend by its variance; 0 if noise alone can explain it.
   const double square = Square(trend);
   return square <= variance ? 0 : trend * (1 - variance / square);
 }
--- a/src/process/demand_estimator.h
+++ b/src/process/demand_estimator.h
@@ -1,8 +1,8 @@
-// Where a rate stands and where it goes, with how far that can be trusted.
+// Estimates a rate, its trend and the uncertainty of both.
 //
-// Two exponential averages, a fast and a slow one. On a ramp the slow one lags
-// behind the fast one by a known time, so that their difference gives the
-// trend; the noise of the samples gives the variance of both.
+// Uses a fast and a slow exponential average. On a ramp the slow average lags
+// behind the fast one by a known time, so their difference gives the trend. The
+// noise of the samples gives the variance of both.
 #ifndef LYNXGLADE_PROCESS_DEMAND_ESTIMATOR_H_
 #define LYNXGLADE_PROCESS_DEMAND_ESTIMATOR_H_
 
@@ -19,18 +19,19 @@
 // Not thread-safe.
 class DemandEstimator {
  public:
-  // Time constants of the averages; `fast` must be less than `slow`. A trend
-  // is taken to last for about `trend_life`.
+  // Time constants of the averages; `fast` must be less than `slow`. A trend is
+  // assumed to decay with the time constant `trend_life`.
   DemandEstimator(base::Duration fast,
                   base::Duration slow,
                   base::Duration trend_life);
 
-  // Takes the mean rate over the last `over`, which must be positive.
+  // Adds the mean rate over the last `over`, which must be positive.
   void Add(double rate, base::Duration over) noexcept;
 
-  // The rate `ahead` from now; 0 with no deviation before the first sample.
+  // Estimated rate at `ahead` from now; 0 with deviation 0 before the first
+  // sample.
   Estimate At(base::Duration ahead) const noexcept;
-  // Time over which samples were taken.
+  // Total duration of the samples.
   base::Duration observed() const noexcept { return observed_; }
 
  private:
@@ -42,7 +43,7 @@
   base::Duration observed_{};
   double fast_mean_ = 0;
   double slow_mean_ = 0;
-  // Variance of a sample's error times its length.
+  // Variance of a sample's error times the sample's duration.
   double noise_ = 0;
 };
 
--- a/src/process/desired_state.cc
+++ b/src/process/desired_state.cc
@@ -12,7 +12,8 @@
 
 using connection::EngineTargetState;
 
-// Keeps 0.1 + 0.2 shares of 10 engines from rounding up to 4.
+// Absorbs rounding errors: a share of 0.1 + 0.2 of 10 engines must not round up
+// to 4.
 constexpr double kShareSlack = 1e-9;
 
 struct ModelKey {
@@ -21,7 +22,7 @@
   auto operator<=>(const ModelKey&) const = default;
 };
 
-// A model of a service with all adapters that its contracts want.
+// A model of a service with all adapters that contracts request for it.
 struct ModelGroup {
   ModelKey key;
   std::set<std::string> adapters;
@@ -63,7 +64,7 @@
       [](int sum, const ModelGroup& g) { return sum + g.quota; });
 }
 
-// Takes an engine from the model with most for each model that got none.
+// Gives each model without an engine one from the model that has the most.
 void GiveEachOne(std::vector<ModelGroup>* groups) {
   for (ModelGroup& group : *groups) {
     const auto largest =
@@ -75,7 +76,7 @@
   }
 }
 
-// Largest remainders, then at least one each.
+// Largest-remainder method, then at least one engine per model if possible.
 void SetQuotas(int engines, std::vector<ModelGroup>* groups) {
   const double total = TotalShare(*groups);
   for (ModelGroup& group : *groups) {
@@ -119,7 +120,7 @@
     --group.quota;
     desired->emplace(engine->id, Combine(*engine, group, inputs));
   };
-  // Whoever runs a wanted model keeps it.
+  // An engine that runs a requested model keeps it, up to the model's quota.
   std::erase_if(engines, [&](const EngineContent* engine) {
     const ModelKey key{engine->current.model, engine->current.version};
     const auto group = std::ranges::find(groups, key, &ModelGroup::key);
@@ -146,7 +147,7 @@
   DesiredMap desired;
   for (const EngineContent& engine : engines) {
     if (engine.leaving) {
-      // It goes as it is; only new work has to stop.
+      // A leaving engine is only drained.
       desired.emplace(engine.id, engine.current).first->second.draining = true;
     } else {
       by_service[engine.service].push_back(&engine);
@@ -159,7 +160,7 @@
       AssignService(std::move(members), std::move(groups), inputs, &desired);
       continue;
     }
-    // No model is intended: roles and drains still count.
+    // No model is requested: roles and drains still apply.
     for (const EngineContent* engine : members) {
       ModelGroup as_is;
       as_is.key = {engine->current.model, engine->current.version};
--- a/src/process/desired_state.h
+++ b/src/process/desired_state.h
@@ -1,5 +1,5 @@
-// What each engine of a shard is to be, from the configuration, the planner's
-// wishes and the operators' drains. Pure functions.
+// Derives the desired state of each engine of a shard from the configuration,
+// the planner's requested roles and the operators' drains. Pure functions.
 #ifndef LYNXGLADE_PROCESS_DESIRED_STATE_H_
 #define LYNXGLADE_PROCESS_DESIRED_STATE_H_
 
@@ -15,12 +15,12 @@
 
 namespace lynxglade::process {
 
-// One engine as far as it is known.
+// Input about one engine.
 struct EngineContent {
   base::TargetId id;
   base::ServiceName service;
   bool leaving = false;
-  // What it is, or is being changed to.
+  // State that the engine is in or is changing to.
   connection::EngineTargetState current;
 };
 
@@ -30,19 +30,19 @@
   const std::set<base::TargetId>* drains = nullptr;
 };
 
-// Desired states of a shard's engines. Each service's engines are shared out
-// to its models in proportion to the contracts' shares, every model getting at
-// least one while there are enough; engines that already run a wanted model
-// keep it, so nothing moves without need. Engines of a service for which no
-// model is intended keep what they run; roles and drains still apply. The
-// result depends only on the inputs, so a successor comes to the same.
+// Desired states of a shard's engines. The engines of a service are assigned to
+// its models in proportion to the contracts' shares; each model gets at least
+// one engine if there are enough. Engines that already run a requested model
+// keep it, to avoid needless changes. Engines of a service without requested
+// models keep what they run; roles and drains still apply. The result depends
+// only on the inputs, so the next holder computes the same.
 std::map<base::TargetId, connection::EngineTargetState> DesiredStates(
     const std::vector<EngineContent>& engines,
     const DesiredInputs& inputs);
 
-// Engines of a service that must stay in service: the contracts' shares of
-// `fleet_size`, rounded up, but never so many that `max_unavailable` could not
-// be out.
+// Number of engines of a service that must stay in service: the contracts'
+// shares of `fleet_size`, rounded up, but at most `fleet_size` -
+// `max_unavailable`.
 int CapacityFloor(const version::Configuration& configuration,
                   const base::ServiceName& service,
                   int fleet_size,
--- a/src/process/drain_marks.h
+++ b/src/process/drain_marks.h
@@ -1,4 +1,4 @@
-// Operators' drains, kept in the key-value service.
+// Sets and removes operators' drains of targets in the key-value service.
 #ifndef LYNXGLADE_PROCESS_DRAIN_MARKS_H_
 #define LYNXGLADE_PROCESS_DRAIN_MARKS_H_
 
@@ -12,18 +12,17 @@
 
 enum class DrainResult {
   kDone,
-  // It was so before.
+  // The target was already in the requested state.
   kUnchanged,
-  // Another operator's call came between; repeat.
+  // A concurrent call changed the drain; repeat the call.
   kConflict,
-  // The service gave no answer; nothing was changed.
+  // The key-value service is unavailable; nothing was changed.
   kUnavailable,
-  // The service gave no answer, and the outcome is not known; repeating is
-  // harmless.
+  // The outcome is unknown; the call can be repeated safely.
   kUnknown,
 };
 
-// Sets or lifts the drain of a target. Blocks.
+// Sets or removes the drain of a target. Blocks.
 DrainResult SetDrain(const OrderStore& store,
                      const base::TargetId& target,
                      const std::string& mark);
--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -14,7 +14,7 @@
 using connection::KvError;
 using request::TargetState;
 
-// Between two tries for a permit when other engines have them all.
+// Retry interval when no permit could be taken.
 constexpr base::Duration kPermitRetry = std::chrono::seconds(2);
 
 }  // namespace
@@ -74,7 +74,7 @@
   }
 }
 
-// --- What is known ----------------------------------------------------------
+// --- State -------------------------------------------------------------------
 
 void EngineDriver::SetRow(EngineRow row) {
   if (row.endpoint.address != row_.endpoint.address ||
@@ -186,7 +186,7 @@
   const bool still = decision.step == OrderStep::kWait &&
                      decision_.step == OrderStep::kWait &&
                      decision.reason == decision_.reason;
-  // Reading back in the middle of a wait doesn't end it.
+  // A read-back during a wait doesn't restart the wait.
   if (decision.step == OrderStep::kReadBack) {
     return;
   }
@@ -265,7 +265,7 @@
 }
 
 void EngineDriver::CommitPending() {
-  // Repeats the write that is pending.
+  // The arguments are not used while a write is pending.
   Run(context_.run_store,
       [this, store = context_.store,
        commit = journal_.Write({}, {}, {})]() -> Completion {
@@ -296,7 +296,7 @@
       return;
     case JournalWriteResult::kReadBack:
     case JournalWriteResult::kRetry:
-      // The next tick goes on, so that a service in trouble is not pressed.
+      // Retried at the next tick, to limit the load on a failing service.
       return;
     case JournalWriteResult::kLeaseLost:
       context_.lease->OnGuardFailed(context_.clock());
@@ -322,7 +322,8 @@
   if (decision.loads_weights) {
     context_.pacer->Take(now);
   }
-  // The deadline is copied: it only ever moves later while the lease is held.
+  // A copy is safe on another thread: the deadline only moves later while the
+  // lease is held.
   const base::Time deadline = context_.lease->OrderDeadline();
   Run(context_.run_engine,
       [this, admin = context_.admin, endpoint = row_.endpoint, order, deadline,
--- a/src/process/engine_driver.h
+++ b/src/process/engine_driver.h
@@ -1,8 +1,8 @@
-// Takes the steps that Decide() names for one engine.
+// Executes the steps that Decide() returns for one engine.
 //
-// Runs on its owner's single thread; blocking calls go through
-// ShardContext::run and come back on the same thread. At most one is under
-// way for an engine.
+// Runs on its owner's thread. Blocking calls go through the runners in
+// ShardContext and complete on the same thread; at most one call per engine is
+// in flight.
 #ifndef LYNXGLADE_PROCESS_ENGINE_DRIVER_H_
 #define LYNXGLADE_PROCESS_ENGINE_DRIVER_H_
 
@@ -27,7 +27,7 @@
 
 namespace lynxglade::process {
 
-// What the engines of a shard share. Outlives its drivers.
+// State shared by the engines of a shard. Must outlive its drivers.
 struct ShardContext {
   OrderSettings settings;
   base::InstanceId instance;
@@ -36,19 +36,20 @@
   base::RandomSource random;
   std::shared_ptr<const OrderStore> store;
   std::shared_ptr<const connection::EngineAdmin> admin;
-  // Calls to the key-value service and to engines, apart, so that an engine
-  // that does not answer never holds up a renewal of the lease.
+  // Separate runners for the key-value service and for engines, so that an
+  // engine that does not answer can't delay a lease renewal.
   CallRunner run_store;
   CallRunner run_engine;
   LeaseKeeper* lease = nullptr;
   LoadPacer* pacer = nullptr;
   base::Metrics* metrics = nullptr;
-  // Until then orders of earlier holders may still arrive.
+  // Orders of earlier holders may still arrive before this time.
   base::Time quiet_until{};
-  // Counts starts and ends of permit calls; a list of permits that was read
-  // across one is worth nothing.
+  // Number of starts and ends of permit calls. If it changed while the permits
+  // were listed, the list may be stale and is discarded.
   std::uint64_t permit_calls = 0;
-  // Set when the outcome of a permit call is not known.
+  // Set when the permits have to be listed again, for example because the
+  // outcome of a permit call is unknown.
   bool permits_unknown = true;
 };
 
@@ -59,9 +60,9 @@
   EngineDriver(const EngineDriver&) = delete;
   EngineDriver& operator=(const EngineDriver&) = delete;
 
-  // Takes the next step, unless one is under way.
+  // Takes the next step unless a call is in flight.
   void Step();
-  // Takes no step from now on; what is under way ends.
+  // Takes no further steps; a call in flight still completes.
   void Retire() noexcept { retired_ = true; }
 
   void SetRow(EngineRow row);
@@ -72,14 +73,15 @@
   bool busy() const noexcept { return busy_; }
   const EngineRow& row() const noexcept { return row_; }
   bool permit_held() const noexcept { return permit_.has_value(); }
-  // Something is known of the engine, or that it can't be reached.
+  // Whether the journal is loaded and the engine was read or found unreachable.
   bool examined() const noexcept;
-  // What it is, or is being changed to; nothing when not known.
+  // State that the engine is in or is changing to; empty if unknown.
   std::optional<connection::EngineTargetState> Content() const;
-  // It takes new work, by its own last word.
+  // Whether the engine accepted new work at its last read-back and is
+  // reachable.
   bool Serving() const;
   EngineStatus Status() const;
-  // It waits longer than operators should have to.
+  // Whether it has waited longer than OrderSettings::overdue_after.
   bool Overdue() const;
 
  private:
@@ -102,7 +104,7 @@
   void ClaimPermit(base::FencingToken fence);
   void GiveBackPermit(base::FencingToken fence);
 
-  // Runs `call`; its completion runs after the driver is free again.
+  // Runs `call`; busy() is false again when its completion runs.
   void Run(const CallRunner& runner, BlockingCall call);
   void CountChange(const connection::EngineTargetState& target) const;
   void Count(const char* result) const;
@@ -111,19 +113,19 @@
   EngineRow row_;
   OrderJournal journal_;
   bool journal_unreadable_ = false;
-  // An earlier holder's order was found in the journal.
+  // The journal had a record when it was loaded.
   bool inherited_ = false;
-  // A write's answer was lost: read the record before writing again.
+  // A write was not answered; the record has to be read before the next write.
   bool journal_read_needed_ = false;
   std::optional<EngineEvidence> evidence_;
   std::optional<base::Time> unreachable_since_;
   base::Time last_read_attempt_{};
   std::optional<SentOrder> sent_;
-  // A copy of an order without an answer may arrive until then.
+  // An order that was not answered may still arrive before this time.
   base::Time unanswered_until_{};
   std::optional<connection::EngineTargetState> desired_;
   std::optional<Permit> permit_;
-  // A call that gives it back may still take effect.
+  // A release of the permit was not confirmed and may still take effect.
   bool permit_leaving_ = false;
   base::Time permit_retry_{};
   bool capacity_allows_ = false;
--- a/src/process/fleet_status.h
+++ b/src/process/fleet_status.h
@@ -1,5 +1,5 @@
-// What operators see of the orders: intended, ordered, observed, and why
-// nothing moves.
+// Status of engines and shards for operators: intended, ordered and observed
+// state, and why an engine is waiting.
 #ifndef LYNXGLADE_PROCESS_FLEET_STATUS_H_
 #define LYNXGLADE_PROCESS_FLEET_STATUS_H_
 
@@ -33,9 +33,9 @@
   OrderStep step = OrderStep::kWait;
   WaitReason reason = WaitReason::kNone;
   base::Time waiting_since{};
-  // It waits longer than operators should have to.
+  // It has waited longer than OrderSettings::overdue_after.
   bool overdue = false;
-  // Key of the permit it holds; empty when none.
+  // Key of the permit that it holds; empty if none.
   std::string permit;
 };
 
@@ -44,8 +44,8 @@
   int shard = 0;
   LeaseState state = LeaseState::kNone;
   std::optional<LeaseHolder> holder;
-  // Own lease only: when it lapses if not renewed, and until when orders may
-  // leave.
+  // Valid for an own lease only: when it expires without a renewal, and until
+  // when orders may be sent.
   base::Time expiry{};
   base::Time order_deadline{};
   std::vector<EngineStatus> engines;
--- a/src/process/lease_keeper.cc
+++ b/src/process/lease_keeper.cc
@@ -12,11 +12,11 @@
 using Json = nlohmann::json;
 using connection::KvError;
 
-// Renewals a time to live; several may fail before the margin begins.
+// Renewals per TTL; several may fail before the order deadline.
 constexpr int kRenewalsPerTtl = 6;
-// Looks a time to live at a lease that another instance holds.
+// Reads of the key per TTL while another instance holds it.
 constexpr int kLooksPerTtl = 6;
-// A lease of the service that cannot be given back lapses by itself.
+// A lease that can't be revoked expires by its TTL.
 constexpr int kMaxRevokeAttempts = 2;
 
 std::string EncodeLease(const base::InstanceId& holder,
@@ -77,7 +77,8 @@
 
 std::optional<LeaseCall> LeaseKeeper::NextRenewal(base::Time now) {
   if (now >= expiry_) {
-    // The service may still have it, but this process can't know: once more.
+    // The lease may still exist on the service, but that is unknown until a
+    // renewal is answered.
     state_ = LeaseState::kUncertain;
   }
   if (now < next_call_) {
@@ -124,7 +125,8 @@
   if (range->entries.empty()) {
     holder_.reset();
     if (claim_unknown_) {
-      // The create may yet arrive; without its lease it can't take effect.
+      // The create may still arrive; revoking its lease keeps it from taking
+      // effect.
       Abandon(now, base::Duration::zero());
     } else if (!releasing_) {
       state_ = LeaseState::kAcquiring;
@@ -146,12 +148,13 @@
                           KvError error) {
   calling_ = false;
   if (!lease || error != KvError::kNone) {
-    // A lease that was granted without our hearing of it lapses unused.
+    // If the grant took effect without an answer, that lease expires unused.
     Abandon(now, settings_.ttl / kLooksPerTtl);
     return;
   }
   lease_ = *lease;
-  // The service counts from when it got the call, which is not before this.
+  // The service starts the TTL when it receives the call, which is never before
+  // the call was sent.
   granted_until_ = call_sent_ + settings_.ttl;
   next_call_ = now;
 }
@@ -182,15 +185,16 @@
                               KvError error) {
   calling_ = false;
   if (left && *left <= base::Duration::zero()) {
-    // Nothing is left to give back.
+    // The lease has expired on the service, so there is nothing to revoke.
     lease_ = connection::KvLeaseId(0);
     Lose(now);
     return;
   }
   if (left && error == KvError::kNone) {
     state_ = LeaseState::kHeld;
-    // The service counts from when it got the call, which is not before it
-    // was sent; a shorter time to live that it tells goes before ours.
+    // The TTL starts when the service receives the call, never before it was
+    // sent. A TTL from the service that is shorter than the configured one
+    // takes precedence.
     expiry_ = std::max(expiry_, call_sent_ + std::min(*left, settings_.ttl));
     next_call_ = call_sent_ + settings_.ttl / kRenewalsPerTtl;
     return;
--- a/src/process/lease_keeper.h
+++ b/src/process/lease_keeper.h
@@ -1,12 +1,14 @@
-// One lease of the key-value service, as a state machine without I/O.
+// Client side of a lease in the key-value service, as a state machine without
+// I/O.
 //
-// A lease names the one holder that may give orders to a shard of a zone's
-// engines. It is a key that is created by compare-and-swap and bound to a
-// lease of the service, so that it vanishes when its holder stops renewing
-// it. The key's create revision is the fencing token: it only rises.
+// The holder of the lease is the only instance that may send orders to the
+// engines of a shard. The lease is a key that is created by compare-and-swap
+// and attached to a lease of the service, so it is deleted when the holder
+// stops renewing. The create revision of the key serves as the fencing token:
+// it increases with every new holder.
 //
-// The owner asks Next() for a call to make, makes it, and hands its result to
-// the On... method of that call. At most one call is under way.
+// The owner asks Next() for a call, makes it and passes the result to the On...
+// method of that call. At most one call is in flight.
 #ifndef LYNXGLADE_PROCESS_LEASE_KEEPER_H_
 #define LYNXGLADE_PROCESS_LEASE_KEEPER_H_
 
@@ -24,15 +26,17 @@
 namespace lynxglade::process {
 
 enum class LeaseState {
-  // No claim; another instance may hold the lease.
+  // Not held and no attempt to acquire in progress; another instance may hold
+  // it.
   kNone,
-  // A claim is being made.
+  // An attempt to acquire is in progress.
   kAcquiring,
-  // Held and confirmed.
   kHeld,
-  // Held when last heard, or claimed without an answer; no orders.
+  // Held at the last confirmation, or created without an answer; orders are not
+  // allowed.
   kUncertain,
-  // Was held and is gone. Turns to kNone on the next call.
+  // Was held and has expired or was taken over. The next successful read of the
+  // key changes the state.
   kLost,
 };
 std::string_view ToString(LeaseState state) noexcept;
@@ -42,8 +46,8 @@
   std::string key;
   base::InstanceId holder;
   base::Duration ttl = std::chrono::seconds(30);
-  // Taken off the end of each renewal before orders are allowed. At least the
-  // bound on how long an order can travel after the holder's last check.
+  // Orders are allowed until this long before expiry. At least the time that an
+  // order can be in flight after the holder's last check.
   base::Duration margin = std::chrono::seconds(11);
 };
 
@@ -51,13 +55,12 @@
 
 struct LeaseCall {
   LeaseCallKind kind = LeaseCallKind::kRead;
-  // kKeepAlive, kRevoke, kCreate.
+  // Used by kKeepAlive, kRevoke and kCreate.
   connection::KvLeaseId lease;
-  // kCreate: the value to store.
   std::string value;
 };
 
-// What the lease key holds.
+// Current value of the lease key.
 struct LeaseHolder {
   base::InstanceId id;
   base::FencingToken fence;
@@ -70,11 +73,11 @@
   LeaseKeeper(const LeaseKeeper&) = delete;
   LeaseKeeper& operator=(const LeaseKeeper&) = delete;
 
-  // The call to make now, if any. `now` is taken as the time at which the call
-  // is sent, so it must be read just before.
+  // The call to make now, if any. Read `now` just before: it is used as the
+  // time at which the call is sent.
   std::optional<LeaseCall> Next(base::Time now);
 
-  // Results of the calls. `error` is kNone exactly when a value came.
+  // Results of the calls. `error` is kNone if and only if there is a result.
   void OnRead(base::Time now,
               const std::optional<connection::KvRange>& range,
               connection::KvError error);
@@ -89,28 +92,31 @@
                    connection::KvError error);
   void OnRevoke(base::Time now, bool done);
 
-  // A guard on the lease key did not hold: the lease is another's.
+  // A write guarded by the lease key failed its check, so this instance no
+  // longer holds the lease.
   void OnGuardFailed(base::Time now);
 
-  // Gives the lease back; no claim is made from now on.
+  // Releases the lease permanently: there is no further attempt to acquire it.
   void Release();
 
-  // The token that orders may carry until OrderDeadline(); nothing when the
-  // lease is not held or its margin has begun.
+  // Fencing token for orders until OrderDeadline(); empty if the lease is not
+  // held or the deadline has passed.
   std::optional<base::FencingToken> MayOrder(base::Time now) const;
 
-  // The instant after which no order may leave. Only ever moved by a confirmed
-  // renewal, so a copy of it stays right on any thread.
+  // No order may be sent from this time on. Only a confirmed renewal moves it,
+  // and only to later, so another thread can use a copy of it while the lease
+  // is held.
   base::Time OrderDeadline() const;
-  // When the lease lapses if nothing renews it, by this process's clock.
+  // When the lease expires without a renewal, by the clock of this process.
   base::Time expiry() const noexcept { return expiry_; }
-  // When the lease was taken.
+  // When the lease was acquired.
   base::Time held_since() const noexcept { return held_since_; }
 
   LeaseState state() const noexcept { return state_; }
-  // Who held the key when last seen; this instance included.
+  // Holder of the key when it was last read or created; may be this instance.
   const std::optional<LeaseHolder>& holder() const noexcept { return holder_; }
-  // Released, and nothing is left to give back.
+  // True once Release() was called, no call is in flight and no lease is left
+  // to revoke.
   bool released() const noexcept;
 
  private:
@@ -127,9 +133,10 @@
   LeaseState state_ = LeaseState::kNone;
   bool calling_ = false;
   bool releasing_ = false;
-  // Set by an unanswered create until a read has told what became of it.
+  // Set when a create was not answered, until a read shows whether it took
+  // effect.
   bool claim_unknown_ = false;
-  // A lease of the service that is ours to give back.
+  // Lease of the service that this instance was granted; 0 if none.
   connection::KvLeaseId lease_{0};
   bool revoke_lease_ = false;
   int revoke_attempts_ = 0;
--- a/src/process/load_pacer.h
+++ b/src/process/load_pacer.h
@@ -1,4 +1,5 @@
-// Spreads weight loads so that the weight store's limit is kept.
+// Limits the rate of weight loads to this holder's share of the weight store's
+// limit.
 #ifndef LYNXGLADE_PROCESS_LOAD_PACER_H_
 #define LYNXGLADE_PROCESS_LOAD_PACER_H_
 
@@ -6,17 +7,17 @@
 
 namespace lynxglade::process {
 
-// Lets one load through at a time, at an even pace: no burst, so that the
-// holders of all shards together stay within the limit when each paces itself
-// at its share. Not thread-safe.
+// Permits one load at a time at a fixed interval. There are no bursts, so the
+// holders of all shards together stay within the limit if each keeps to its
+// share. Not thread-safe.
 class LoadPacer {
  public:
   // `loads_per_minute` is this holder's share of the store's limit; 0 or less
-  // lets nothing through.
+  // permits no load.
   void SetRate(double loads_per_minute) noexcept;
 
   bool Allows(base::Time now) const noexcept;
-  // Counts a load that is about to be ordered.
+  // Records a load that is about to be ordered.
   void Take(base::Time now) noexcept;
 
  private:
--- a/src/process/order_actor.cc
+++ b/src/process/order_actor.cc
@@ -16,8 +16,7 @@
 
 }  // namespace
 
-// Carries a completion from a pool thread to the actor; never leaves the
-// process.
+// Passes a completion from a pool thread to the actor, within the process only.
 struct CompletionMessage {
   Completion run;
 };
@@ -63,7 +62,7 @@
           self->delayed_send(self, tick, TickAtom::value);
           return;
         }
-        // Drops the runner, which holds a reference to this actor.
+        // Destroys the runners, which hold references to this actor.
         self->state.coordinator.reset();
         stopped->set_value();
         self->quit();
--- a/src/process/order_actor.h
+++ b/src/process/order_actor.h
@@ -20,21 +20,21 @@
   base::ZoneId zone;
   int shard = 0;
   OrderSettings settings;
-  // All but the runners, which the actor makes from the pools.
+  // All except the runners, which the actor creates from the pools.
   CoordinatorDependencies dependencies;
-  // Outlive the actor.
+  // Must outlive the actor.
   CallPool* store_pool = nullptr;
   CallPool* engine_pool = nullptr;
   base::Snapshot<ShardStatus>* status = nullptr;
-  // Fulfilled when the lease is given back and nothing is under way.
+  // Fulfilled when the lease is released and no call is in flight.
   std::shared_ptr<std::promise<void>> stopped;
 };
 
-// Starts the actor; it ends by itself after StopOrderActor().
+// Starts the actor. It ends after StopOrderActor() once the lease is released.
 caf::actor SpawnOrderActor(caf::actor_system& system,
                            OrderActorOptions options);
 
-// Asks it to give the lease back and to end. Returns at once.
+// Asks the actor to release the lease and end. Returns immediately.
 void StopOrderActor(const caf::actor& actor);
 
 }  // namespace lynxglade::process
--- a/src/process/order_coordinator.cc
+++ b/src/process/order_coordinator.cc
@@ -19,7 +19,8 @@
 constexpr const char* kDrainPrefix = "/lynxglade/drains/";
 constexpr base::Duration kDrainsInterval = std::chrono::seconds(2);
 constexpr base::Duration kPermitsInterval = std::chrono::seconds(10);
-// A permit whose engine nobody lists is freed after this.
+// A permit is released after its engine has been missing from the list of
+// engines for this long.
 constexpr base::Duration kOrphanAge = std::chrono::minutes(1);
 
 LeaseSettings MakeLeaseSettings(const base::InstanceId& instance,
@@ -30,7 +31,8 @@
   lease.key = LeaseKey(zone, shard);
   lease.holder = instance;
   lease.ttl = settings.lease_ttl;
-  // An order that passed its last check is dead before the lease lapses.
+  // An order that passed its last deadline check can't take effect after the
+  // lease has expired.
   lease.margin = settings.engine_connection_bound + settings.guard;
   return lease;
 }
@@ -84,7 +86,7 @@
     return;
   }
   if (!lease_.MayOrder(now)) {
-    // Keeps what operators see up to date; takes no step.
+    // Updates the reported status only; no step is taken without authority.
     std::ranges::for_each(drivers_, [](auto& it) { it.second->Step(); });
     return;
   }
@@ -199,8 +201,9 @@
   authority_ = fence;
   permits_loaded_ = false;
   context_.permits_unknown = true;
-  // Longer than an earlier holder can believe in its lease, even when the
-  // service let it lapse early, plus what its last order may take.
+  // An earlier holder can consider its lease valid for up to the TTL, even if
+  // the service expired it early, and its last order can be in flight for the
+  // connection bound.
   context_.quiet_until = lease_.held_since() + context_.settings.lease_ttl +
                          context_.settings.engine_connection_bound +
                          context_.settings.guard;
@@ -215,7 +218,7 @@
   return authority_.has_value();
 }
 
-// --- What the world looks like ----------------------------------------------
+// --- Engines, drains and permits ---------------------------------------------
 
 void OrderCoordinator::RefreshRows() {
   rows_ = hooks_.engines();
@@ -236,7 +239,8 @@
       driver->SetRow(row);
     } else {
       driver = std::make_unique<EngineDriver>(context_, row);
-      // Its permit, if it has one from before, must be found first.
+      // The engine may hold a permit from an earlier holder; list the permits
+      // before the first step.
       context_.permits_unknown = true;
     }
   }
@@ -332,7 +336,7 @@
       });
 }
 
-// --- What is wanted ---------------------------------------------------------
+// --- Desired state -----------------------------------------------------------
 
 void OrderCoordinator::SetDesired() {
   const bool examined = std::ranges::all_of(
@@ -395,7 +399,7 @@
   pacer_.SetRate(hooks_.weight_loads_per_minute() * own / all);
 }
 
-// --- What others hear -------------------------------------------------------
+// --- Publication -------------------------------------------------------------
 
 void OrderCoordinator::PublishChanges(base::Time now) {
   for (const auto& [id, driver] : drivers_) {
@@ -422,7 +426,7 @@
 
 void OrderCoordinator::Publish(const EngineStatus& status, base::Time now) {
   nlohmann::json body = EncodeEngineStatus(status, now);
-  // Times and counts that move by themselves are no news.
+  // Members that change continuously don't trigger a publication.
   nlohmann::json news = body;
   news.erase("waiting_ms");
   if (news.contains("observed")) {
--- a/src/process/order_coordinator.h
+++ b/src/process/order_coordinator.h
@@ -1,8 +1,8 @@
-// Holds the lease of one shard and, while it is held, drives the orders of the
-// shard's engines.
+// Competes for the lease of one shard and, while holding it, drives the engines
+// of the shard to their desired states.
 //
-// Single-threaded and without I/O of its own: blocking calls go out through a
-// CallRunner and their completions must come back on the caller of Tick().
+// Single-threaded. Blocking calls go out through CallRunners; their completions
+// must run on the thread that calls Tick().
 #ifndef LYNXGLADE_PROCESS_ORDER_COORDINATOR_H_
 #define LYNXGLADE_PROCESS_ORDER_COORDINATOR_H_
 
@@ -24,17 +24,16 @@
 
 namespace lynxglade::process {
 
-// Key of the lease of one shard of a zone.
 std::string LeaseKey(const base::ZoneId& zone, int shard);
-// Key under which an operator's drain of a target is kept.
+// Key under which an operator's drain of a target is stored.
 std::string DrainKey(const base::TargetId& target);
-// The shard of a zone that a target belongs to.
+// Index of the shard that a target belongs to, in 0 to `shards` - 1.
 int ShardOf(const base::TargetId& target, int shards);
 
 struct CoordinatorDependencies {
   std::shared_ptr<const OrderStore> store;
   std::shared_ptr<const connection::EngineAdmin> admin;
-  // Calls to the key-value service, and to engines.
+  // For calls to the key-value service and to engines.
   CallRunner run_store;
   CallRunner run_engine;
   base::Clock clock;
@@ -44,7 +43,8 @@
   OrderHooks hooks;
 };
 
-// Not thread-safe. Must live until stopped() when calls are under way.
+// Not thread-safe. Must not be destroyed before stopped() while calls are in
+// flight.
 class OrderCoordinator {
  public:
   OrderCoordinator(base::InstanceId instance,
@@ -55,10 +55,10 @@
   OrderCoordinator(const OrderCoordinator&) = delete;
   OrderCoordinator& operator=(const OrderCoordinator&) = delete;
 
-  // Goes on with whatever is due. Call every OrderSettings::tick.
+  // Advances the lease and all engines. Call every OrderSettings::tick.
   void Tick();
-  // Starts no further step; once those under way have ended, the lease is
-  // given back. Tick() has to go on until stopped().
+  // Starts no new steps and releases the lease once the calls in flight have
+  // returned. Continue to call Tick() until stopped().
   void BeginStop() noexcept { stopping_ = true; }
 
   bool stopped() const noexcept;
@@ -70,8 +70,9 @@
 
   void DriveLease();
   void MakeLeaseCall(const LeaseCall& call);
-  // Starts afresh when the lease was taken, lost or taken again. False while
-  // calls of an earlier authority are under way.
+  // Resets the state of the shard when the lease was acquired or lost. Returns
+  // false without the lease and while calls of the previous authority are in
+  // flight.
   bool FollowAuthority();
   void RefreshRows();
   void RefreshDrains(base::Time now);
@@ -92,7 +93,7 @@
   LeaseKeeper lease_;
   LoadPacer pacer_;
   Drivers drivers_;
-  // Every engine in view, and the plain targets of this shard.
+  // All known engines of all zones, and the plain targets of this shard.
   std::vector<EngineRow> rows_;
   std::vector<EngineRow> plain_rows_;
   std::optional<base::FencingToken> authority_;
@@ -105,9 +106,10 @@
   base::Time drains_due_{};
   bool permits_loaded_ = false;
   base::Time permits_due_{};
-  // Since when a permit's engine is in nobody's view, by key.
+  // Since when a permit's engine has been missing from the list of engines, by
+  // permit key.
   std::map<std::string, base::Time> orphans_;
-  // What was last told to the views, without what changes by itself.
+  // Last published status by target, without members that change continuously.
   std::map<base::TargetId, std::string> published_;
   std::uint64_t publish_count_ = 0;
 };
--- a/src/process/order_executor.cc
+++ b/src/process/order_executor.cc
@@ -31,7 +31,7 @@
   return decision;
 }
 
-// Adapters come and go beside running requests; all else takes the engine out
+// Adapters can change while requests run; any other change needs the engine out
 // of service.
 bool NeedsOutage(const EngineState& state,
                  const EngineTargetState& target) noexcept {
@@ -40,14 +40,14 @@
          current.model != target.model || current.version != target.version;
 }
 
-// The engine has to be drained before it can take this target.
+// Whether the engine has to be drained before `target` can be applied.
 bool NeedsDrainFirst(const EngineState& state,
                      const EngineTargetState& target) noexcept {
   return NeedsOutage(state, target) && !state.current.draining &&
          state.phase != EnginePhase::kHalfChanged;
 }
 
-// The decision for one situation, before its evidence is found too old.
+// Makes the decision from an observation whose age is checked by the caller.
 class Decider {
  public:
   Decider(const OrderSituation& situation, const ExecutorSettings& settings)
@@ -69,7 +69,7 @@
   }
 
  private:
-  // An order is under way: ours, or one that an earlier holder left.
+  // An order is in progress, sent by this process or an earlier holder.
   OrderDecision Open() const {
     const JournalRecord& record = *in_.record;
     if (Matches(state_, record.target) && Judgeable()) {
@@ -82,7 +82,7 @@
       return WriteRecord(std::move(next));
     }
     if (NeedsDrainFirst(state_, record.target)) {
-      // It lost its drain, by a restart; start over with one.
+      // A restart cleared the drain, so the change has to start again with one.
       return Judgeable() ? Close(OrderPhase::kFailed)
                          : Take(OrderStep::kReadBack);
     }
@@ -95,7 +95,8 @@
     return Judgeable() ? Repeat() : Take(OrderStep::kReadBack);
   }
 
-  // What the engine says was asked for after the last copy had left.
+  // Whether the observation was requested after the last call to send an order
+  // returned, so that it can show the order's effect.
   bool Judgeable() const {
     return !in_.sent || in_.evidence->requested_at >= in_.sent->done_at;
   }
@@ -147,7 +148,7 @@
       next.failures = 0;
       next.failed_target.reset();
     }
-    // An order that never reached the engine says nothing of the engine.
+    // An order that the engine did not accept says nothing about the engine.
     if (phase == OrderPhase::kFailed && taken) {
       next.failures = same_content ? next.failures + 1 : 1;
       next.failed_target = next.target;
@@ -156,7 +157,7 @@
     return WriteRecord(std::move(next));
   }
 
-  // No order is under way.
+  // No order is in progress.
   OrderDecision Closed() const {
     if (!in_.desired) {
       return Wait(WaitReason::kNothingIntended);
@@ -190,12 +191,14 @@
     if (!in_.permit_held) {
       return Take(OrderStep::kDone);
     }
-    // A drain that was given up may still arrive and take the engine out.
+    // A drain order recorded as failed may still arrive and take the engine out
+    // of service.
     return MustStayQuiet(state_.current) ? Wait(WaitReason::kQuietTime)
                                          : Take(OrderStep::kReleasePermit);
   }
 
-  // Repeating the order that is in effect shuts out earlier holders' copies.
+  // Resending the order in effect under the new token makes the engine reject
+  // late orders of earlier holders.
   bool CanRaiseFence() const {
     return in_.fenced && in_.record &&
            in_.record->phase == OrderPhase::kObserved &&
@@ -207,7 +210,7 @@
     return in_.sent && in_.now < in_.sent->done_at + settings_.retry_pause;
   }
 
-  // The next absolute state on the way to what is desired.
+  // The next complete target state on the way to the desired one.
   EngineTargetState NextTarget() const {
     if (!NeedsOutage(state_, *in_.desired)) {
       return *in_.desired;
@@ -222,7 +225,8 @@
     return change;
   }
 
-  // Given up until the engine is restarted or something else is intended.
+  // The change failed too often. Cleared when the engine restarts or a
+  // different target is desired.
   bool Isolated(const EngineTargetState& next) const {
     if (!in_.record || !in_.record->failed_target) {
       return false;
@@ -249,7 +253,8 @@
     return Take(OrderStep::kTakePermit);
   }
 
-  // The last order, or a copy of it, may arrive after a different one.
+  // The last order, or a copy of it, may still arrive after `next` is sent and
+  // undo it.
   bool MustStayQuiet(const EngineTargetState& next) const {
     if (!in_.record || in_.record->target == next || RefusesLateCopies()) {
       return false;
@@ -258,8 +263,8 @@
            in_.evidence->requested_at < in_.quiet_until;
   }
 
-  // It knows our token and the last generation, so whatever is older than the
-  // next order is refused. A restart may have made it forget both.
+  // The engine has recorded the current token and the last generation, so it
+  // rejects every order older than the next one. A restart can lose both.
   bool RefusesLateCopies() const {
     return in_.fenced && state_.fence == *in_.authority &&
            state_.generation >= in_.record->generation;
@@ -293,7 +298,7 @@
          step == OrderStep::kRaiseFence;
 }
 
-// Longest age at which evidence still carries this decision.
+// Maximum age of the observation for a decision to be used.
 base::Duration EvidenceBound(const OrderDecision& decision,
                              const ExecutorSettings& settings) {
   if (IsAct(decision.step)) {
--- a/src/process/order_executor.h
+++ b/src/process/order_executor.h
@@ -1,11 +1,12 @@
-// What to do next about one engine: a pure decision.
+// Chooses the next step of an engine's state change: a pure function, no I/O.
 //
-// It sees what is intended, what the journal says was ordered, what the engine
-// last said of itself, and the authority at hand, and names one step. The
-// owner takes the step, keeps its result and asks again. A change goes: permit,
-// drain, empty engine on evidence, change, read back, return to service. Each
-// of these is an order of its own, with its own generation, and the next one
-// waits until the last one's outcome is observed or given up.
+// The inputs are the desired state, the last journal record, the last observed
+// engine state and the current authority. The caller executes the returned
+// step, records its result and calls Decide() again. A change that takes the
+// engine out of service runs as: take a permit, drain, wait until no request is
+// in flight, change, read back, return to service, release the permit. Drain,
+// change and return to service are separate orders with their own generations.
+// An order is written only after the previous one is observed or failed.
 #ifndef LYNXGLADE_PROCESS_ORDER_EXECUTOR_H_
 #define LYNXGLADE_PROCESS_ORDER_EXECUTOR_H_
 
@@ -20,54 +21,58 @@
 namespace lynxglade::process {
 
 enum class OrderStep {
-  // Nothing to do now; see the reason.
+  // Nothing can be done now; OrderDecision::reason says why.
   kWait,
-  // The engine is what it should be.
+  // The engine is in its desired state.
   kDone,
   kLoadJournal,
   kReadBack,
-  // Take or give back the right to have an engine of the service out.
+  // Acquire or release the permit to take an engine of the service out of
+  // service.
   kTakePermit,
   kReleasePermit,
-  // Store OrderDecision::record.
+  // Store OrderDecision::record in the journal.
   kWriteRecord,
-  // Give the order that OrderDecision::record holds.
+  // Send the order in OrderDecision::record.
   kSend,
-  // Repeat the last order under the new fencing token; it changes nothing but
-  // the oldest token that the engine takes.
+  // Resend the last order under the new fencing token. The engine's state stays
+  // the same, but it then rejects orders with an older token.
   kRaiseFence,
 };
 std::string_view ToString(OrderStep step) noexcept;
 
-// Why nothing moves.
+// Why a step is OrderStep::kWait.
 enum class WaitReason {
   kNone,
   kNoAuthority,
   kJournalUnreadable,
-  // The service's revisions went back: the journal knows a greater token.
+  // The journal or the engine has a greater fencing token than this holder, for
+  // example because the revisions of the key-value service went back.
   kFenceBehind,
   kUnreachable,
-  // The engine is in the middle of a change.
+  // The engine is applying a change.
   kChanging,
-  // Drained, requests still running.
+  // The engine has to be idle for the next order, and requests are still in
+  // flight.
   kInFlight,
-  // An order of an earlier holder, or one without an answer, may still arrive
-  // at an engine that would take it.
+  // An order from an earlier holder, or one that was not answered, may still
+  // arrive, and the engine would accept it.
   kQuietTime,
-  // The service's permits are taken by other engines.
+  // Other engines hold all permits of the service.
   kPermit,
-  // Taking the engine out would leave less than the contracts' shares.
+  // Without this engine, fewer engines would serve than the contracts' shares
+  // require.
   kCapacityFloor,
   kWeightStoreLimit,
   kRetryPause,
-  // Given up after bounded attempts; an operator has to look.
+  // The change failed max_attempts times; an operator has to intervene.
   kIsolated,
-  // No model is intended for it.
+  // There is no desired state for the engine.
   kNothingIntended,
 };
 std::string_view ToString(WaitReason reason) noexcept;
 
-// What an engine said, and when it was asked.
+// State that an engine reported, and when the request for it was sent.
 struct EngineEvidence {
   connection::EngineState state;
   base::Time requested_at{};
@@ -78,58 +83,62 @@
   base::Generation generation;
   base::FencingToken fence;
   int attempt = 0;
-  // The engine said that it took it.
+  // The engine accepted the order.
   bool accepted = false;
-  // When the call came back.
+  // When the call returned.
   base::Time done_at{};
 };
 
-// Everything the decision depends on.
+// Inputs of Decide().
 struct OrderSituation {
   base::Time now{};
-  // The token orders may carry now.
+  // Fencing token for orders; empty while this instance must not send any.
   std::optional<base::FencingToken> authority;
   bool journal_loaded = false;
   bool journal_unreadable = false;
   std::optional<JournalRecord> record;
   std::optional<EngineEvidence> evidence;
-  // The last try to read the engine gave nothing.
+  // Set while reads of the engine's state fail: when the first of them was
+  // sent.
   std::optional<base::Time> unreachable_since;
   base::Time last_read_attempt{};
   std::optional<SentOrder> sent;
   std::optional<connection::EngineTargetState> desired;
-  // The engine refuses old fencing tokens and generations.
+  // The engine rejects orders with an older fencing token or generation.
   bool fenced = false;
-  // Until then an earlier order may still arrive.
+  // An earlier order may still arrive at the engine before this time.
   base::Time quiet_until{};
   bool permit_held = false;
   bool permit_free = false;
-  // The service can spare this engine.
+  // The service keeps its capacity floor without this engine.
   bool capacity_allows = false;
-  // The weight store takes another load now.
+  // The rate limit of the weight store permits another load now.
   bool load_allowed = false;
 };
 
 struct ExecutorSettings {
   base::InstanceId holder;
-  // Evidence older than this is renewed before an act.
+  // An observation older than this is refreshed before a step with side
+  // effects.
   base::Duration evidence_max_age = std::chrono::seconds(1);
-  // How often an engine that is waited for is read back.
+  // Read-back interval while a change is in progress.
   base::Duration busy_interval = std::chrono::milliseconds(500);
-  // How often one that needs nothing is.
+  // Read-back interval while there is nothing to do for the engine.
   base::Duration idle_interval = std::chrono::seconds(5);
-  // Least time between copies of one order.
+  // Minimum time between two attempts of one order.
   base::Duration retry_pause = std::chrono::seconds(1);
-  // Copies of one order, and failed changes to one content.
+  // Maximum attempts of one order, and of failed changes to the same content
+  // before the engine is isolated.
   int max_attempts = 3;
 };
 
 struct OrderDecision {
   OrderStep step = OrderStep::kWait;
   WaitReason reason = WaitReason::kNone;
-  // kWriteRecord: what to store, less the mark. kSend, kRaiseFence: the order.
+  // kWriteRecord: the record to store; its write id is not set yet. kSend,
+  // kRaiseFence: the order to send.
   std::optional<JournalRecord> record;
-  // The step makes the engine load weights.
+  // Whether the step makes the engine load weights.
   bool loads_weights = false;
 };
 
@@ -137,16 +146,17 @@
 OrderDecision Decide(const OrderSituation& situation,
                      const ExecutorSettings& settings);
 
-// Whether an order may be written now, given what the engine says on the
-// order's own connection: only an empty engine that takes no work is changed.
+// Whether `order` may be sent, given the state that the engine reported on the
+// same connection. A change that needs the engine out of service is allowed
+// only while the engine is drained and idle.
 bool MayApply(const connection::EngineOrder& order,
               const connection::EngineState& state) noexcept;
 
-// Whether going from `state` to `target` makes the engine load weights.
+// Whether a change from `state` to `target` makes the engine load weights.
 bool LoadsWeights(const connection::EngineState& state,
                   const connection::EngineTargetState& target) noexcept;
 
-// Whether the engine is what `target` says, and not in between.
+// Whether the engine is ready and in the state `target`.
 bool Matches(const connection::EngineState& state,
              const connection::EngineTargetState& target) noexcept;
 
--- a/src/process/order_journal.cc
+++ b/src/process/order_journal.cc
@@ -153,8 +153,8 @@
   const auto* const lease = Find(result->found, pending_lease_key_);
   const bool lease_held =
       lease && lease->mod_revision.value() == pending_fence_.value();
-  // Own record first: a write whose answer was lost may have been the last
-  // act under a lease that is gone by now.
+  // Load the record even if the lease is lost: an earlier copy of this write,
+  // whose answer was lost, may have stored it.
   const JournalWriteResult outcome = TakeOver(Find(result->found, key_));
   return lease_held ? outcome : JournalWriteResult::kLeaseLost;
 }
@@ -167,8 +167,8 @@
   const auto* const entry = Find(range->entries, key_);
   const base::Revision found = entry ? entry->mod_revision : base::Revision(0);
   if (found == mod_revision_) {
-    // Not there, but it may still arrive. The same write may be repeated: its
-    // guard lets only one copy through.
+    // Not stored, but the write may still arrive. Repeating it is safe: the
+    // revision guard lets only one copy succeed.
     return JournalWriteResult::kRetry;
   }
   return TakeOver(entry);
--- a/src/process/order_journal.h
+++ b/src/process/order_journal.h
@@ -1,9 +1,9 @@
-// What one engine was ordered to be, as kept in the key-value service.
+// Journal of the orders to one engine, stored in the key-value service.
 //
-// One record an engine. It is written before an order leaves, so whoever holds
-// authority next knows the only order that can still be on its way. Each write
-// is a compare-and-swap that also demands the writer's lease key, so a holder
-// that lost its lease can't write.
+// There is one record per engine, written before its order is sent, so the next
+// holder of authority knows the only order that can still be in flight. Each
+// write is a compare-and-swap that also checks the writer's lease key, so a
+// holder that lost its lease can't write.
 #ifndef LYNXGLADE_PROCESS_ORDER_JOURNAL_H_
 #define LYNXGLADE_PROCESS_ORDER_JOURNAL_H_
 
@@ -20,42 +20,45 @@
 namespace lynxglade::process {
 
 enum class OrderPhase {
-  // May have been sent or not.
+  // Stored; may or may not have been sent.
   kIntended,
   // The engine has accepted it.
   kSent,
-  // The engine was read back and is what the order says.
+  // A read-back showed the engine in the ordered state.
   kObserved,
-  // Given up after bounded attempts, or overtaken by a restart of the engine.
+  // Ended after the maximum number of attempts, or because a restart of the
+  // engine cleared its drain.
   kFailed,
 };
 std::string_view ToString(OrderPhase phase) noexcept;
 
-// Whether the order's outcome is still awaited.
+// Whether the order's outcome is still unknown.
 bool IsOpen(OrderPhase phase) noexcept;
 
 struct JournalRecord {
   base::Generation generation;
   connection::EngineTargetState target;
   OrderPhase phase = OrderPhase::kIntended;
-  // Authority under which it was last written.
+  // Fencing token of the last write.
   base::FencingToken fence;
   base::InstanceId holder;
-  // Times the order was sent or may have been.
+  // Number of times the order was sent or may have been sent.
   int attempts = 0;
-  // Orders to the same content that the engine took and that were then given
-  // up, in a row; the last of them, and the incarnation it was left in.
+  // Number of consecutive orders with the same content that the engine accepted
+  // and that then failed; the target of the last one, and the engine's
+  // incarnation at that time.
   int failures = 0;
   std::optional<connection::EngineTargetState> failed_target;
   std::string failed_incarnation;
-  // Of this write; tells the writer its own after a lost answer.
+  // Random id of this write, by which the writer recognises it when the answer
+  // was lost.
   std::string mark;
 
   bool operator==(const JournalRecord&) const = default;
 };
 
 std::string EncodeRecord(const JournalRecord& record);
-// Nothing when the text is not a record.
+// Empty if the text is not a valid record.
 std::optional<JournalRecord> DecodeRecord(const std::string& text);
 
 std::string JournalKey(const base::TargetId& target);
@@ -63,13 +66,13 @@
 enum class JournalWriteResult {
   // The record is stored.
   kStored,
-  // Not known: read the key back.
+  // Outcome unknown: read the key back.
   kReadBack,
-  // Nothing was written; try again later.
+  // Not stored as far as is known; repeat the write later.
   kRetry,
-  // The lease key is not the writer's any more.
+  // The lease key no longer belongs to the writer.
   kLeaseLost,
-  // Another record was found; it has been taken over.
+  // A different record was found and loaded.
   kOvertaken,
 };
 
@@ -78,19 +81,20 @@
   std::vector<connection::KvWrite> writes;
 };
 
-// The journal of one engine with at most one write under way. Not thread-safe.
+// Not thread-safe. At most one write is in flight.
 class OrderJournal {
  public:
   explicit OrderJournal(const base::TargetId& target);
 
-  // Takes over what the service has; nothing when the key is absent. Returns
-  // false when the value can't be read: no order may be given.
+  // Loads the stored entry, or an empty journal if the key is absent. Returns
+  // false if the value is not a valid record; no order may be sent then.
   bool Load(const std::optional<connection::KvEntry>& entry);
-  // Forgets everything, for instance when authority is lost.
+  // Discards the record and any pending write.
   void Reset();
 
-  // The compare-and-swap that stores `record`, guarded by the lease key. A
-  // call with a write pending repeats that write, `record` is then not used.
+  // Returns the compare-and-swap that stores `record`, guarded by the lease
+  // key. While a write is pending, returns that write again and ignores the
+  // arguments.
   JournalCommit Write(const JournalRecord& record,
                       const std::string& lease_key,
                       base::FencingToken fence);
@@ -102,7 +106,7 @@
 
   bool loaded() const noexcept { return loaded_; }
   bool write_pending() const noexcept { return pending_.has_value(); }
-  // The stored record.
+  // Last record known to be stored.
   const std::optional<JournalRecord>& record() const noexcept {
     return record_;
   }
--- a/src/process/order_service.cc
+++ b/src/process/order_service.cc
@@ -30,7 +30,7 @@
 constexpr int kMethodNotAllowed = 405;
 constexpr int kConflict = 409;
 constexpr int kUnavailable = 503;
-// Two, so that a renewal of the lease need not wait for a slow list.
+// More than one, so that a slow list call doesn't delay a lease renewal.
 constexpr int kStoreThreads = 2;
 
 enum class DrainVerb { kDrain, kUndrain };
@@ -69,15 +69,18 @@
     }
     case DrainResult::kConflict:
       return ApiError(kConflict, "conflict",
-                      "another call changed the drain of this target");
+                      "a concurrent call changed the drain of this target; "
+                      "repeat the call");
     case DrainResult::kUnavailable:
-      return ApiError(kUnavailable, "key_value_unavailable",
-                      "nothing was changed");
+      return ApiError(
+          kUnavailable, "key_value_unavailable",
+          "the key-value service is unavailable; the drain was not changed");
     case DrainResult::kUnknown:
       break;
   }
   return ApiError(kUnavailable, "outcome_unknown",
-                  "the key-value service gave no answer; repeat the call");
+                  "the key-value service did not answer; the drain may or may "
+                  "not have changed; repeat the call");
 }
 
 }  // namespace
@@ -141,7 +144,8 @@
 ApiAnswer OrderService::Details::Drain(const DrainCall& call) const {
   const auto rows = hooks.engines();
   if (std::ranges::find(rows, call.target, &EngineRow::id) == rows.end()) {
-    return ApiError(kNotFound, "unknown_target", "no such target is listed");
+    return ApiError(kNotFound, "unknown_target",
+                    "the target is not in the instance list");
   }
   const DrainResult result =
       call.verb == DrainVerb::kDrain
@@ -150,7 +154,7 @@
   return ToAnswer(call, result);
 }
 
-// Own shards first-hand, all others as heard.
+// Current status for own shards, last published status for others.
 Json OrderService::Details::EnginesJson(base::Time now) const {
   std::map<std::string, Json> engines;
   {
@@ -244,7 +248,7 @@
   }
   const auto drain = ParseDrainPath(call.path);
   if (!drain) {
-    return ApiError(kNotFound, "not_found", "no such path");
+    return ApiError(kNotFound, "not_found", "unknown path");
   }
   return call.method == "POST"
              ? details_->Drain(*drain)
--- a/src/process/order_service.h
+++ b/src/process/order_service.h
@@ -1,12 +1,13 @@
-// Authority over the engines of this instance's zone, and their changes.
+// Sends the orders that bring the engines of this instance's zone to their
+// desired states.
 //
-// One lease per zone and shard in the key-value service; its holder alone
-// gives orders to the shard's engines. Every instance runs an OrderService
-// and competes for every shard of its zone. Without the key-value service no
-// order is given and the engines stay as they are.
+// There is one lease per zone and shard in the key-value service; only its
+// holder sends orders to the engines of the shard. Every instance runs an
+// OrderService and competes for every shard of its zone. Without the key-value
+// service no orders are sent and the engines keep their state.
 //
-// The work runs on a CAF actor a shard; calls to the key-value service and to
-// engines run on a few threads of the service's own.
+// Each shard runs on a CAF actor. Calls to the key-value service and to engines
+// run on the service's own threads.
 #ifndef LYNXGLADE_PROCESS_ORDER_SERVICE_H_
 #define LYNXGLADE_PROCESS_ORDER_SERVICE_H_
 
@@ -26,8 +27,8 @@
 
 namespace lynxglade::process {
 
-// Thread-safe. The constructor starts the work; Stop() or the destructor ends
-// it.
+// Thread-safe. The constructor starts the actors and threads; Stop() or the
+// destructor ends them.
 class OrderService {
  public:
   // `control`, `key_value` and `metrics` must outlive this object.
@@ -45,23 +46,23 @@
   OrderService(const OrderService&) = delete;
   OrderService& operator=(const OrderService&) = delete;
 
-  // Takes what the holder of another shard or zone says of an engine, for
+  // Stores the published status of an engine of another shard or zone, for
   // FleetStatusJson(). Subscribe it to ViewKind::kTarget.
   void OnTargetView(const ViewItem& item);
 
-  // Lets the order that is being sent come to its end, gives the leases back
-  // and ends the threads. Blocks for at most a few calls' time-outs. A second
-  // call does nothing.
+  // Waits for the calls in flight, releases the leases and ends the threads.
+  // Blocks for at most a few call timeouts. Further calls do nothing.
   void Stop();
 
-  // Serves GET /v1/admin/fleet, POST /v1/admin/targets/<id>/drain and
-  // POST /v1/admin/targets/<id>/undrain; 404 on any other path. The caller
-  // has checked the operator's role. Blocks on the key-value service.
+  // Serves GET /v1/admin/fleet, POST /v1/admin/targets/<id>/drain and POST
+  // /v1/admin/targets/<id>/undrain; 404 on any other path. The caller must have
+  // checked the operator's role. Blocks on the key-value service.
   connection::ApiAnswer Handle(const connection::ApiCall& call);
 
-  // The answer of GET /v1/admin/fleet: for every engine what is intended,
-  // ordered and observed, who holds authority and until when, and why nothing
-  // moves. Engines of other holders are shown as the views have them.
+  // Response body of GET /v1/admin/fleet: for every engine the intended,
+  // ordered and observed state and why it is waiting, and for every shard the
+  // holder and when its lease expires. Engines of other holders are shown as
+  // last published.
   std::string FleetStatusJson() const;
 
  private:
--- a/src/process/order_store.h
+++ b/src/process/order_store.h
@@ -1,5 +1,5 @@
-// What orders need of the key-value service, as hooks, and how blocking calls
-// leave and re-enter a single-threaded owner.
+// The calls of the key-value service that orders use, as callbacks, and the
+// types by which a single-threaded owner runs blocking calls on other threads.
 #ifndef LYNXGLADE_PROCESS_ORDER_STORE_H_
 #define LYNXGLADE_PROCESS_ORDER_STORE_H_
 
@@ -13,7 +13,7 @@
 
 namespace lynxglade::process {
 
-// The calls of connection::KeyValue, with its meaning and errors.
+// Same calls, semantics and errors as connection::KeyValue.
 struct OrderStore {
   std::function<std::optional<connection::KvRange>(const std::string& key,
                                                    connection::KvError*)>
@@ -38,11 +38,11 @@
 // `key_value` must outlive the result.
 OrderStore MakeOrderStore(const connection::KeyValue& key_value);
 
-// The part of a blocking call that its owner runs when the call is back.
+// Runs on the owner's thread after a blocking call has returned.
 using Completion = std::function<void()>;
-// A blocking call; it must touch nothing of its owner but what it copied.
+// A blocking call. It must use only copies of its owner's data.
 using BlockingCall = std::function<Completion()>;
-// Makes the call on another thread and hands its completion to the owner's.
+// Runs the call on another thread and its completion on the owner's thread.
 using CallRunner = std::function<void(BlockingCall)>;
 
 }  // namespace lynxglade::process
--- a/src/process/role_model.cc
+++ b/src/process/role_model.cc
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Halvings of the interval in which the served part is looked for: to 1e-5.
+// Bisection steps for ServedPart(): a precision of 1e-5.
 constexpr int kHalvings = 17;
 constexpr double kEpsilon = 1e-12;
 
-// Parts of an engine's time (1 = one engine) that fall on mixed engines.
+// Whether `mixed` engines can do this work, given in engines' full rates.
 bool MixedCanDo(const EngineRates& rates,
                 int mixed,
                 double prefill_parts,
@@ -57,8 +57,9 @@
 }
 
 double MixedDecodeRoom(const EngineRates& rates, double prefill_part) noexcept {
-  // Where both kinds always wait, each gets its share of a reduced rate. Left
-  // of that point prefill waits only part of the time, right of it decode.
+  // When both kinds of work are always queued, each gets its share of the
+  // reduced rate. With less prefill than that, prefill is queued only part of
+  // the time; with more, decode is.
   const double both_prefill =
       rates.mixed_prefill_share * (1 - rates.mixed_penalty);
   const double both_decode =
--- a/src/process/role_planner.cc
+++ b/src/process/role_planner.cc
@@ -19,10 +19,9 @@
 constexpr std::array kRoles = {EngineRole::kPrefill, EngineRole::kDecode,
                                EngineRole::kMixed};
 
-// Length of one entry of the history.
 constexpr base::Duration kPastStep = std::chrono::seconds(5);
 
-// Points of the horizon at which a change is weighed.
+// Number of points of the horizon at which a change is valued.
 constexpr int kTimePoints = 8;
 
 // Gauss-Hermite quadrature of a normal distribution with three nodes: exact
@@ -61,8 +60,9 @@
   });
 }
 
-// The engine whose change disturbs least: one that checks fences, in the zone
-// with the most engines of the role, with the least under way.
+// The engine whose change disturbs least: preferably one that checks fencing
+// tokens, then in the zone with the most engines of the role, then with the
+// fewest requests in flight.
 base::TargetId PickEngine(const std::vector<PlannedEngine>& fleet,
                           EngineRole role) {
   const auto in_role = [&](const PlannedEngine& engine) {
@@ -159,7 +159,8 @@
                           const EngineRates& rates,
                           int engines) noexcept {
   const double seconds = Seconds(over);
-  // Engines that a contract would keep busy, and those it is entitled to.
+  // Number of engines that a contract's demand needs, and its part within the
+  // contract's share.
   const auto wanted = [&](const ContractDemand& it) {
     return (static_cast<double>(it.prefill.value()) /
                 rates.prefill_tokens_per_s +
@@ -382,7 +383,7 @@
       worth_.At(options_.horizon).mean * Seconds(options_.tail);
   value.gain = mean + past.mean_difference * tail_worth;
   value.deviation = std::sqrt(std::max(0.0, square - mean * mean));
-  // Changing back costs the same again.
+  // Reverting costs the price and the time out of service again.
   value.cost = options_.price.value() + std::max(turn_back, past.worse_part) *
                                             (options_.price.value() + out_loss);
   return value;
--- a/src/process/role_planner.h
+++ b/src/process/role_planner.h
@@ -1,11 +1,10 @@
-// Decides which engine should change its role, if any.
+// Plans changes of engine roles for one service.
 //
-// For one service. From the tokens that callers offer it estimates prefill and
-// decode demand with their uncertainty, weighs every single change of role by
-// the worth that it is expected to win over the horizon, and asks for one only
-// when that beats what the change costs: the time out of service, its price,
-// and the risk of having to change back. docs/notes/role-planner.md gives the
-// reasons and the measurements.
+// From the offered tokens it estimates prefill and decode demand with their
+// uncertainty. It values every possible change of one engine's role by the
+// worth gained over the horizon and requests one only if the gain exceeds the
+// cost: the time out of service, the price of a change and the risk of having
+// to revert it. See docs/notes/role-planner.md for the model.
 #ifndef LYNXGLADE_PROCESS_ROLE_PLANNER_H_
 #define LYNXGLADE_PROCESS_ROLE_PLANNER_H_
 
@@ -25,32 +24,33 @@
 namespace lynxglade::process {
 
 struct RolePlannerOptions {
-  // Price of a change in units of worth, on top of what is lost while the
-  // engine is out; 0 or more.
+  // Price of a change in units of worth, in addition to the loss while the
+  // engine is out of service; 0 or more.
   base::Worth price{1};
-  // Time that an engine gives no service for a change, its drain included.
+  // Time that an engine is out of service for a change, including its drain.
   base::Duration out_of_service = std::chrono::seconds(10);
-  // How far ahead a change has to pay for itself; longer than out_of_service.
+  // Time over which the gain of a change is compared with its cost; longer than
+  // out_of_service.
   base::Duration horizon = std::chrono::seconds(60);
-  // How much longer a change is expected to stand when demand goes on as it
-  // was over `history`; what it would win or lose then counts as well.
+  // Time after the horizon over which a change is also valued, with the mean
+  // demand of the past `history`.
   base::Duration tail = std::chrono::seconds(60);
   base::Duration history = std::chrono::minutes(8);
-  // Least time from the end of a change to the next.
+  // Minimum time from the end of a change to the next.
   base::Duration cool_down = std::chrono::seconds(0);
-  // A wish that has not come true after this is withdrawn.
+  // A requested change that is not complete after this is withdrawn.
   base::Duration give_up_after = std::chrono::minutes(5);
-  // Nothing is changed before demand has been observed for this long.
+  // No change is requested before demand has been observed for this long.
   base::Duration least_observed = std::chrono::seconds(20);
   base::Duration fast_window = std::chrono::seconds(10);
   base::Duration slow_window = std::chrono::seconds(40);
   base::Duration trend_life = std::chrono::seconds(20);
-  // Engines that a change leaves in the role it takes from; 1 or more.
+  // Minimum number of engines that a change leaves in the old role; 1 or more.
   int least_per_role = 1;
   // Standard deviations by which the expected net gain must exceed zero.
   double confidence = 2.0;
-  // Part of an engine's rate that is counted on: queues grow without bound
-  // when all of it is used. 0 < usable <= 1.
+  // Fraction of an engine's rate that the plan uses; at full utilisation queues
+  // would grow without bound. 0 < usable <= 1.
   double usable = 0.95;
 };
 
@@ -66,28 +66,29 @@
 };
 std::string_view ToString(RolePlannerFault fault) noexcept;
 
-// What one contract's callers offered in an interval, served or not.
+// Demand offered under one contract in an interval, whether served or not.
 struct ContractDemand {
   base::ContractId contract;
-  // Its share of the service's fleet, 0 to 1.
+  // The contract's share of the service's fleet, 0 to 1.
   double share = 1;
-  // Prompt tokens without those found in prefix caches, and output tokens.
+  // Prompt tokens without prefix cache hits, and output tokens.
   base::Tokens prefill{0};
   base::Tokens decode{0};
   base::Worth worth{0};
 };
 
-// One engine as the planner sees it.
+// Input about one engine.
 struct PlannedEngine {
   base::TargetId id;
   base::ZoneId zone;
   request::EngineRole role = request::EngineRole::kMixed;
   request::TargetState state = request::TargetState::kServing;
-  // Whether it refuses orders with an old fencing token.
+  // Whether it rejects orders with an old fencing token.
   bool fenced = true;
-  // Requests under way at it, as last known.
+  // Number of requests in flight, as last reported.
   int running = 0;
-  // Whether this planner may change it; others count, but are left alone.
+  // Whether this planner may change it. Engines that it may not change still
+  // count towards capacity.
   bool movable = true;
 };
 
@@ -98,60 +99,60 @@
 };
 
 enum class RoleReason {
-  kChange,          // the change pays
-  kTooFewSamples,   // demand has not been observed for long enough
-  kChangeUnderWay,  // an engine is draining or changing
-  kCoolDown,        // the last change ended a moment ago
-  kGaveUp,          // the last wish did not come true in time: withdrawn
-  kNoMove,          // no role can spare an engine
+  kChange,          // a change is requested
+  kTooFewSamples,   // demand not observed for long enough
+  kChangeUnderWay,  // a change is not complete yet
+  kCoolDown,        // less than cool_down since the last change
+  kGaveUp,          // the last change timed out and was withdrawn
+  kNoMove,          // no role has an engine to spare
   kNoGain,          // no change would serve more
-  kBelowCost,       // the best change would not pay for itself
-  kUncertain,       // it might, but demand is too uncertain to say
+  kBelowCost,       // the gain of the best change is below its cost
+  kUncertain,       // the net gain is within the uncertainty
 };
 std::string_view ToString(RoleReason reason) noexcept;
 
 struct RoleDecision {
   RoleReason reason = RoleReason::kTooFewSamples;
-  // The best change that was weighed: to be made with kChange, else for
-  // operators to see.
+  // The best change found. It is requested only with RoleReason::kChange;
+  // otherwise it is for information.
   std::optional<RoleMove> move;
-  // Of that change, in worth over the horizon: won by serving more, lost
-  // otherwise, and the standard deviation of the difference.
+  // Of that change, in worth: gain from serving more, cost, and standard
+  // deviation of the gain.
   base::Worth gain{0};
   base::Worth cost{0};
   base::Worth deviation{0};
 };
 
-// Not thread-safe. Nothing blocks.
+// Not thread-safe. Does not block.
 class RolePlanner {
  public:
-  // Checks the options. On failure returns nothing and says what is wrong.
+  // Validates the options. On failure returns nothing and sets `last_fault`.
   static std::optional<RolePlanner> Create(const RolePlannerOptions& options,
                                            base::Clock clock,
                                            RolePlannerFault* last_fault);
 
-  // Takes what was offered over the last `over` (positive). `rates` and
-  // `engines` bound what a contract can count beyond its share.
+  // Adds the demand offered over the last `over` (positive). `rates` and
+  // `engines` limit how much of a contract's demand above its share counts.
   void Observe(const std::vector<ContractDemand>& contracts,
                base::Duration over,
                const EngineRates& rates,
                int engines);
 
-  // Weighs all changes and, when one pays, adds it to the wishes. Call every
-  // second or so.
+  // Values all possible changes and adds the best to requested_roles() if it
+  // pays. Call about once a second.
   RoleDecision Decide(const EngineRates& rates,
                       const std::vector<PlannedEngine>& fleet);
 
-  // Drops all wishes, as when others have come to decide; what was learnt of
-  // demand stays.
+  // Clears requested_roles(), for example when another instance plans. Demand
+  // estimates are kept.
   void ForgetWishes() noexcept;
 
-  // The roles wished for; engines not named keep theirs.
+  // Requested roles; engines not in the map keep theirs.
   const std::map<base::TargetId, request::EngineRole>& wishes() const noexcept {
     return wishes_;
   }
 
-  // Demand `ahead` from now as estimated; for operators and tests.
+  // Estimated demand at `ahead` from now, in tokens per second.
   Estimate PrefillAt(base::Duration ahead) const noexcept {
     return prefill_.At(ahead);
   }
@@ -160,7 +161,7 @@
   }
 
  private:
-  // One change of role by number of engines, and what it is worth.
+  // A change of one engine's role and its value in worth.
   struct Valuation {
     request::EngineRole from;
     request::EngineRole to;
@@ -171,24 +172,25 @@
     double net() const noexcept { return gain - cost; }
   };
 
-  // The same for one course of demand, in worth over the horizon.
+  // Value of a change for one demand scenario, in worth over the horizon.
   struct PointValue {
     double net = 0;
-    // Lost while the engine is out; part of `net`.
+    // Loss while the engine is out of service; included in `net`.
     double out_loss = 0;
-    // Served part with the change less without, at the horizon.
+    // Served fraction with the change minus without it, at the end of the
+    // horizon.
     double last_difference = 0;
   };
 
-  // What a split would have changed over the history.
+  // Effect that a change would have had on the demand in the history.
   struct HistoryValue {
-    // Mean of the served part with the change less without.
+    // Mean of the served fraction with the change minus without it.
     double mean_difference = 0;
-    // Part of the time in which it would have served less.
+    // Fraction of the time in which it would have served less.
     double worse_part = 0;
   };
 
-  // Mean demand over a few seconds of the past.
+  // Mean demand over one interval of the history.
   struct PastDemand {
     TokenDemand demand;
     base::Duration over{};
@@ -201,7 +203,7 @@
                                 const RoleCounts& before,
                                 const RoleCounts& after) const;
   std::optional<RoleReason> Hold(const std::vector<PlannedEngine>& fleet);
-  // Whether the last wish is still to come true.
+  // Whether the last requested change is not complete yet.
   bool Pending(const std::vector<PlannedEngine>& fleet);
   Valuation Value(const EngineRates& rates,
                   const RoleCounts& counts,
@@ -226,8 +228,9 @@
   std::optional<base::Time> last_change_;
 };
 
-// Demand that counts when contracts ask for more than the engines can do: each
-// up to its share, and what others leave unused in proportion to the excess.
+// Demand to plan for when contracts ask for more than the engines can serve, in
+// tokens per second: each contract up to its share, plus unused capacity in
+// proportion to the excess.
 TokenDemand CountedDemand(const std::vector<ContractDemand>& contracts,
                           base::Duration over,
                           const EngineRates& rates,
--- a/src/process/role_planning.cc
+++ b/src/process/role_planning.cc
@@ -15,7 +15,7 @@
 
 using request::Target;
 
-// Engines of a service, without plain targets and those that leave.
+// Engines of a service, without plain and leaving targets.
 std::vector<Target> EnginesOf(const std::vector<Target>& targets,
                               const base::ServiceName& service) {
   std::vector<Target> engines;
@@ -28,7 +28,7 @@
   return engines;
 }
 
-// Mean of the reported rates; the defaults where nobody reports.
+// Mean of the reported rates, or the defaults if no engine reports one.
 EngineRates RatesOf(const std::vector<Target>& engines) {
   EngineRates rates;
   const auto mean = [&](double request::TargetLoad::* rate, double otherwise) {
@@ -67,7 +67,7 @@
   return fleet;
 }
 
-// What was offered to all instances between two totals of this one.
+// Estimated demand at all instances between two totals of this instance.
 ContractDemand Offered(const OfferedTotals& before,
                        const OfferedTotals& now,
                        std::size_t instances) {
--- a/src/process/role_planning.h
+++ b/src/process/role_planning.h
@@ -1,13 +1,14 @@
-// Runs the role planners of one instance: feeds them with demand and fleet,
-// and hands their wishes to the order service.
+// Runs a role planner per service: passes demand and fleet to it and offers its
+// requested roles to the order service.
 //
-// Every instance learns the demand, but only wishes of the zone's order holder
-// count: it is the one that is asked for them, and an instance that is not
-// asked keeps none. Holders of several zones take turns by the wall clock, so
-// that at any time one of them decides for a service; a zone that is cut off
-// plans in its own turns with the engines that it sees serving. Clocks that
-// are apart can make two zones decide at once; the orders' permits still let
-// one engine of a service out at a time.
+// Every instance estimates demand, but only the holder of a zone's order lease
+// plans. It is recognised by the calls of its order service for the requested
+// roles; an instance that gets no such calls requests nothing. The holders of
+// several zones take turns by wall clock, so that only one of them plans for a
+// service at any time. A partitioned zone plans in its own turns with the
+// engines that it sees serving. With clock skew two zones can plan at once; the
+// permits of the order service still limit how many engines of a service are
+// out of service.
 #ifndef LYNXGLADE_PROCESS_ROLE_PLANNING_H_
 #define LYNXGLADE_PROCESS_ROLE_PLANNING_H_
 
@@ -30,7 +31,7 @@
 
 namespace lynxglade::process {
 
-// What this instance's callers asked of a service since its start.
+// Demand offered to this instance for a service since the instance started.
 struct OfferedTotals {
   base::Tokens prefill{0};
   base::Tokens decode{0};
@@ -39,13 +40,14 @@
 
 struct RolePlanningOptions {
   base::ZoneId zone;
-  // Time out of service for a change, its drain included.
+  // Time that an engine is out of service for a change, including its drain.
   base::Duration out_of_service = std::chrono::seconds(10);
-  // How long a zone's turn is.
+  // Length of a zone's turn.
   base::Duration turn = std::chrono::seconds(15);
-  // At the end of a turn nothing is decided any more, for this long.
+  // No change is planned in this last part of a turn, to allow for clock skew.
   base::Duration turn_guard = std::chrono::seconds(2);
-  // An instance that was not asked for wishes for this long is not the holder.
+  // An instance counts as holder for this long after a call of
+  // RequestedRoles().
   base::Duration asked_within = std::chrono::seconds(5);
 };
 
@@ -54,9 +56,10 @@
   base::Clock clock;
   std::function<std::int64_t()> wall_millis;
   std::function<std::map<base::ServiceName, OfferedTotals>()> offered;
-  // Live entry instances; callers are spread over them evenly.
+  // Number of live entry instances. Demand is assumed to be spread over them
+  // evenly.
   std::function<std::size_t()> entry_instances;
-  // Every target in view, of all zones, in any state.
+  // All known targets of all zones, in any state.
   std::function<std::vector<request::Target>()> targets;
   std::function<std::shared_ptr<const version::Configuration>()> configuration;
 };
@@ -68,19 +71,20 @@
   RolePlanning(const RolePlanning&) = delete;
   RolePlanning& operator=(const RolePlanning&) = delete;
 
-  // Observes and decides; call once a second from one thread.
+  // Updates the planners; call once a second from one thread.
   void Tick();
 
-  // For OrderHooks::role_wishes: the roles wished for. To be asked is to be
-  // the holder. Does not block.
+  // The requested roles, for OrderHooks::requested_roles. A call marks this
+  // instance as the holder. Does not block.
   std::map<base::TargetId, request::EngineRole> Wishes();
 
-  // {"services":{name:{"reason","prefill_tokens_per_s",...}}} for operators:
-  // what was decided last and why nothing moves.
+  // JSON for operators:
+  // {"services":{name:{"reason","prefill_tokens_per_s",...}}} with the last
+  // decision per service and its reason.
   std::string StatusJson() const;
 
  private:
-  // Planner of one service.
+  // State of one service.
   struct Line {
     std::optional<RolePlanner> planner;
     double price = -1;
@@ -101,11 +105,11 @@
   const RolePlanningHooks hooks_;
   std::optional<base::Time> last_tick_;
 
-  // Guards the planners; held while they decide.
+  // Guards the planners; held while they run.
   mutable std::mutex planners_mutex_;
   std::map<base::ServiceName, Line> lines_;
 
-  // Guards what the order service reads; held for moments only.
+  // Guards what the order service reads; never held while planning.
   mutable std::mutex wishes_mutex_;
   std::map<base::TargetId, request::EngineRole> wishes_;
   std::optional<base::Time> asked_;
--- a/tests/process/order_interleaving_test.cc
+++ b/tests/process/order_interleaving_test.cc
@@ -1,4 +1,5 @@
-// Random interleavings of holders, faults and engines, judged by the engines.
+// Random interleavings of holders, faults and requests. OrderWorld checks the
+// invariants whenever an engine accepts an order.
 
 #include <tuple>
 
@@ -106,7 +107,8 @@
       return world->EndRequest(engine);
     case Move::kCrash:
       world->Crash(engine, arg % 2 == 0);
-      // It comes back without its drain and takes work at once.
+      // After a crash the engine is no longer draining and accepts work at
+      // once.
       return world->StartRequest(engine);
     case Move::kOutage:
       world->store().down = arg % 4 == 0;
@@ -116,7 +118,8 @@
   }
 }
 
-// Ends all faults and lets the holders work.
+// Ends all faults and runs the holders until every engine is in its desired
+// state.
 bool SettlesWithin(base::Duration limit, OrderWorld* world) {
   world->store().down = false;
   world->store().fates.clear();
@@ -130,7 +133,7 @@
     }
     world->RunAll();
     if (spent == limit / 2) {
-      // An operator restarts what was given up.
+      // Restart isolated engines, as an operator would.
       for (std::size_t i = 0; i < world->engines().size(); ++i) {
         world->Crash(i, false);
       }
@@ -167,7 +170,7 @@
   RC_TAG(world.late_orders > 0, world.accepted_orders > 4);
 }
 
-// Lets one holder work for a while; the others sleep.
+// Runs one holder for `time` while the others are paused.
 void RunAlone(std::size_t holder, base::Duration time, OrderWorld* world) {
   for (base::Duration spent{}; spent < time; spent += milliseconds(250)) {
     world->Advance(milliseconds(250));
@@ -175,8 +178,8 @@
   }
 }
 
-// A holder falls asleep between its last check and its write, its successor
-// changes the engine to something else, and then the write goes out.
+// A holder pauses between its last check and its write, the next holder changes
+// the engine, and then the delayed order arrives.
 std::string SleeperWakes(bool fenced, bool connections_end) {
   OrderWorld::Options options;
   options.fenced = fenced ? 1 : 0;
@@ -205,8 +208,9 @@
   EXPECT_EQ(SleeperWakes(/*fenced=*/true, /*connections_end=*/false), "");
 }
 
-// A drain is held back on its connection, given again and observed. The change
-// that follows waits until the first copy has arrived or died.
+// A drain order is delayed on its connection, sent again and observed. The next
+// order has to wait until the delayed copy has arrived or its connection
+// closed.
 TEST(OrderAuthorityTest, DifferentOrderWaitsForCopiesThatMayArrive) {
   OrderWorld::Options options;
   options.fenced = 0;
@@ -224,8 +228,8 @@
   EXPECT_EQ(world.violation(), "");
 }
 
-// The window that stays open, docs/notes/authority.md: an engine that takes
-// old fencing tokens and keeps a silent connection for ever.
+// Known limit, see docs/notes/authority.md: an engine that accepts old fencing
+// tokens and never closes idle connections can accept a late order.
 TEST(OrderAuthorityTest, UnfencedEngineThatKeepsConnectionsIsExposed) {
   EXPECT_NE(SleeperWakes(/*fenced=*/false, /*connections_end=*/false), "");
 }
--- a/tests/process/order_service_test.cc
+++ b/tests/process/order_service_test.cc
@@ -1,4 +1,4 @@
-// The whole service, actor and HTTP included, against stand-in engines.
+// OrderService with its actor and HTTP calls, against fake engines.
 #include "process/order_service.h"
 
 #include <condition_variable>
@@ -18,10 +18,10 @@
 
 using Json = nlohmann::json;
 
-// Far above what any step takes; only a failing test waits for it.
+// Longer than any step takes; reached only when a test fails.
 constexpr base::Duration kPatience = std::chrono::seconds(60);
 
-// What the views were told last, by target; tests wait on it.
+// Last published item by target; tests wait for changes.
 class ViewBoard {
  public:
   void Post(const ViewItem& item) {
@@ -147,7 +147,7 @@
   connection::KvError error = connection::KvError::kNone;
   const auto lease = key_value_.Get("/lynxglade/lease/zone-a/0", &error);
   ASSERT_TRUE(lease);
-  EXPECT_TRUE(lease->entries.empty()) << "the lease was not given back";
+  EXPECT_TRUE(lease->entries.empty()) << "lease key still exists after Stop()";
 }
 
 TEST_F(OrderServiceTest, DrainsAndUndrainsOnAnOperatorsCall) {
@@ -156,7 +156,7 @@
   connection::ApiCall call;
   call.method = "POST";
   call.path = "/v1/admin/targets/e0/drain";
-  // The write takes effect and its answer is lost.
+  // The write takes effect but its answer is lost.
   kv_.ApplyFaults({{"lose_answer", 1}});
   EXPECT_EQ(service->Handle(call).status, 200);
   EXPECT_TRUE(AwaitState("e0", "draining"));
--- a/tests/process/order_world.cc
+++ b/tests/process/order_world.cc
@@ -464,7 +464,7 @@
                   order.target.version.str(), order.target.adapters};
   const auto verdict = engine.orders.Handle(given, engine.in_flight, now_);
   if (verdict == fakes::OrderVerdict::kInFlight) {
-    Fail("change ordered while requests run on " + engine.id.str());
+    Fail("change ordered while requests are in flight on " + engine.id.str());
   }
   if (!fakes::IsAccepted(verdict)) {
     return {false, verdict == fakes::OrderVerdict::kStaleFence
@@ -483,7 +483,7 @@
       lease && lease->create_revision.value() == order.fence.value() &&
       lease->value.find('"' + order.holder.str() + '"') != std::string::npos;
   if (!held) {
-    Fail("order of a lost authority took effect on " + engine.id.str());
+    Fail("order without a valid lease was accepted by " + engine.id.str());
   }
   auto& last = last_[engine.id.str()];
   const bool older =
@@ -504,7 +504,7 @@
   const auto lease = LeaseOf(**engine);
   if (!record || !lease ||
       lease->create_revision.value() != record->fence.value()) {
-    Fail("record written without authority: " + key);
+    Fail("journal record written without a valid lease: " + key);
   }
 }
 
--- a/tests/process/order_world.h
+++ b/tests/process/order_world.h
@@ -1,6 +1,6 @@
-// A small world for tests of orders: a key-value service, engines with the
-// stand-in's order model, and coordinators whose blocking calls and
-// completions run when the test says so. Virtual time, one thread.
+// Simulation for tests of orders: a key-value service, engines with the order
+// model of the fake engine, and coordinators whose blocking calls and
+// completions run when the test calls for it. Virtual time, single thread.
 #ifndef LYNXGLADE_TESTS_PROCESS_ORDER_WORLD_H_
 #define LYNXGLADE_TESTS_PROCESS_ORDER_WORLD_H_
 
@@ -20,7 +20,7 @@
 
 namespace lynxglade::process {
 
-// What becomes of the next write to the key-value service.
+// Outcome of the next write to the key-value service.
 enum class WriteFate { kDone, kAnswerLost, kRequestLost, kLate, kUnreachable };
 
 // In-memory compare-and-swap store with leases.
@@ -29,18 +29,18 @@
   explicit SimStore(base::Clock clock) : clock_(std::move(clock)) {}
 
   OrderStore Hooks();
-  // Applies a write that was under way when its sender gave up.
+  // Applies the writes whose senders timed out before they arrived.
   void LandLateWrites();
   std::optional<connection::KvEntry> Find(const std::string& key);
   void Put(const std::string& key, const std::string& value);
   void Delete(const std::string& key) { entries_.erase(key); }
-  // When the key vanishes if its lease is not renewed.
+  // When the key is deleted unless its lease is renewed.
   std::optional<base::Time> ExpiryOf(const std::string& key);
   std::vector<connection::KvEntry> All(const std::string& prefix);
 
   std::deque<WriteFate> fates;
   bool down = false;
-  // Sees every value that is stored.
+  // Called for every value that is stored.
   std::function<void(const std::string& key, const std::string& value)> on_put;
 
  private:
@@ -84,10 +84,10 @@
   bool down = false;
 };
 
-// What becomes of the next order that is written to its connection.
+// Outcome of the next order that is sent.
 enum class OrderFate { kDone, kAnswerLost, kHeldBack };
 
-// An order whose sender sleeps between its check and its write.
+// An order whose sender is paused between its check and its write.
 struct HeldOrder {
   std::string engine;
   connection::EngineOrder order;
@@ -98,31 +98,32 @@
 class OrderWorld {
  public:
   struct Options {
-    // Holders and engines are dealt out to the zones in turn.
+    // Holders and engines are assigned to the zones round-robin.
     int zones = 1;
     int holders = 2;
     int fenced = 1;
     int unfenced = 2;
     base::Duration connection_bound = std::chrono::seconds(5);
-    // Engines close idle connections in time.
+    // Engines close idle connections after connection_bound.
     bool connections_end = true;
   };
 
   explicit OrderWorld(Options options);
 
-  // --- What a schedule does
+  // --- Actions of a schedule
   void Advance(base::Duration d);
   void TickHolder(std::size_t holder);
-  // Calls run and come back in any order; `pick` names one.
+  // Calls run and complete in any order; `pick` selects one.
   void RunCall(std::size_t holder, std::size_t pick = 0);
   void Complete(std::size_t holder, std::size_t pick = 0);
-  // Ticks, calls and completions of one holder, several times.
+  // Runs a tick of one holder, then calls and completions repeatedly.
   void Run(std::size_t holder);
-  // The same of all holders.
+  // Run() for all holders.
   void RunAll();
-  // Cuts the service off and lets time pass until the lease is about to lapse.
+  // Makes the key-value service unreachable and advances time to `before` the
+  // lease expires.
   void ApproachLapse(base::Duration before);
-  // The process goes away; a new instance takes its place.
+  // Replaces a crashed instance by a new one.
   void Replace(std::size_t holder);
   void DeliverHeld();
   void StartRequest(std::size_t engine);
@@ -130,10 +131,11 @@
   void Crash(std::size_t engine, bool half_changed);
   void SetModel(const std::string& version);
 
-  // --- What the judge says
-  // Empty while every promise held.
+  // --- Results of the invariant checks
+  // First invariant violation; empty if none.
   const std::string& violation() const noexcept { return violation_; }
-  // Every engine is what is intended, in service, with no permit out.
+  // Whether every engine is in its desired state and in service, and no permit
+  // is held.
   bool Settled();
 
   SimStore& store() noexcept { return store_; }
@@ -175,7 +177,7 @@
   std::vector<std::unique_ptr<SimEngine>> engines_;
   std::vector<std::unique_ptr<Holder>> holders_;
   std::vector<HeldOrder> held_;
-  // Last order in effect, by engine.
+  // Last accepted order, by engine.
   std::map<std::string, connection::EngineOrder> last_;
   int instances_ = 0;
   std::string violation_;
--- a/tests/process/role_planner_test.cc
+++ b/tests/process/role_planner_test.cc
@@ -21,7 +21,7 @@
 
 constexpr EngineRates kRates{3000, 1500, 0.7, 0.3};
 
-// A service whose engines obey the planner's wishes after a fixed time.
+// Engines of a service that apply the requested roles after a fixed time.
 class ObedientFleet {
  public:
   ObedientFleet(int prefill, int decode, int mixed) {
@@ -30,7 +30,7 @@
     Add(mixed, EngineRole::kMixed);
   }
 
-  // Starts and ends changes; returns how many engines are out.
+  // Starts and completes changes; returns how many engines are out of service.
   int Obey(const std::map<base::TargetId, EngineRole>& wishes,
            base::Time now,
            base::Duration change_time) {
@@ -73,7 +73,7 @@
   base::Time returns_{};
 };
 
-// Drives a planner a second at a time.
+// Runs a planner in steps of one second.
 class Drive {
  public:
   explicit Drive(const RolePlannerOptions& options) : options_(options) {
@@ -81,7 +81,7 @@
     planner = RolePlanner::Create(options, [this] { return now_; }, &fault);
   }
 
-  // One second in which `demand` is offered, worth 10.
+  // One second in which `demand` with a worth of 10 is offered.
   RoleDecision Second(const TokenDemand& demand, ObedientFleet* fleet) {
     now_ += seconds(1);
     ContractDemand offered;
@@ -104,7 +104,7 @@
   base::Time now_{};
 };
 
-// Offered tokens of a second: about 30 requests, so noisy by a fifth or more.
+// Tokens offered in a second by about 30 requests: relative noise of 0.29.
 TokenDemand Noisy(const TokenDemand& mean, const base::RandomSource& random) {
   const auto factor = [&] {
     double sum = 0;
@@ -144,7 +144,8 @@
   RC_ASSERT(drive.most_out <= 1);
 }
 
-// Twenty-five minutes of the same mix each, so few seeds are enough.
+// Noise in a constant mix must not make the planner change roles back and
+// forth.
 TEST(RolePlannerTest, DoesNotFlapOnANoisyConstantMix) {
   constexpr std::uint64_t kSeeds = 20;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -189,7 +190,7 @@
   EXPECT_GT(served(), 0.9);
 }
 
-// The dearer a change, the fewer are asked for by the same observations.
+// A higher price must not lead to more changes for the same observations.
 RC_GTEST_PROP(RolePlannerTest,
               AHigherPriceNeverAddsAChange,
               (std::uint64_t seed)) {
@@ -261,12 +262,13 @@
                       base::Tokens(6000), base::Worth(1)};
   ContractDemand flood{base::ContractId("flood"), 0.5, base::Tokens(0),
                        base::Tokens(150000), base::Worth(1)};
-  // Fair wants 2 + 4 = 6 of 12 engines, its share; the flood 100 of them.
+  // Fair needs 2 + 4 = 6 of 12 engines, which is its share; the flood needs
+  // 100.
   const TokenDemand counted =
       CountedDemand({fair, flood}, seconds(1), kRates, 12);
   EXPECT_DOUBLE_EQ(counted.prefill, 6000);
   EXPECT_DOUBLE_EQ(counted.decode, 6000 + 6 * 1500);
-  // What the other leaves unused may be used.
+  // Capacity that the other contract leaves unused can be used.
   const TokenDemand alone = CountedDemand({flood}, seconds(1), kRates, 12);
   EXPECT_DOUBLE_EQ(alone.decode, 12 * 1500);
 }
@@ -291,8 +293,8 @@
             RolePlannerFault::kUsable);
 }
 
-// An engine more never serves less, and no split serves more than one whose
-// engines all lose nothing to mixing.
+// Adding an engine never reduces the served part, and no split serves more than
+// one whose engines lose nothing to mixing.
 RC_GTEST_PROP(RoleModelTest, MoreEnginesServeNoLess, ()) {
   const RoleCounts counts = {*rc::gen::inRange(0, 10), *rc::gen::inRange(0, 10),
                              *rc::gen::inRange(0, 10)};
--- a/tests/process/role_planning_test.cc
+++ b/tests/process/role_planning_test.cc
@@ -22,8 +22,8 @@
 constexpr int kEnginesAZone = 6;
 constexpr base::Duration kChangeTime = seconds(8);
 
-// Two zones, each with its own planning, over one fleet that obeys whichever
-// instance is asked.
+// Two zones, each with its own planning, over one fleet that applies the roles
+// from the instances marked as asked.
 class TwoZones {
  public:
   TwoZones() {
@@ -50,7 +50,7 @@
     }
   }
 
-  // A second in which each instance is offered half of the tokens.
+  // One second in which each instance is offered half of the tokens.
   void Second(double prefill, double decode) {
     now_ += seconds(1);
     wall_ms_ += 1000;
@@ -101,7 +101,7 @@
       if (wish == wishes.end()) {
         continue;
       }
-      // A zone's holder gives orders to its own engines only.
+      // The holder of a zone sends orders only to engines of its zone.
       EXPECT_EQ(it.zone.str(), zone);
       if (it.state == TargetState::kServing && it.role != wish->second) {
         it.state = TargetState::kChanging;
@@ -132,7 +132,7 @@
   std::map<std::string, int> changed_ = {{"a", 0}, {"b", 0}};
 };
 
-// A mix that wants far more decode than the engines at first give.
+// A mix that needs far more decode than the initial split provides.
 constexpr double kPrefill = 5000;
 constexpr double kDecode = 13000;
 
@@ -154,7 +154,7 @@
   }
   EXPECT_GE(zones.Changed("a"), 1);
   EXPECT_EQ(zones.Changed("b"), 0);
-  // Asked for the first time, it has nothing stale to give.
+  // Requested roles must not be left over from before its first call.
   EXPECT_TRUE(zones.planning("b").Wishes().empty());
   const std::string status = zones.planning("b").StatusJson();
   EXPECT_NE(status.find("\"prefill_tokens_per_s\":5"), std::string::npos)
