--- a/src/process/role_planner.h
+++ b/src/process/role_planner.h
@@ -101,7 +101,7 @@
 enum class RoleReason {
   kChange,          // a change is requested
   kTooFewSamples,   // demand not observed for long enough
-  kChangeUnderWay,  // a change is not complete yet
+  kChangeUnderWay,  // an engine is draining or changing
   kCoolDown,        // less than cool_down since the last change
   kGaveUp,          // the last change timed out and was withdrawn
   kNoMove,          // no role has an engine to spare
