--- a/src/process/engine_driver.h
+++ b/src/process/engine_driver.h
@@ -18,12 +18,12 @@
 #include "connection/engine_admin.h"
 #include "process/change_permits.h"
 #include "process/fleet_status.h"
-#include "process/lease_keeper.h"
 #include "process/load_pacer.h"
 #include "process/order_executor.h"
 #include "process/order_hooks.h"
 #include "process/order_journal.h"
 #include "process/order_store.h"
+#include "process/shard_lease.h"
 
 namespace lynxglade::process {
 
@@ -40,7 +40,7 @@
   // engine that does not answer can't delay a lease renewal.
   CallRunner run_store;
   CallRunner run_engine;
-  LeaseKeeper* lease = nullptr;
+  ShardLease* lease = nullptr;
   LoadPacer* pacer = nullptr;
   base::Metrics* metrics = nullptr;
   // Orders of earlier holders may still arrive before this time.
--- a/src/process/fleet_status.h
+++ b/src/process/fleet_status.h
@@ -12,7 +12,7 @@
 #include "base/ids.h"
 #include "base/time.h"
 #include "connection/engine_admin.h"
-#include "process/lease_keeper.h"
+#include "process/shard_lease.h"
 #include "process/order_executor.h"
 #include "process/order_journal.h"
 #include "request/target.h"
--- a/src/process/order_coordinator.h
+++ b/src/process/order_coordinator.h
@@ -63,7 +63,7 @@
 
   bool stopped() const noexcept;
   ShardStatus Status() const;
-  const LeaseKeeper& lease() const noexcept { return lease_; }
+  const ShardLease& lease() const noexcept { return lease_; }
 
  private:
   using Drivers = std::map<base::TargetId, std::unique_ptr<EngineDriver>>;
@@ -90,7 +90,7 @@
   const base::ZoneId zone_;
   const int shard_;
   const OrderHooks hooks_;
-  LeaseKeeper lease_;
+  ShardLease lease_;
   LoadPacer pacer_;
   Drivers drivers_;
   // All known engines of all zones, and the plain targets of this shard.
--- a/src/process/lease_keeper.cc
+++ b/src/process/shard_lease.cc
@@ -1,4 +1,4 @@
-#include "process/lease_keeper.h"
+#include "process/shard_lease.h"
 
 #include <algorithm>
 #include <utility>
@@ -53,10 +53,10 @@
   return "lost";
 }
 
-LeaseKeeper::LeaseKeeper(LeaseSettings settings, base::RandomSource random)
+ShardLease::ShardLease(LeaseSettings settings, base::RandomSource random)
     : settings_(std::move(settings)), random_(std::move(random)) {}
 
-std::optional<LeaseCall> LeaseKeeper::Next(base::Time now) {
+std::optional<LeaseCall> ShardLease::Next(base::Time now) {
   if (calling_) {
     return std::nullopt;
   }
@@ -75,7 +75,7 @@
   return NextClaim(now);
 }
 
-std::optional<LeaseCall> LeaseKeeper::NextRenewal(base::Time now) {
+std::optional<LeaseCall> ShardLease::NextRenewal(base::Time now) {
   if (now >= expiry_) {
     // The lease may still exist on the service, but that is unknown until a
     // renewal is answered.
@@ -89,7 +89,7 @@
   return call;
 }
 
-std::optional<LeaseCall> LeaseKeeper::NextClaim(base::Time now) {
+std::optional<LeaseCall> ShardLease::NextClaim(base::Time now) {
   if (now < next_call_) {
     return std::nullopt;
   }
@@ -106,7 +106,7 @@
   return Start(LeaseCallKind::kRead, now);
 }
 
-LeaseCall LeaseKeeper::Start(LeaseCallKind kind, base::Time now) {
+LeaseCall ShardLease::Start(LeaseCallKind kind, base::Time now) {
   calling_ = true;
   call_sent_ = now;
   LeaseCall call;
@@ -114,9 +114,9 @@
   return call;
 }
 
-void LeaseKeeper::OnRead(base::Time now,
-                         const std::optional<connection::KvRange>& range,
-                         KvError error) {
+void ShardLease::OnRead(base::Time now,
+                        const std::optional<connection::KvRange>& range,
+                        KvError error) {
   calling_ = false;
   if (!range || error != KvError::kNone) {
     next_call_ = now + Jittered(settings_.ttl / kLooksPerTtl);
@@ -143,9 +143,9 @@
   Abandon(now, settings_.ttl / kLooksPerTtl);
 }
 
-void LeaseKeeper::OnGrant(base::Time now,
-                          const std::optional<connection::KvLeaseId>& lease,
-                          KvError error) {
+void ShardLease::OnGrant(base::Time now,
+                         const std::optional<connection::KvLeaseId>& lease,
+                         KvError error) {
   calling_ = false;
   if (!lease || error != KvError::kNone) {
     // If the grant took effect without an answer, that lease expires unused.
@@ -159,9 +159,9 @@
   next_call_ = now;
 }
 
-void LeaseKeeper::OnCreate(base::Time now,
-                           const std::optional<connection::KvTxnResult>& result,
-                           KvError error) {
+void ShardLease::OnCreate(base::Time now,
+                          const std::optional<connection::KvTxnResult>& result,
+                          KvError error) {
   calling_ = false;
   if (result && result->committed) {
     Adopt(now, result->revision);
@@ -180,9 +180,9 @@
   Abandon(now, settings_.ttl / kLooksPerTtl);
 }
 
-void LeaseKeeper::OnKeepAlive(base::Time now,
-                              const std::optional<base::Duration>& left,
-                              KvError error) {
+void ShardLease::OnKeepAlive(base::Time now,
+                             const std::optional<base::Duration>& left,
+                             KvError error) {
   calling_ = false;
   if (left && *left <= base::Duration::zero()) {
     // The lease has expired on the service, so there is nothing to revoke.
@@ -203,7 +203,7 @@
   next_call_ = now + Jittered(settings_.ttl / (2 * kRenewalsPerTtl));
 }
 
-void LeaseKeeper::OnRevoke(base::Time now, bool done) {
+void ShardLease::OnRevoke(base::Time now, bool done) {
   calling_ = false;
   ++revoke_attempts_;
   if (done || revoke_attempts_ >= kMaxRevokeAttempts) {
@@ -212,13 +212,13 @@
   }
 }
 
-void LeaseKeeper::OnGuardFailed(base::Time now) {
+void ShardLease::OnGuardFailed(base::Time now) {
   if (state_ == LeaseState::kHeld || state_ == LeaseState::kUncertain) {
     Lose(now);
   }
 }
 
-void LeaseKeeper::Release() {
+void ShardLease::Release() {
   if (releasing_) {
     return;
   }
@@ -232,22 +232,22 @@
   holder_.reset();
 }
 
-std::optional<base::FencingToken> LeaseKeeper::MayOrder(base::Time now) const {
+std::optional<base::FencingToken> ShardLease::MayOrder(base::Time now) const {
   if (state_ != LeaseState::kHeld || now >= OrderDeadline()) {
     return std::nullopt;
   }
   return fence_;
 }
 
-base::Time LeaseKeeper::OrderDeadline() const {
+base::Time ShardLease::OrderDeadline() const {
   return expiry_ - settings_.margin;
 }
 
-bool LeaseKeeper::released() const noexcept {
+bool ShardLease::released() const noexcept {
   return releasing_ && !calling_ && !revoke_lease_;
 }
 
-void LeaseKeeper::Adopt(base::Time now, base::Revision create_revision) {
+void ShardLease::Adopt(base::Time now, base::Revision create_revision) {
   claim_unknown_ = false;
   if (releasing_) {
     revoke_lease_ = true;
@@ -262,7 +262,7 @@
   holder_ = LeaseHolder{settings_.holder, fence_};
 }
 
-void LeaseKeeper::Abandon(base::Time now, base::Duration pause) {
+void ShardLease::Abandon(base::Time now, base::Duration pause) {
   claim_unknown_ = false;
   state_ = LeaseState::kNone;
   revoke_lease_ = lease_.value() != 0;
@@ -270,13 +270,13 @@
   next_call_ = now + Jittered(pause);
 }
 
-void LeaseKeeper::Lose(base::Time now) {
+void ShardLease::Lose(base::Time now) {
   expiry_ = {};
   Abandon(now, settings_.ttl / kLooksPerTtl);
   state_ = LeaseState::kLost;
 }
 
-base::Duration LeaseKeeper::Jittered(base::Duration d) const {
+base::Duration ShardLease::Jittered(base::Duration d) const {
   return std::chrono::duration_cast<base::Duration>(
       d * (0.5 + base::UniformReal(random_) * 0.5));
 }
--- a/src/process/lease_keeper.h
+++ b/src/process/shard_lease.h
@@ -9,8 +9,8 @@
 //
 // The owner asks Next() for a call, makes it and passes the result to the On...
 // method of that call. At most one call is in flight.
-#ifndef LYNXGLADE_PROCESS_LEASE_KEEPER_H_
-#define LYNXGLADE_PROCESS_LEASE_KEEPER_H_
+#ifndef LYNXGLADE_PROCESS_SHARD_LEASE_H_
+#define LYNXGLADE_PROCESS_SHARD_LEASE_H_
 
 #include <cstdint>
 #include <optional>
@@ -67,11 +67,11 @@
 };
 
 // Not thread-safe.
-class LeaseKeeper {
+class ShardLease {
  public:
-  LeaseKeeper(LeaseSettings settings, base::RandomSource random);
-  LeaseKeeper(const LeaseKeeper&) = delete;
-  LeaseKeeper& operator=(const LeaseKeeper&) = delete;
+  ShardLease(LeaseSettings settings, base::RandomSource random);
+  ShardLease(const ShardLease&) = delete;
+  ShardLease& operator=(const ShardLease&) = delete;
 
   // The call to make now, if any. Read `now` just before: it is used as the
   // time at which the call is sent.
@@ -152,4 +152,4 @@
 
 }  // namespace lynxglade::process
 
-#endif  // LYNXGLADE_PROCESS_LEASE_KEEPER_H_
+#endif  // LYNXGLADE_PROCESS_SHARD_LEASE_H_
