--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -171,8 +171,8 @@
   return situation;
 }
 
-ExecutorSettings EngineDriver::Settings() const {
-  ExecutorSettings settings;
+DecisionSettings EngineDriver::Settings() const {
+  DecisionSettings settings;
   settings.holder = context_.instance;
   settings.evidence_max_age = 4 * context_.settings.tick;
   settings.busy_interval = 2 * context_.settings.tick;
--- a/src/process/engine_driver.h
+++ b/src/process/engine_driver.h
@@ -19,7 +19,7 @@
 #include "process/change_permits.h"
 #include "process/fleet_status.h"
 #include "process/load_pacer.h"
-#include "process/order_executor.h"
+#include "process/order_decision.h"
 #include "process/order_hooks.h"
 #include "process/order_journal.h"
 #include "process/order_store.h"
@@ -86,7 +86,7 @@
 
  private:
   OrderSituation Situation(base::Time now) const;
-  ExecutorSettings Settings() const;
+  DecisionSettings Settings() const;
   void Note(const OrderDecision& decision, base::Time now);
   void Take(const OrderDecision& decision, base::FencingToken fence);
 
--- a/src/process/fleet_status.h
+++ b/src/process/fleet_status.h
@@ -13,7 +13,7 @@
 #include "base/time.h"
 #include "connection/engine_admin.h"
 #include "process/shard_lease.h"
-#include "process/order_executor.h"
+#include "process/order_decision.h"
 #include "process/order_journal.h"
 #include "request/target.h"
 
--- a/src/process/order_executor.cc
+++ b/src/process/order_decision.cc
@@ -1,4 +1,4 @@
-#include "process/order_executor.h"
+#include "process/order_decision.h"
 
 #include <algorithm>
 #include <utility>
@@ -50,7 +50,7 @@
 // Makes the decision from an observation whose age is checked by the caller.
 class Decider {
  public:
-  Decider(const OrderSituation& situation, const ExecutorSettings& settings)
+  Decider(const OrderSituation& situation, const DecisionSettings& settings)
       : in_(situation),
         settings_(settings),
         state_(situation.evidence->state) {}
@@ -288,7 +288,7 @@
   }
 
   const OrderSituation& in_;
-  const ExecutorSettings& settings_;
+  const DecisionSettings& settings_;
   const EngineState& state_;
 };
 
@@ -300,7 +300,7 @@
 
 // Maximum age of the observation for a decision to be used.
 base::Duration EvidenceBound(const OrderDecision& decision,
-                             const ExecutorSettings& settings) {
+                             const DecisionSettings& settings) {
   if (IsAct(decision.step)) {
     return settings.evidence_max_age;
   }
@@ -374,7 +374,7 @@
 }
 
 OrderDecision Decide(const OrderSituation& situation,
-                     const ExecutorSettings& settings) {
+                     const DecisionSettings& settings) {
   if (!situation.authority) {
     return Wait(WaitReason::kNoAuthority);
   }
--- a/src/process/order_executor.h
+++ b/src/process/order_decision.h
@@ -7,8 +7,8 @@
 // in flight, change, read back, return to service, release the permit. Drain,
 // change and return to service are separate orders with their own generations.
 // An order is written only after the previous one is observed or failed.
-#ifndef LYNXGLADE_PROCESS_ORDER_EXECUTOR_H_
-#define LYNXGLADE_PROCESS_ORDER_EXECUTOR_H_
+#ifndef LYNXGLADE_PROCESS_ORDER_DECISION_H_
+#define LYNXGLADE_PROCESS_ORDER_DECISION_H_
 
 #include <optional>
 #include <string_view>
@@ -116,7 +116,7 @@
   bool load_allowed = false;
 };
 
-struct ExecutorSettings {
+struct DecisionSettings {
   base::InstanceId holder;
   // An observation older than this is refreshed before a step with side
   // effects.
@@ -144,7 +144,7 @@
 
 // Thread-safe.
 OrderDecision Decide(const OrderSituation& situation,
-                     const ExecutorSettings& settings);
+                     const DecisionSettings& settings);
 
 // Whether `order` may be sent, given the state that the engine reported on the
 // same connection. A change that needs the engine out of service is allowed
@@ -162,4 +162,4 @@
 
 }  // namespace lynxglade::process
 
-#endif  // LYNXGLADE_PROCESS_ORDER_EXECUTOR_H_
+#endif  // LYNXGLADE_PROCESS_ORDER_DECISION_H_
