--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -148,8 +148,8 @@
          waiting > context_.settings.overdue_after;
 }
 
-OrderSituation EngineDriver::Situation(base::Time now) const {
-  OrderSituation situation;
+DecisionInputs EngineDriver::Situation(base::Time now) const {
+  DecisionInputs situation;
   situation.now = now;
   situation.authority = context_.lease->MayOrder(now);
   situation.journal_loaded = journal_.loaded();
--- a/src/process/engine_driver.h
+++ b/src/process/engine_driver.h
@@ -85,7 +85,7 @@
   bool Overdue() const;
 
  private:
-  OrderSituation Situation(base::Time now) const;
+  DecisionInputs Situation(base::Time now) const;
   DecisionSettings Settings() const;
   void Note(const OrderDecision& decision, base::Time now);
   void Take(const OrderDecision& decision, base::FencingToken fence);
--- a/src/process/order_decision.cc
+++ b/src/process/order_decision.cc
@@ -50,7 +50,7 @@
 // Makes the decision from an observation whose age is checked by the caller.
 class Decider {
  public:
-  Decider(const OrderSituation& situation, const DecisionSettings& settings)
+  Decider(const DecisionInputs& situation, const DecisionSettings& settings)
       : in_(situation),
         settings_(settings),
         state_(situation.evidence->state) {}
@@ -287,7 +287,7 @@
     return record;
   }
 
-  const OrderSituation& in_;
+  const DecisionInputs& in_;
   const DecisionSettings& settings_;
   const EngineState& state_;
 };
@@ -373,7 +373,7 @@
   return "nothing_intended";
 }
 
-OrderDecision Decide(const OrderSituation& situation,
+OrderDecision Decide(const DecisionInputs& situation,
                      const DecisionSettings& settings) {
   if (!situation.authority) {
     return Wait(WaitReason::kNoAuthority);
--- a/src/process/order_decision.h
+++ b/src/process/order_decision.h
@@ -90,7 +90,7 @@
 };
 
 // Inputs of Decide().
-struct OrderSituation {
+struct DecisionInputs {
   base::Time now{};
   // Fencing token for orders; empty while this instance must not send any.
   std::optional<base::FencingToken> authority;
@@ -143,7 +143,7 @@
 };
 
 // Thread-safe.
-OrderDecision Decide(const OrderSituation& situation,
+OrderDecision Decide(const DecisionInputs& situation,
                      const DecisionSettings& settings);
 
 // Whether `order` may be sent, given the state that the engine reported on the
