--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -167,7 +167,7 @@
   situation.permit_held = permit_.has_value();
   situation.permit_free = now >= permit_retry_;
   situation.capacity_allows = capacity_allows_;
-  situation.load_allowed = context_.pacer->Allows(now);
+  situation.load_allowed = context_.load_limiter->Allows(now);
   return situation;
 }
 
@@ -320,7 +320,7 @@
   order.holder = context_.instance;
   order.target = record.target;
   if (decision.loads_weights) {
-    context_.pacer->Take(now);
+    context_.load_limiter->RecordLoad(now);
   }
   // A copy is safe on another thread: the deadline only moves later while the
   // lease is held.
--- a/src/process/engine_driver.h
+++ b/src/process/engine_driver.h
@@ -18,7 +18,7 @@
 #include "connection/engine_admin.h"
 #include "process/change_permits.h"
 #include "process/fleet_status.h"
-#include "process/load_pacer.h"
+#include "process/load_rate_limiter.h"
 #include "process/order_decision.h"
 #include "process/order_hooks.h"
 #include "process/order_journal.h"
@@ -41,7 +41,7 @@
   CallRunner run_store;
   CallRunner run_engine;
   ShardLease* lease = nullptr;
-  LoadPacer* pacer = nullptr;
+  LoadRateLimiter* load_limiter = nullptr;
   base::Metrics* metrics = nullptr;
   // Orders of earlier holders may still arrive before this time.
   base::Time quiet_until{};
--- a/src/process/load_pacer.cc
+++ b/src/process/load_rate_limiter.cc
@@ -1,12 +1,12 @@
-#include "process/load_pacer.h"
+#include "process/load_rate_limiter.h"
 
 namespace lynxglade::process {
 
-void LoadPacer::SetRate(double loads_per_minute) noexcept {
+void LoadRateLimiter::SetRate(double loads_per_minute) noexcept {
   loads_per_minute_ = loads_per_minute;
 }
 
-bool LoadPacer::Allows(base::Time now) const noexcept {
+bool LoadRateLimiter::Allows(base::Time now) const noexcept {
   if (loads_per_minute_ <= 0) {
     return false;
   }
@@ -18,7 +18,7 @@
   return elapsed_minutes * loads_per_minute_ >= 1.0;
 }
 
-void LoadPacer::Take(base::Time now) noexcept {
+void LoadRateLimiter::RecordLoad(base::Time now) noexcept {
   taken_ = true;
   last_ = now;
 }
--- a/src/process/load_pacer.h
+++ b/src/process/load_rate_limiter.h
@@ -1,7 +1,7 @@
 // Limits the rate of weight loads to this holder's share of the weight store's
 // limit.
-#ifndef LYNXGLADE_PROCESS_LOAD_PACER_H_
-#define LYNXGLADE_PROCESS_LOAD_PACER_H_
+#ifndef LYNXGLADE_PROCESS_LOAD_RATE_LIMITER_H_
+#define LYNXGLADE_PROCESS_LOAD_RATE_LIMITER_H_
 
 #include "base/time.h"
 
@@ -10,7 +10,7 @@
 // Permits one load at a time at a fixed interval. There are no bursts, so the
 // holders of all shards together stay within the limit if each keeps to its
 // share. Not thread-safe.
-class LoadPacer {
+class LoadRateLimiter {
  public:
   // `loads_per_minute` is this holder's share of the store's limit; 0 or less
   // permits no load.
@@ -18,7 +18,7 @@
 
   bool Allows(base::Time now) const noexcept;
   // Records a load that is about to be ordered.
-  void Take(base::Time now) noexcept;
+  void RecordLoad(base::Time now) noexcept;
 
  private:
   double loads_per_minute_ = 0;
@@ -28,4 +28,4 @@
 
 }  // namespace lynxglade::process
 
-#endif  // LYNXGLADE_PROCESS_LOAD_PACER_H_
+#endif  // LYNXGLADE_PROCESS_LOAD_RATE_LIMITER_H_
--- a/src/process/order_coordinator.cc
+++ b/src/process/order_coordinator.cc
@@ -72,7 +72,7 @@
   context_.run_store = std::move(dependencies.run_store);
   context_.run_engine = std::move(dependencies.run_engine);
   context_.lease = &lease_;
-  context_.pacer = &pacer_;
+  context_.load_limiter = &load_limiter_;
   context_.metrics = dependencies.metrics;
 }
 
@@ -98,7 +98,7 @@
   }
   SetDesired();
   SetCapacity();
-  SetPace();
+  SetLoadRate();
   std::ranges::for_each(drivers_, [](auto& it) { it.second->Step(); });
   PublishChanges(now);
 }
@@ -392,11 +392,11 @@
   }
 }
 
-void OrderCoordinator::SetPace() {
+void OrderCoordinator::SetLoadRate() {
   const double own = static_cast<double>(drivers_.size());
   const double all =
       static_cast<double>(std::max<std::size_t>(rows_.size(), 1));
-  pacer_.SetRate(hooks_.weight_loads_per_minute() * own / all);
+  load_limiter_.SetRate(hooks_.weight_loads_per_minute() * own / all);
 }
 
 // --- Publication -------------------------------------------------------------
--- a/src/process/order_coordinator.h
+++ b/src/process/order_coordinator.h
@@ -81,7 +81,7 @@
   void FreeOrphan(const Permit& permit);
   void SetDesired();
   void SetCapacity();
-  void SetPace();
+  void SetLoadRate();
   void PublishChanges(base::Time now);
   void Publish(const EngineStatus& status, base::Time now);
   bool DriversBusy() const;
@@ -91,7 +91,7 @@
   const int shard_;
   const OrderHooks hooks_;
   ShardLease lease_;
-  LoadPacer pacer_;
+  LoadRateLimiter load_limiter_;
   Drivers drivers_;
   // All known engines of all zones, and the plain targets of this shard.
   std::vector<EngineRow> rows_;
