--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -79,7 +79,7 @@
 void EngineDriver::SetRow(EngineRow row) {
   if (row.endpoint.address != row_.endpoint.address ||
       row.endpoint.port != row_.endpoint.port) {
-    evidence_.reset();
+    observation_.reset();
   }
   row_ = std::move(row);
 }
@@ -95,22 +95,24 @@
 }
 
 bool EngineDriver::examined() const noexcept {
-  return journal_.loaded() && (evidence_ || unreachable_since_);
+  return journal_.loaded() && (observation_ || unreachable_since_);
 }
 
 std::optional<connection::EngineTargetState> EngineDriver::Content() const {
   const auto& record = journal_.record();
-  const bool known = evidence_ && evidence_->state.phase == EnginePhase::kReady;
+  const bool known =
+      observation_ && observation_->state.phase == EnginePhase::kReady;
   if (record && (IsOpen(record->phase) || !known)) {
     return record->target;
   }
-  return evidence_ ? std::optional(evidence_->state.current) : std::nullopt;
+  return observation_ ? std::optional(observation_->state.current)
+                      : std::nullopt;
 }
 
 bool EngineDriver::Serving() const {
-  return evidence_ && !unreachable_since_ &&
-         evidence_->state.phase == EnginePhase::kReady &&
-         !evidence_->state.current.draining && !row_.leaving;
+  return observation_ && !unreachable_since_ &&
+         observation_->state.phase == EnginePhase::kReady &&
+         !observation_->state.current.draining && !row_.leaving;
 }
 
 EngineStatus EngineDriver::Status() const {
@@ -121,7 +123,7 @@
   status.fenced = row_.fenced;
   status.intended = desired_;
   status.ordered = journal_.record();
-  status.observed = evidence_;
+  status.observed = observation_;
   status.step = decision_.step;
   status.reason = decision_.reason;
   status.waiting_since = waiting_since_;
@@ -130,11 +132,11 @@
   const auto& record = journal_.record();
   if (row_.leaving) {
     status.state = TargetState::kLeaving;
-  } else if (evidence_ && evidence_->state.phase != EnginePhase::kReady) {
+  } else if (observation_ && observation_->state.phase != EnginePhase::kReady) {
     status.state = decision_.reason == WaitReason::kIsolated
                        ? TargetState::kEjected
                        : TargetState::kChanging;
-  } else if ((evidence_ && evidence_->state.current.draining) ||
+  } else if ((observation_ && observation_->state.current.draining) ||
              (record && IsOpen(record->phase) && record->target.draining)) {
     status.state = TargetState::kDraining;
   }
@@ -155,12 +157,13 @@
   situation.journal_loaded = journal_.loaded();
   situation.journal_unreadable = journal_unreadable_;
   situation.record = journal_.record();
-  situation.evidence = evidence_;
+  situation.observation = observation_;
   situation.unreachable_since = unreachable_since_;
   situation.last_read_attempt = last_read_attempt_;
   situation.sent = sent_;
   situation.desired = desired_;
-  situation.fenced = row_.fenced && (!evidence_ || evidence_->state.fenced);
+  situation.fenced =
+      row_.fenced && (!observation_ || observation_->state.fenced);
   situation.quiet_until =
       inherited_ ? std::max(context_.quiet_until, unanswered_until_)
                  : unanswered_until_;
@@ -174,7 +177,7 @@
 DecisionSettings EngineDriver::Settings() const {
   DecisionSettings settings;
   settings.holder = context_.instance;
-  settings.evidence_max_age = 4 * context_.settings.tick;
+  settings.observation_max_age = 4 * context_.settings.tick;
   settings.busy_interval = 2 * context_.settings.tick;
   settings.idle_interval = context_.settings.read_back_interval;
   settings.retry_pause = 4 * context_.settings.tick;
@@ -252,7 +255,7 @@
             return;
           }
           unreachable_since_.reset();
-          evidence_ = EngineEvidence{*state, requested_at};
+          observation_ = EngineObservation{*state, requested_at};
           Step();
         };
       });
@@ -302,7 +305,7 @@
       context_.lease->OnGuardFailed(context_.clock());
       return;
     case JournalWriteResult::kOvertaken:
-      evidence_.reset();
+      observation_.reset();
       return;
   }
 }
@@ -350,7 +353,7 @@
     sent_ = SentOrder{order.generation, order.fence, attempt,
                       answer && answer->accepted, now};
   } else {
-    evidence_.reset();
+    observation_.reset();
   }
   if (left && !answer) {
     unanswered_until_ = now + context_.settings.engine_connection_bound +
@@ -376,10 +379,11 @@
 
 void EngineDriver::CountChange(
     const connection::EngineTargetState& target) const {
-  if (!evidence_ || connection::SameContent(evidence_->state.current, target)) {
+  if (!observation_ ||
+      connection::SameContent(observation_->state.current, target)) {
     return;
   }
-  const bool role = evidence_->state.current.role != target.role;
+  const bool role = observation_->state.current.role != target.role;
   context_.metrics
       ->GetCounter("lynxglade_engine_changes_total",
                    {{"kind", role ? "role" : "weights"}})
--- a/src/process/engine_driver.h
+++ b/src/process/engine_driver.h
@@ -117,7 +117,7 @@
   bool inherited_ = false;
   // A write was not answered; the record has to be read before the next write.
   bool journal_read_needed_ = false;
-  std::optional<EngineEvidence> evidence_;
+  std::optional<EngineObservation> observation_;
   std::optional<base::Time> unreachable_since_;
   base::Time last_read_attempt_{};
   std::optional<SentOrder> sent_;
--- a/src/process/fleet_status.cc
+++ b/src/process/fleet_status.cc
@@ -23,15 +23,15 @@
   return json;
 }
 
-Json EncodeObserved(const EngineEvidence& evidence, base::Time now) {
-  const connection::EngineState& state = evidence.state;
+Json EncodeObserved(const EngineObservation& observation, base::Time now) {
+  const connection::EngineState& state = observation.state;
   Json json = connection::EncodeTargetState(state.current);
   json["phase"] = std::string(connection::ToString(state.phase));
   json["in_flight"] = state.in_flight;
   json["generation"] = state.generation.value();
   json["fence"] = state.fence.value();
   json["incarnation"] = state.incarnation;
-  json["age_ms"] = base::ToMillis(now - evidence.requested_at);
+  json["age_ms"] = base::ToMillis(now - observation.requested_at);
   return json;
 }
 
--- a/src/process/fleet_status.h
+++ b/src/process/fleet_status.h
@@ -12,9 +12,9 @@
 #include "base/ids.h"
 #include "base/time.h"
 #include "connection/engine_admin.h"
-#include "process/shard_lease.h"
 #include "process/order_decision.h"
 #include "process/order_journal.h"
+#include "process/shard_lease.h"
 #include "request/target.h"
 
 namespace lynxglade::process {
@@ -29,7 +29,7 @@
   request::TargetState state = request::TargetState::kServing;
   std::optional<connection::EngineTargetState> intended;
   std::optional<JournalRecord> ordered;
-  std::optional<EngineEvidence> observed;
+  std::optional<EngineObservation> observed;
   OrderStep step = OrderStep::kWait;
   WaitReason reason = WaitReason::kNone;
   base::Time waiting_since{};
--- a/src/process/order_decision.cc
+++ b/src/process/order_decision.cc
@@ -53,7 +53,7 @@
   Decider(const DecisionInputs& situation, const DecisionSettings& settings)
       : in_(situation),
         settings_(settings),
-        state_(situation.evidence->state) {}
+        state_(situation.observation->state) {}
 
   OrderDecision Run() const {
     if (state_.fence > *in_.authority) {
@@ -98,7 +98,7 @@
   // Whether the observation was requested after the last call to send an order
   // returned, so that it can show the order's effect.
   bool Judgeable() const {
-    return !in_.sent || in_.evidence->requested_at >= in_.sent->done_at;
+    return !in_.sent || in_.observation->requested_at >= in_.sent->done_at;
   }
 
   bool SentByUs() const {
@@ -260,7 +260,7 @@
       return false;
     }
     return in_.now < in_.quiet_until ||
-           in_.evidence->requested_at < in_.quiet_until;
+           in_.observation->requested_at < in_.quiet_until;
   }
 
   // The engine has recorded the current token and the last generation, so it
@@ -299,10 +299,10 @@
 }
 
 // Maximum age of the observation for a decision to be used.
-base::Duration EvidenceBound(const OrderDecision& decision,
-                             const DecisionSettings& settings) {
+base::Duration MaxObservationAge(const OrderDecision& decision,
+                                 const DecisionSettings& settings) {
   if (IsAct(decision.step)) {
-    return settings.evidence_max_age;
+    return settings.observation_max_age;
   }
   const bool idle = decision.step == OrderStep::kDone ||
                     decision.reason == WaitReason::kNothingIntended ||
@@ -390,12 +390,13 @@
         situation.now >= situation.last_read_attempt + settings.idle_interval;
     return due ? Take(OrderStep::kReadBack) : Wait(WaitReason::kUnreachable);
   }
-  if (!situation.evidence) {
+  if (!situation.observation) {
     return Take(OrderStep::kReadBack);
   }
   OrderDecision decision = Decider(situation, settings).Run();
-  const base::Duration age = situation.now - situation.evidence->requested_at;
-  const bool too_old = age > EvidenceBound(decision, settings);
+  const base::Duration age =
+      situation.now - situation.observation->requested_at;
+  const bool too_old = age > MaxObservationAge(decision, settings);
   return too_old ? Take(OrderStep::kReadBack) : decision;
 }
 
--- a/src/process/order_decision.h
+++ b/src/process/order_decision.h
@@ -73,7 +73,7 @@
 std::string_view ToString(WaitReason reason) noexcept;
 
 // State that an engine reported, and when the request for it was sent.
-struct EngineEvidence {
+struct EngineObservation {
   connection::EngineState state;
   base::Time requested_at{};
 };
@@ -97,7 +97,7 @@
   bool journal_loaded = false;
   bool journal_unreadable = false;
   std::optional<JournalRecord> record;
-  std::optional<EngineEvidence> evidence;
+  std::optional<EngineObservation> observation;
   // Set while reads of the engine's state fail: when the first of them was
   // sent.
   std::optional<base::Time> unreachable_since;
@@ -120,7 +120,7 @@
   base::InstanceId holder;
   // An observation older than this is refreshed before a step with side
   // effects.
-  base::Duration evidence_max_age = std::chrono::seconds(1);
+  base::Duration observation_max_age = std::chrono::seconds(1);
   // Read-back interval while a change is in progress.
   base::Duration busy_interval = std::chrono::milliseconds(500);
   // Read-back interval while there is nothing to do for the engine.
