--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -29,7 +29,7 @@
     return;
   }
   const base::Time now = context_.clock();
-  const auto fence = context_.lease->MayOrder(now);
+  const auto fence = context_.lease->FenceForOrders(now);
   const OrderDecision decision = Decide(Situation(now), Settings());
   Note(decision, now);
   if (!fence) {
@@ -153,7 +153,7 @@
 DecisionInputs EngineDriver::Situation(base::Time now) const {
   DecisionInputs situation;
   situation.now = now;
-  situation.authority = context_.lease->MayOrder(now);
+  situation.authority = context_.lease->FenceForOrders(now);
   situation.journal_loaded = journal_.loaded();
   situation.journal_unreadable = journal_unreadable_;
   situation.record = journal_.record();
--- a/src/process/order_coordinator.cc
+++ b/src/process/order_coordinator.cc
@@ -85,7 +85,7 @@
   if (stopping_ || !FollowAuthority()) {
     return;
   }
-  if (!lease_.MayOrder(now)) {
+  if (!lease_.FenceForOrders(now)) {
     // Updates the reported status only; no step is taken without authority.
     std::ranges::for_each(drivers_, [](auto& it) { it.second->Step(); });
     return;
--- a/src/process/shard_lease.cc
+++ b/src/process/shard_lease.cc
@@ -232,7 +232,8 @@
   holder_.reset();
 }
 
-std::optional<base::FencingToken> ShardLease::MayOrder(base::Time now) const {
+std::optional<base::FencingToken> ShardLease::FenceForOrders(
+    base::Time now) const {
   if (state_ != LeaseState::kHeld || now >= OrderDeadline()) {
     return std::nullopt;
   }
--- a/src/process/shard_lease.h
+++ b/src/process/shard_lease.h
@@ -101,7 +101,7 @@
 
   // Fencing token for orders until OrderDeadline(); empty if the lease is not
   // held or the deadline has passed.
-  std::optional<base::FencingToken> MayOrder(base::Time now) const;
+  std::optional<base::FencingToken> FenceForOrders(base::Time now) const;
 
   // No order may be sent from this time on. Only a confirmed renewal moves it,
   // and only to later, so another thread can use a copy of it while the lease
--- a/tests/process/shard_lease_test.cc
+++ b/tests/process/shard_lease_test.cc
@@ -61,23 +61,24 @@
   Grant(kStart);
   // The answer took 12 s; the service has counted since the grant.
   lease_.OnCreate(kStart + seconds(12), Committed(40), KvError::kNone);
-  EXPECT_EQ(lease_.MayOrder(kStart + seconds(19)), base::FencingToken(40));
-  EXPECT_FALSE(lease_.MayOrder(kStart + seconds(20)));
+  EXPECT_EQ(lease_.FenceForOrders(kStart + seconds(19)),
+            base::FencingToken(40));
+  EXPECT_FALSE(lease_.FenceForOrders(kStart + seconds(20)));
   // A renewal sent at 13 s and answered at 25 s holds until 13 + 30 - 10.
   EXPECT_EQ(lease_.Next(kStart + seconds(13))->kind, LeaseCallKind::kKeepAlive);
   lease_.OnKeepAlive(kStart + seconds(25), seconds(30), KvError::kNone);
-  EXPECT_TRUE(lease_.MayOrder(kStart + seconds(32)));
-  EXPECT_FALSE(lease_.MayOrder(kStart + seconds(33)));
+  EXPECT_TRUE(lease_.FenceForOrders(kStart + seconds(32)));
+  EXPECT_FALSE(lease_.FenceForOrders(kStart + seconds(33)));
 }
 
 TEST_F(ShardLeaseTest, LostAnswerOfAClaimIsFoundByItsMark) {
   const std::string value = Grant(kStart);
   lease_.OnCreate(kStart, std::nullopt, KvError::kAmbiguous);
   EXPECT_EQ(lease_.state(), LeaseState::kUncertain);
-  EXPECT_FALSE(lease_.MayOrder(kStart));
+  EXPECT_FALSE(lease_.FenceForOrders(kStart));
   EXPECT_EQ(lease_.Next(kStart)->kind, LeaseCallKind::kRead);
   lease_.OnRead(kStart, Found(value, 77), KvError::kNone);
-  EXPECT_EQ(lease_.MayOrder(kStart), base::FencingToken(77));
+  EXPECT_EQ(lease_.FenceForOrders(kStart), base::FencingToken(77));
 }
 
 TEST_F(ShardLeaseTest, ClaimThatIsNotThereIsMadeHarmless) {
@@ -87,7 +88,7 @@
   lease_.OnRead(kStart, KvRange{}, KvError::kNone);
   // The create may still arrive; without its lease it can't take effect.
   EXPECT_EQ(lease_.Next(kStart)->kind, LeaseCallKind::kRevoke);
-  EXPECT_FALSE(lease_.MayOrder(kStart));
+  EXPECT_FALSE(lease_.FenceForOrders(kStart));
 }
 
 TEST_F(ShardLeaseTest, AnothersKeyIsNotAdopted) {
@@ -96,7 +97,7 @@
   lease_.Next(kStart);
   lease_.OnRead(kStart, Found(R"({"holder":"you","mark":"x"})", 78),
                 KvError::kNone);
-  EXPECT_FALSE(lease_.MayOrder(kStart));
+  EXPECT_FALSE(lease_.FenceForOrders(kStart));
   EXPECT_EQ(lease_.holder()->id, base::InstanceId("you"));
 }
 
@@ -104,7 +105,7 @@
   Grant(kStart);
   lease_.OnCreate(kStart, Committed(40), KvError::kNone);
   const base::Time late = kStart + std::chrono::minutes(5);
-  EXPECT_FALSE(lease_.MayOrder(late));
+  EXPECT_FALSE(lease_.FenceForOrders(late));
   EXPECT_EQ(lease_.Next(late)->kind, LeaseCallKind::kKeepAlive);
   EXPECT_EQ(lease_.state(), LeaseState::kUncertain);
   lease_.OnKeepAlive(late, base::Duration::zero(), KvError::kNone);
@@ -115,7 +116,7 @@
   Grant(kStart);
   lease_.OnCreate(kStart, Committed(40), KvError::kNone);
   lease_.Release();
-  EXPECT_FALSE(lease_.MayOrder(kStart));
+  EXPECT_FALSE(lease_.FenceForOrders(kStart));
   EXPECT_FALSE(lease_.released());
   EXPECT_EQ(lease_.Next(kStart)->kind, LeaseCallKind::kRevoke);
   lease_.OnRevoke(kStart, true);
