--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -94,7 +94,7 @@
   permit_leaving_ = permit_leaving_ && permit_;
 }
 
-bool EngineDriver::examined() const noexcept {
+bool EngineDriver::state_known() const noexcept {
   return journal_.loaded() && (observation_ || unreachable_since_);
 }
 
--- a/src/process/engine_driver.h
+++ b/src/process/engine_driver.h
@@ -74,7 +74,7 @@
   const EngineRow& row() const noexcept { return row_; }
   bool permit_held() const noexcept { return permit_.has_value(); }
   // Whether the journal is loaded and the engine was read or found unreachable.
-  bool examined() const noexcept;
+  bool state_known() const noexcept;
   // State that the engine is in or is changing to; empty if unknown.
   std::optional<connection::EngineTargetState> Content() const;
   // Whether the engine accepted new work at its last read-back and is
--- a/src/process/order_coordinator.cc
+++ b/src/process/order_coordinator.cc
@@ -339,10 +339,10 @@
 // --- Desired state -----------------------------------------------------------
 
 void OrderCoordinator::SetDesired() {
-  const bool examined = std::ranges::all_of(
-      drivers_, [](const auto& it) { return it.second->examined(); });
+  const bool state_known = std::ranges::all_of(
+      drivers_, [](const auto& it) { return it.second->state_known(); });
   const auto configuration = hooks_.configuration();
-  if (!examined || !configuration || configuration->revision.value() == 0) {
+  if (!state_known || !configuration || configuration->revision.value() == 0) {
     return;
   }
   const auto wishes = hooks_.role_wishes();
@@ -403,7 +403,7 @@
 
 void OrderCoordinator::PublishChanges(base::Time now) {
   for (const auto& [id, driver] : drivers_) {
-    if (driver->examined()) {
+    if (driver->state_known()) {
       Publish(driver->Status(), now);
     }
   }
