--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -304,7 +304,7 @@
     case JournalWriteResult::kLeaseLost:
       context_.lease->OnGuardFailed(context_.clock());
       return;
-    case JournalWriteResult::kOvertaken:
+    case JournalWriteResult::kConflict:
       observation_.reset();
       return;
   }
--- a/src/process/order_journal.cc
+++ b/src/process/order_journal.cc
@@ -178,7 +178,7 @@
   const std::string mark = pending_ ? pending_->mark : std::string();
   const bool readable = Load(entry ? std::optional(*entry) : std::nullopt);
   const bool own = readable && record_ && record_->mark == mark;
-  return own ? JournalWriteResult::kStored : JournalWriteResult::kOvertaken;
+  return own ? JournalWriteResult::kStored : JournalWriteResult::kConflict;
 }
 
 }  // namespace lynxglade::process
--- a/src/process/order_journal.h
+++ b/src/process/order_journal.h
@@ -73,7 +73,7 @@
   // The lease key no longer belongs to the writer.
   kLeaseLost,
   // A different record was found and loaded.
-  kOvertaken,
+  kConflict,
 };
 
 struct JournalCommit {
