--- a/bench/planner/policies.cc
+++ b/bench/planner/policies.cc
@@ -208,7 +208,7 @@
       std::ranges::for_each(state->fleet, [&](process::PlannedEngine& it) {
         if (it.state == request::TargetState::kChanging) {
           it.state = request::TargetState::kServing;
-          it.role = state->planner->wishes().at(it.id);
+          it.role = state->planner->requested_roles().at(it.id);
         }
       });
     }
--- a/src/main/orders_part.cc
+++ b/src/main/orders_part.cc
@@ -97,7 +97,7 @@
   process::OrderHooks out;
   out.engines = [this] { return EngineRows(); };
   out.configuration = hooks_.configuration;
-  out.role_wishes = [this] { return planning_.Wishes(); };
+  out.requested_roles = [this] { return planning_.RequestedRoles(); };
   out.weight_loads_per_minute = [this] { return loads_per_minute_.load(); };
   out.publish = hooks_.publish;
   return out;
--- a/src/process/desired_state.cc
+++ b/src/process/desired_state.cc
@@ -99,9 +99,9 @@
                           const ModelGroup& group,
                           const DesiredInputs& inputs) {
   EngineTargetState state;
-  const auto wish = inputs.role_wishes->find(engine.id);
-  state.role =
-      wish == inputs.role_wishes->end() ? engine.current.role : wish->second;
+  const auto wish = inputs.requested_roles->find(engine.id);
+  state.role = wish == inputs.requested_roles->end() ? engine.current.role
+                                                     : wish->second;
   state.model = group.key.model;
   state.version = group.key.version;
   state.adapters.assign(group.adapters.begin(), group.adapters.end());
--- a/src/process/desired_state.h
+++ b/src/process/desired_state.h
@@ -26,7 +26,8 @@
 
 struct DesiredInputs {
   const version::Configuration* configuration = nullptr;
-  const std::map<base::TargetId, request::EngineRole>* role_wishes = nullptr;
+  const std::map<base::TargetId, request::EngineRole>* requested_roles =
+      nullptr;
   const std::set<base::TargetId>* drains = nullptr;
 };
 
--- a/src/process/order_coordinator.cc
+++ b/src/process/order_coordinator.cc
@@ -345,7 +345,7 @@
   if (!state_known || !configuration || configuration->revision.value() == 0) {
     return;
   }
-  const auto wishes = hooks_.role_wishes();
+  const auto requested_roles = hooks_.requested_roles();
   std::vector<EngineContent> contents;
   for (const auto& [id, driver] : drivers_) {
     if (auto content = driver->Content()) {
@@ -355,7 +355,7 @@
   }
   DesiredInputs inputs;
   inputs.configuration = configuration.get();
-  inputs.role_wishes = &wishes;
+  inputs.requested_roles = &requested_roles;
   inputs.drains = &drains_;
   const auto desired = DesiredStates(contents, inputs);
   for (auto& [id, driver] : drivers_) {
--- a/src/process/order_hooks.h
+++ b/src/process/order_hooks.h
@@ -68,7 +68,8 @@
   std::function<std::vector<EngineRow>()> engines;
   std::function<std::shared_ptr<const version::Configuration>()> configuration;
   // Roles that the planner requests; engines not in the map keep theirs.
-  std::function<std::map<base::TargetId, request::EngineRole>()> role_wishes;
+  std::function<std::map<base::TargetId, request::EngineRole>()>
+      requested_roles;
   // Weight loads per minute that the weight store permits to the whole fleet; 0
   // if unknown, then no load is ordered.
   std::function<int()> weight_loads_per_minute;
--- a/src/process/role_planner.cc
+++ b/src/process/role_planner.cc
@@ -270,7 +270,7 @@
     decision.reason = RoleReason::kUncertain;
   } else {
     decision.reason = RoleReason::kChange;
-    wishes_[decision.move->engine] = best->to;
+    requested_roles_[decision.move->engine] = best->to;
     pending_ = decision.move;
     pending_since_ = clock_();
   }
@@ -307,14 +307,14 @@
   return value;
 }
 
-void RolePlanner::ForgetWishes() noexcept {
-  wishes_.clear();
+void RolePlanner::ClearRequestedRoles() noexcept {
+  requested_roles_.clear();
   pending_.reset();
 }
 
 std::optional<RoleReason> RolePlanner::Hold(
     const std::vector<PlannedEngine>& fleet) {
-  std::erase_if(wishes_, [&](const auto& wish) {
+  std::erase_if(requested_roles_, [&](const auto& wish) {
     return std::ranges::find(fleet, wish.first, &PlannedEngine::id) ==
            fleet.end();
   });
@@ -322,7 +322,7 @@
     if (clock_() - pending_since_ < options_.give_up_after) {
       return RoleReason::kChangeUnderWay;
     }
-    wishes_.erase(pending_->engine);
+    requested_roles_.erase(pending_->engine);
     pending_.reset();
     last_change_ = clock_();
     return RoleReason::kGaveUp;
--- a/src/process/role_planner.h
+++ b/src/process/role_planner.h
@@ -145,11 +145,12 @@
 
   // Clears requested_roles(), for example when another instance plans. Demand
   // estimates are kept.
-  void ForgetWishes() noexcept;
+  void ClearRequestedRoles() noexcept;
 
   // Requested roles; engines not in the map keep theirs.
-  const std::map<base::TargetId, request::EngineRole>& wishes() const noexcept {
-    return wishes_;
+  const std::map<base::TargetId, request::EngineRole>& requested_roles()
+      const noexcept {
+    return requested_roles_;
   }
 
   // Estimated demand at `ahead` from now, in tokens per second.
@@ -222,7 +223,7 @@
   DemandEstimator decode_;
   DemandEstimator worth_;
   std::deque<PastDemand> history_;
-  std::map<base::TargetId, request::EngineRole> wishes_;
+  std::map<base::TargetId, request::EngineRole> requested_roles_;
   std::optional<RoleMove> pending_;
   base::Time pending_since_{};
   std::optional<base::Time> last_change_;
--- a/src/process/role_planning.cc
+++ b/src/process/role_planning.cc
@@ -109,7 +109,7 @@
   }
   const auto offered = hooks_.offered();
   const auto targets = hooks_.targets();
-  std::map<base::TargetId, request::EngineRole> wishes;
+  std::map<base::TargetId, request::EngineRole> requested_roles;
   {
     const std::lock_guard lock(planners_mutex_);
     std::erase_if(lines_, [&](const auto& it) {
@@ -126,19 +126,19 @@
                   targets, elapsed);
       const Line& line = lines_[name];
       if (line.planner) {
-        wishes.insert(line.planner->wishes().begin(),
-                      line.planner->wishes().end());
+        requested_roles.insert(line.planner->requested_roles().begin(),
+                               line.planner->requested_roles().end());
       }
     }
   }
-  const std::lock_guard lock(wishes_mutex_);
-  wishes_ = std::move(wishes);
+  const std::lock_guard lock(requested_roles_mutex_);
+  requested_roles_ = std::move(requested_roles);
 }
 
-std::map<base::TargetId, request::EngineRole> RolePlanning::Wishes() {
-  const std::lock_guard lock(wishes_mutex_);
+std::map<base::TargetId, request::EngineRole> RolePlanning::RequestedRoles() {
+  const std::lock_guard lock(requested_roles_mutex_);
   asked_ = hooks_.clock();
-  return wishes_;
+  return requested_roles_;
 }
 
 std::string RolePlanning::StatusJson() const {
@@ -177,7 +177,7 @@
   }
   line.before = offered;
   if (!IsAsked()) {
-    line.planner->ForgetWishes();
+    line.planner->ClearRequestedRoles();
     line.in_turn = false;
     return;
   }
@@ -217,7 +217,7 @@
 }
 
 bool RolePlanning::IsAsked() const {
-  const std::lock_guard lock(wishes_mutex_);
+  const std::lock_guard lock(requested_roles_mutex_);
   return asked_ && hooks_.clock() - *asked_ < options_.asked_within;
 }
 
--- a/src/process/role_planning.h
+++ b/src/process/role_planning.h
@@ -76,7 +76,7 @@
 
   // The requested roles, for OrderHooks::requested_roles. A call marks this
   // instance as the holder. Does not block.
-  std::map<base::TargetId, request::EngineRole> Wishes();
+  std::map<base::TargetId, request::EngineRole> RequestedRoles();
 
   // JSON for operators:
   // {"services":{name:{"reason","prefill_tokens_per_s",...}}} with the last
@@ -110,8 +110,8 @@
   std::map<base::ServiceName, Line> lines_;
 
   // Guards what the order service reads; never held while planning.
-  mutable std::mutex wishes_mutex_;
-  std::map<base::TargetId, request::EngineRole> wishes_;
+  mutable std::mutex requested_roles_mutex_;
+  std::map<base::TargetId, request::EngineRole> requested_roles_;
   std::optional<base::Time> asked_;
 };
 
--- a/tests/process/order_service_test.cc
+++ b/tests/process/order_service_test.cc
@@ -94,7 +94,7 @@
     OrderHooks hooks;
     hooks.engines = [this] { return rows_; };
     hooks.configuration = [this] { return configuration_.Get(); };
-    hooks.role_wishes = [] {
+    hooks.requested_roles = [] {
       return std::map<base::TargetId, request::EngineRole>();
     };
     hooks.weight_loads_per_minute = [] { return 60'000; };
--- a/tests/process/order_world.cc
+++ b/tests/process/order_world.cc
@@ -261,7 +261,7 @@
     return rows;
   };
   deps.hooks.configuration = [this] { return configuration_; };
-  deps.hooks.role_wishes = [] {
+  deps.hooks.requested_roles = [] {
     return std::map<base::TargetId, request::EngineRole>();
   };
   deps.hooks.weight_loads_per_minute = [] { return 60; };
--- a/tests/process/role_planner_test.cc
+++ b/tests/process/role_planner_test.cc
@@ -31,17 +31,17 @@
   }
 
   // Starts and completes changes; returns how many engines are out of service.
-  int Obey(const std::map<base::TargetId, EngineRole>& wishes,
+  int Obey(const std::map<base::TargetId, EngineRole>& requested_roles,
            base::Time now,
            base::Duration change_time) {
     int out = 0;
     for (PlannedEngine& it : engines) {
-      const auto wish = wishes.find(it.id);
+      const auto wish = requested_roles.find(it.id);
       if (it.state == TargetState::kChanging && now >= returns_) {
         it.state = TargetState::kServing;
         it.role = wish->second;
-      } else if (it.state == TargetState::kServing && wish != wishes.end() &&
-                 wish->second != it.role) {
+      } else if (it.state == TargetState::kServing &&
+                 wish != requested_roles.end() && wish->second != it.role) {
         it.state = TargetState::kChanging;
         returns_ = now + change_time;
         ++changes;
@@ -91,7 +91,7 @@
     planner->Observe({offered}, seconds(1), kRates,
                      static_cast<int>(fleet->engines.size()));
     const RoleDecision decision = planner->Decide(kRates, fleet->engines);
-    most_out = std::max(most_out, fleet->Obey(planner->wishes(), now_,
+    most_out = std::max(most_out, fleet->Obey(planner->requested_roles(), now_,
                                               options_.out_of_service));
     return decision;
   }
@@ -230,7 +230,7 @@
     decision = drive.Second({3000, 14000}, &stubborn);
   }
   ASSERT_EQ(decision.reason, RoleReason::kChange);
-  ASSERT_EQ(drive.planner->wishes().size(), 1u);
+  ASSERT_EQ(drive.planner->requested_roles().size(), 1u);
   for (int i = 0; i < 29; ++i) {
     stubborn.engines = as_built;
     EXPECT_EQ(drive.Second({3000, 14000}, &stubborn).reason,
@@ -238,7 +238,7 @@
   }
   stubborn.engines = as_built;
   EXPECT_EQ(drive.Second({3000, 14000}, &stubborn).reason, RoleReason::kGaveUp);
-  EXPECT_TRUE(drive.planner->wishes().empty());
+  EXPECT_TRUE(drive.planner->requested_roles().empty());
 }
 
 TEST(RolePlannerTest, PrefersAnEngineThatChecksFences) {
--- a/tests/process/role_planning_test.cc
+++ b/tests/process/role_planning_test.cc
@@ -60,7 +60,7 @@
     for (const auto& [zone, planning] : planning_) {
       planning->Tick();
       if (asked[zone]) {
-        Obey(zone, planning->Wishes());
+        Obey(zone, planning->RequestedRoles());
       }
     }
     EndChanges();
@@ -95,10 +95,10 @@
   }
 
   void Obey(const std::string& zone,
-            const std::map<base::TargetId, EngineRole>& wishes) {
+            const std::map<base::TargetId, EngineRole>& requested_roles) {
     for (Target& it : targets_) {
-      const auto wish = wishes.find(it.id);
-      if (wish == wishes.end()) {
+      const auto wish = requested_roles.find(it.id);
+      if (wish == requested_roles.end()) {
         continue;
       }
       // The holder of a zone sends orders only to engines of its zone.
@@ -155,7 +155,7 @@
   EXPECT_GE(zones.Changed("a"), 1);
   EXPECT_EQ(zones.Changed("b"), 0);
   // Requested roles must not be left over from before its first call.
-  EXPECT_TRUE(zones.planning("b").Wishes().empty());
+  EXPECT_TRUE(zones.planning("b").RequestedRoles().empty());
   const std::string status = zones.planning("b").StatusJson();
   EXPECT_NE(status.find("\"prefill_tokens_per_s\":5"), std::string::npos)
       << status;
