--- a/src/process/role_planner.cc
+++ b/src/process/role_planner.cc
@@ -319,7 +319,7 @@
            fleet.end();
   });
   if (Pending(fleet)) {
-    if (clock_() - pending_since_ < options_.give_up_after) {
+    if (clock_() - pending_since_ < options_.change_timeout) {
       return RoleReason::kChangeUnderWay;
     }
     requested_roles_.erase(pending_->engine);
--- a/src/process/role_planner.h
+++ b/src/process/role_planner.h
@@ -39,7 +39,7 @@
   // Minimum time from the end of a change to the next.
   base::Duration cool_down = std::chrono::seconds(0);
   // A requested change that is not complete after this is withdrawn.
-  base::Duration give_up_after = std::chrono::minutes(5);
+  base::Duration change_timeout = std::chrono::minutes(5);
   // No change is requested before demand has been observed for this long.
   base::Duration least_observed = std::chrono::seconds(20);
   base::Duration fast_window = std::chrono::seconds(10);
--- a/tests/process/role_planner_test.cc
+++ b/tests/process/role_planner_test.cc
@@ -221,7 +221,7 @@
 TEST(RolePlannerTest, WithdrawsAWishThatDoesNotComeTrue) {
   RolePlannerOptions options;
   options.price = base::Worth(0);
-  options.give_up_after = seconds(30);
+  options.change_timeout = seconds(30);
   Drive drive(options);
   ObedientFleet stubborn(8, 4, 0);
   const std::vector<PlannedEngine> as_built = stubborn.engines;
