--- a/src/process/role_planner.cc
+++ b/src/process/role_planner.cc
@@ -140,7 +140,7 @@
       return "change_under_way";
     case RoleReason::kCoolDown:
       return "cool_down";
-    case RoleReason::kGaveUp:
+    case RoleReason::kTimedOut:
       return "gave_up";
     case RoleReason::kNoMove:
       return "no_move";
@@ -325,7 +325,7 @@
     requested_roles_.erase(pending_->engine);
     pending_.reset();
     last_change_ = clock_();
-    return RoleReason::kGaveUp;
+    return RoleReason::kTimedOut;
   }
   if (std::ranges::any_of(fleet, IsOut)) {
     return RoleReason::kChangeUnderWay;
--- a/src/process/role_planner.h
+++ b/src/process/role_planner.h
@@ -103,7 +103,7 @@
   kTooFewSamples,   // demand not observed for long enough
   kChangeUnderWay,  // an engine is draining or changing
   kCoolDown,        // less than cool_down since the last change
-  kGaveUp,          // the last change timed out and was withdrawn
+  kTimedOut,        // the last change timed out and was withdrawn
   kNoMove,          // no role has an engine to spare
   kNoGain,          // no change would serve more
   kBelowCost,       // the gain of the best change is below its cost
--- a/tests/process/role_planner_test.cc
+++ b/tests/process/role_planner_test.cc
@@ -237,7 +237,8 @@
               RoleReason::kChangeUnderWay);
   }
   stubborn.engines = as_built;
-  EXPECT_EQ(drive.Second({3000, 14000}, &stubborn).reason, RoleReason::kGaveUp);
+  EXPECT_EQ(drive.Second({3000, 14000}, &stubborn).reason,
+            RoleReason::kTimedOut);
   EXPECT_TRUE(drive.planner->requested_roles().empty());
 }
 
