--- a/bench/slices_placements.cc
+++ b/bench/slices_placements.cc
@@ -34,7 +34,7 @@
   Homes homes;
   std::ranges::transform(
       targets, std::back_inserter(homes),
-      [&](const base::TargetId& target) { return slices.HomeOf(target); });
+      [&](const base::TargetId& target) { return slices.OwnerOf(target); });
   return homes;
 }
 
--- a/src/process/fleet_watch.cc
+++ b/src/process/fleet_watch.cc
@@ -80,7 +80,7 @@
   std::ranges::copy_if(
       rows, std::back_inserter(out), [&](const ListedTarget& listed) {
         const bool mine = listed.row.zone == options_.zone &&
-                          slices.HomeOf(listed.row.id) == options_.instance;
+                          slices.OwnerOf(listed.row.id) == options_.instance;
         return mine || !listed.known;
       });
   return out;
--- a/src/process/slices.cc
+++ b/src/process/slices.cc
@@ -43,7 +43,7 @@
       [](const SliceMember& m) { return base::Hash64(m.id.str()); });
 }
 
-const base::InstanceId& Slices::HomeOf(
+const base::InstanceId& Slices::OwnerOf(
     const base::TargetId& target) const noexcept {
   const std::uint64_t key = base::Hash64(target.str());
   const base::InstanceId* home = &nobody_;
@@ -62,9 +62,10 @@
     const base::InstanceId& instance,
     const std::vector<base::TargetId>& targets) const {
   std::vector<base::TargetId> slice;
-  std::ranges::copy_if(
-      targets, std::back_inserter(slice),
-      [&](const base::TargetId& target) { return HomeOf(target) == instance; });
+  std::ranges::copy_if(targets, std::back_inserter(slice),
+                       [&](const base::TargetId& target) {
+                         return OwnerOf(target) == instance;
+                       });
   return slice;
 }
 
--- a/src/process/slices.h
+++ b/src/process/slices.h
@@ -29,7 +29,7 @@
   explicit Slices(std::vector<SliceMember> members);
 
   // The home of a target; empty id when there is no member with a weight.
-  const base::InstanceId& HomeOf(const base::TargetId& target) const noexcept;
+  const base::InstanceId& OwnerOf(const base::TargetId& target) const noexcept;
 
   // Of `targets`, those whose home is `instance`, in their order.
   std::vector<base::TargetId> SliceOf(
--- a/tests/process/slices_test.cc
+++ b/tests/process/slices_test.cc
@@ -40,8 +40,8 @@
   members.erase(members.begin() + static_cast<std::ptrdiff_t>(gone));
   const Slices after(members);
   for (const auto& target : targets) {
-    const auto& home = before.HomeOf(target);
-    const auto& now = after.HomeOf(target);
+    const auto& home = before.OwnerOf(target);
+    const auto& now = after.OwnerOf(target);
     const bool right = home == gone_id ? now != gone_id : now == home;
     RC_ASSERT(right);
   }
@@ -54,9 +54,9 @@
   members[grown].weight = 1.0 + *rc::gen::inRange(1, 100) / 10.0;
   const Slices after(members);
   for (const auto& target : Targets(300)) {
-    const auto& home = after.HomeOf(target);
+    const auto& home = after.OwnerOf(target);
     const bool right =
-        home == before.HomeOf(target) || home == members[grown].id;
+        home == before.OwnerOf(target) || home == members[grown].id;
     RC_ASSERT(right);
   }
 }
@@ -69,7 +69,7 @@
   const Slices slices(members);
   constexpr int kTargets = 24000;
   for (const auto& target : Targets(kTargets)) {
-    ++count[slices.HomeOf(target).str()];
+    ++count[slices.OwnerOf(target).str()];
   }
   // Weights sum to 12; five standard deviations of a binomial.
   const auto expect_share = [&](const std::string& id, double share) {
@@ -90,7 +90,7 @@
     sum += slices.SliceOf(member.id, targets).size();
   }
   EXPECT_EQ(sum, targets.size());
-  EXPECT_TRUE(Slices({}).HomeOf(targets[0]).empty());
+  EXPECT_TRUE(Slices({}).OwnerOf(targets[0]).empty());
 }
 
 // Greatest number of links that a fact crosses from the first candidate.
