--- a/src/process/serving_plane.cc
+++ b/src/process/serving_plane.cc
@@ -399,7 +399,7 @@
                   {{"reason", std::string(request::ToString(report.refusal))}})
       .Add();
   if (report.refusal == TargetRefusal::kDraining) {
-    registry_.OnRefusedAs(target.id, request::TargetState::kDraining);
+    registry_.OnTargetRefusal(target.id, request::TargetState::kDraining);
   }
 }
 
--- a/src/process/target_registry.cc
+++ b/src/process/target_registry.cc
@@ -166,7 +166,8 @@
   }
 }
 
-void TargetRegistry::OnRefusedAs(const base::TargetId& id, TargetState state) {
+void TargetRegistry::OnTargetRefusal(const base::TargetId& id,
+                                     TargetState state) {
   std::lock_guard lock(mutex_);
   const auto it = records_.find(id);
   if (it == records_.end()) {
--- a/src/process/target_registry.h
+++ b/src/process/target_registry.h
@@ -42,7 +42,7 @@
   void OnTargetView(const ViewItem& item);
   // The target itself said that it takes no new work now. Holds until a newer
   // load report or view says otherwise.
-  void OnRefusedAs(const base::TargetId& id, request::TargetState state);
+  void OnTargetRefusal(const base::TargetId& id, request::TargetState state);
 
   // Makes a new index when something changed since the last. Call a few times
   // a second; changes of state are published at once without it.
--- a/tests/process/target_registry_test.cc
+++ b/tests/process/target_registry_test.cc
@@ -80,7 +80,7 @@
 }
 
 TEST_F(TargetRegistryTest, RefusalAsDrainingHoldsUntilANewerReport) {
-  registry_.OnRefusedAs(base::TargetId("e1"), TargetState::kDraining);
+  registry_.OnTargetRefusal(base::TargetId("e1"), TargetState::kDraining);
   EXPECT_EQ(State(), TargetState::kDraining);
   registry_.OnLoad(Report("a", 1));
   EXPECT_EQ(State(), TargetState::kDraining);
