--- a/src/process/link_choice.cc
+++ b/src/process/link_choice.cc
@@ -16,7 +16,7 @@
 
 using Ids = std::vector<base::InstanceId>;
 
-// Ids in the order of their hashes under `salt`, which all instances share.
+// Sorts by salted hash; all instances get the same order.
 void SortByHash(Ids* ids, std::string_view salt) {
   std::vector<std::pair<std::uint64_t, base::InstanceId>> ranked;
   std::ranges::transform(*ids, std::back_inserter(ranked),
@@ -28,7 +28,7 @@
                          [](const auto& entry) { return entry.second; });
 }
 
-std::size_t PlaceOf(const Ids& ids, const base::InstanceId& id) {
+std::size_t IndexOf(const Ids& ids, const base::InstanceId& id) {
   return static_cast<std::size_t>(std::ranges::find(ids, id) - ids.begin());
 }
 
@@ -38,18 +38,18 @@
                   std::set<base::InstanceId>* chosen) {
   SortByHash(&ring, "ring");
   const std::size_t n = ring.size();
-  const std::size_t place = PlaceOf(ring, self);
+  const std::size_t index = IndexOf(ring, self);
   for (std::size_t i = 0; i < links; ++i) {
     const double step =
         std::pow(static_cast<double>(n),
                  static_cast<double>(i) / static_cast<double>(links));
     const auto offset = static_cast<std::size_t>(std::lround(step));
-    chosen->insert(ring[(place + offset) % n]);
+    chosen->insert(ring[(index + offset) % n]);
   }
 }
 
-// Both sides rank both zones' members in the same way, so that relay i here
-// and relay i there pick each other.
+// Both zones rank the members of both zones in the same way, so that relay i of
+// one zone and relay i of the other select each other.
 void AddRelayLinks(const LinkCandidate& self,
                    Ids own,
                    const base::ZoneId& other_zone,
--- a/src/process/link_choice.h
+++ b/src/process/link_choice.h
@@ -1,9 +1,11 @@
-// Which few peers an instance links to, worked out by each from the members
-// it sees, so that all links together connect everybody within a few hops.
+// Selects the few peers that an instance links to. Each instance computes its
+// selection from its own list of members; together the links connect all
+// instances within a few hops.
 //
-// In a zone the members form a ring in the order of their hashed ids; each
-// links to the ones 1, n^(1/k), n^(2/k), ... places further on. Between two
-// zones a few relays on each side, chosen by rendezvous, link to each other.
+// Within a zone the members form a ring ordered by hashed id. Each member links
+// to those at the distances 1, n^(1/k), n^(2/k), ... on the ring of n members,
+// for k links. Between two zones, a few relays on each side, selected by
+// hashing, link to each other.
 #ifndef LYNXGLADE_PROCESS_LINK_CHOICE_H_
 #define LYNXGLADE_PROCESS_LINK_CHOICE_H_
 
@@ -20,14 +22,14 @@
 };
 
 struct LinkChoiceOptions {
-  // Links that each member starts within its zone.
+  // Number of links that each member starts within its zone.
   std::size_t zone_links = 2;
-  // Relays between each pair of zones.
+  // Number of relay links between each pair of zones.
   std::size_t zone_relays = 2;
 };
 
-// The peers that `self` starts links to. `candidates` may hold `self` and is
-// in any order; the result has no doubles and does not hold `self`.
+// Returns the peers that `self` starts links to, sorted and without `self`.
+// `candidates` may be in any order and contain `self`.
 std::vector<base::InstanceId> ChooseLinks(
     const LinkCandidate& self,
     const std::vector<LinkCandidate>& candidates,
--- a/src/process/serving_plane.cc
+++ b/src/process/serving_plane.cc
@@ -24,16 +24,16 @@
 using request::TargetRefusal;
 
 constexpr char kQuarantinePath[] = "/v1/admin/quarantine";
-// How often a waiting retry looks whether its caller has gone.
-constexpr base::Duration kSleepStep = std::chrono::milliseconds(50);
-// When to come back after a denial that names no time of its own.
-constexpr base::Duration kRetryAfter = std::chrono::seconds(1);
+// How often a retry that backs off checks whether its caller has disconnected.
+constexpr base::Duration kCancelPollInterval = std::chrono::milliseconds(50);
+// For denials that specify no retry time.
+constexpr base::Duration kDefaultRetryAfter = std::chrono::seconds(1);
 
 request::ContentHash ContentOf(const Request& request) {
   return request::ContentHash(request.content_hash);
 }
 
-// Sleeps in steps, so that a caller who leaves ends the wait.
+// Sleeps for `wait`; returns false early if `cancelled` becomes true.
 bool SleepUnlessCancelled(base::Duration wait,
                           const std::function<bool()>& cancelled) {
   const base::Time until = base::BootClock::now() + wait;
@@ -42,7 +42,7 @@
     if (left <= base::Duration::zero()) {
       return true;
     }
-    std::this_thread::sleep_for(std::min(left, kSleepStep));
+    std::this_thread::sleep_for(std::min(left, kCancelPollInterval));
   }
   return false;
 }
@@ -59,7 +59,7 @@
   return request::RoleWanted::kAny;
 }
 
-// Whether the end speaks against the target, for ejection.
+// Whether the end counts as a failure of the target for outlier ejection.
 bool IsTargetFault(AttemptEnd end) noexcept {
   switch (end) {
     case AttemptEnd::kConnectFailed:
@@ -92,7 +92,7 @@
   return RefusalReason::kRetryBudget;
 }
 
-bool IsLost(AttemptEnd end) noexcept {
+bool IsConnectionLost(AttemptEnd end) noexcept {
   return end == AttemptEnd::kReset || end == AttemptEnd::kTruncated ||
          end == AttemptEnd::kSendFailed;
 }
@@ -154,8 +154,8 @@
     return costs_.Estimate(request);
   };
   out.admit = [this](const Request& request,
-                     const std::function<bool()>& gone) {
-    return Admit(request, gone);
+                     const std::function<bool()>& caller_gone) {
+    return Admit(request, caller_gone);
   };
   out.check_quarantine = [this](const Request& request) {
     return CheckQuarantine(request);
@@ -210,15 +210,15 @@
   request::RouteError error{};
   auto choice = Route(*index, query, RoleOf(query.kind), &error);
   if (!choice && error == request::RouteError::kAllExcluded) {
-    // Better one that failed before than none.
-    request::PickQuery any = query;
-    any.avoid.clear();
-    choice = Route(*index, any, RoleOf(query.kind), &error);
+    // Fall back to a target that was tried before.
+    request::PickQuery unrestricted = query;
+    unrestricted.avoid.clear();
+    choice = Route(*index, unrestricted, RoleOf(query.kind), &error);
   }
   request::PickResult result;
   if (!choice) {
     result.reason = request::ToRefusalReason(error);
-    result.retry_after = kRetryAfter;
+    result.retry_after = kDefaultRetryAfter;
     metrics_
         .GetCounter("lynxglade_route_failures_total",
                     {{"reason", std::string(request::ToString(error))}})
@@ -253,24 +253,24 @@
 
 request::AdmissionVerdict ServingPlane::Admit(
     const Request& request,
-    const std::function<bool()>& gone) {
+    const std::function<bool()>& caller_gone) {
   const request::Cost cost = costs_.Estimate(request);
-  AddDemand(request, cost);
+  RecordDemand(request, cost);
   request::AdmissionVerdict verdict;
   Refusal refusal;
-  auto ticket = admission_.Admit(request, cost, &refusal, gone);
+  auto ticket = admission_.Admit(request, cost, &refusal, caller_gone);
   if (!ticket) {
     verdict.refusal = refusal;
     return verdict;
   }
-  // std::function wants copies; the ticket itself cannot be copied.
+  // std::function requires a copyable callable, and the ticket is move-only.
   auto shared =
       std::make_shared<std::optional<request::Ticket>>(std::move(*ticket));
-  const bool counted = !request.model.empty();
-  verdict.release = [this, shared, counted,
+  const bool is_model_request = !request.model.empty();
+  verdict.release = [this, shared, is_model_request,
                      &request](const request::Usage& usage) {
     const request::Cost actual{usage.prompt, usage.completion};
-    if (counted && usage.completion.value() > 0) {
+    if (is_model_request && usage.completion.value() > 0) {
       (*shared)->SetActual(actual);
       costs_.Observe(request, actual);
     }
@@ -279,8 +279,8 @@
   return verdict;
 }
 
-void ServingPlane::AddDemand(const Request& request,
-                             const request::Cost& cost) {
+void ServingPlane::RecordDemand(const Request& request,
+                                const request::Cost& cost) {
   std::lock_guard lock(demand_mutex_);
   Demand& demand = demand_[request.service];
   ++demand.requests;
@@ -312,15 +312,15 @@
       .GetCounter("lynxglade_quarantine_denials_total",
                   {{"reason", std::string(request::ToString(denial))}})
       .Add();
-  // Nothing was sent; the relay looks for another target or time.
+  // Nothing was sent, so the relay can retry elsewhere or later.
   AttemptReport report;
   report.outcome = base::Outcome::kNotRun;
   report.end = AttemptEnd::kRefused;
   report.refusal = request::IsTargetsFault(denial) ? TargetRefusal::kChanging
                                                    : TargetRefusal::kHeldBack;
-  report.message = "held back: ";
+  report.message = "attempt blocked by quarantine: ";
   report.message += request::ToString(denial);
-  report.retry_after = kRetryAfter;
+  report.retry_after = kDefaultRetryAfter;
   return report;
 }
 
@@ -339,7 +339,7 @@
       .Add();
   if (report.end == AttemptEnd::kWhole) {
     quarantine_.OnDelivered(order.id, now);
-  } else if (IsLost(report.end)) {
+  } else if (IsConnectionLost(report.end)) {
     quarantine_.OnLost(order.id, now);
   } else {
     quarantine_.OnEnded(order.id, now);
@@ -349,8 +349,8 @@
       OnLoad(*load);
     }
   }
-  JudgeTarget(target, report);
-  NoteRefusal(target, report);
+  UpdateTargetHealth(target, report);
+  RecordRefusal(target, report);
   if (report.end != AttemptEnd::kWhole) {
     base::Log(base::LogLevel::kInfo, "attempt_failed",
               {{"request", order.request->id.str()},
@@ -364,8 +364,8 @@
   }
 }
 
-void ServingPlane::JudgeTarget(const Target& target,
-                               const AttemptReport& report) {
+void ServingPlane::UpdateTargetHealth(const Target& target,
+                                      const AttemptReport& report) {
   const base::Time now = clock_();
   if (report.end == AttemptEnd::kConnectFailed) {
     quarantine_.OnTargetCrashed(target.id, now);
@@ -389,8 +389,8 @@
   }
 }
 
-void ServingPlane::NoteRefusal(const Target& target,
-                               const AttemptReport& report) {
+void ServingPlane::RecordRefusal(const Target& target,
+                                 const AttemptReport& report) {
   if (report.end != AttemptEnd::kRefused) {
     return;
   }
@@ -410,18 +410,20 @@
   request::RetryDenial denial{};
   const auto delay = retry_policy_.NextDelay(query.attempts, now,
                                              query.request->deadline, &denial);
-  const bool free = request::NothingWasSent(*query.report);
-  const bool paid = delay && (free || retry_budget_.TryTake(
-                                          request::ExtraAttempt::kRetry,
-                                          query.request->contract,
-                                          query.failed_target, now, &denial));
-  if (!paid) {
+  const bool exempt = request::NothingWasSent(*query.report);
+  const bool granted =
+      delay &&
+      (exempt || retry_budget_.TryTake(request::ExtraAttempt::kRetry,
+                                       query.request->contract,
+                                       query.failed_target, now, &denial));
+  if (!granted) {
     metrics_
         .GetCounter("lynxglade_retry_denials_total",
                     {{"reason", std::string(request::ToString(denial))}})
         .Add();
     verdict.reason = ToRefusalReason(denial);
-    verdict.retry_after = query.report->retry_after.value_or(kRetryAfter);
+    verdict.retry_after =
+        query.report->retry_after.value_or(kDefaultRetryAfter);
     return verdict;
   }
   metrics_
@@ -430,14 +432,14 @@
           {{"after", std::string(request::ToString(query.report->end))}})
       .Add();
   verdict.allowed = true;
-  // A busy target's refusal costs it nothing: another may be asked at once.
+  // An overloaded target rejects cheaply, so another one is tried at once.
   verdict.backoff = query.report->refusal == TargetRefusal::kOverloaded
                         ? base::Duration::zero()
                         : *delay;
   return verdict;
 }
 
-// --- What the process learns ------------------------------------------------
+// --- Updates ----------------------------------------------------------------
 
 void ServingPlane::OnConfiguration(
     const version::Configuration& configuration) {
@@ -482,7 +484,7 @@
   admission_.Stop();
 }
 
-// --- Operators --------------------------------------------------------------
+// --- Administration ---------------------------------------------------------
 
 connection::ApiAnswer ServingPlane::HandleQuarantine(
     const connection::ApiCall& call) {
@@ -499,7 +501,8 @@
     if (content && quarantine_.Lift(*content, now)) {
       return {200, R"({"lifted":true})"};
     }
-    return connection::ApiError(404, "not_found", "no such mark");
+    return connection::ApiError(404, "not_found",
+                                "no quarantine entry for this content");
   }
   return connection::ApiError(404, "not_found", "no such path");
 }
--- a/src/process/serving_plane.h
+++ b/src/process/serving_plane.h
@@ -1,8 +1,9 @@
-// The serving plane: the decisions of src/request put together around one
-// relay, and fed with what the process knows.
+// The data path: combines routing, admission, retries, quarantine and outlier
+// ejection from src/request around one relay, and supplies them with the
+// current targets and configuration.
 //
-// It needs targets and its own memory only. The key-value service is asked for
-// one thing, the claim of a non-idempotent request.
+// Serving depends on the targets and in-memory state only, except that a
+// non-idempotent request is claimed in the key-value service.
 #ifndef LYNXGLADE_PROCESS_SERVING_PLANE_H_
 #define LYNXGLADE_PROCESS_SERVING_PLANE_H_
 
@@ -51,13 +52,14 @@
   std::function<
       void(const request::Claim&, base::Outcome, const request::Answer*)>
       claim_finish;
-  // Tells other instances a quarantine mark.
+  // Shares a quarantine entry with the other instances.
   std::function<void(const ViewItem&)> publish;
-  // Entry instances that share the targets with this one, itself included.
+  // Number of entry instances that use the same targets, including this one.
   std::function<std::size_t()> entry_instances;
 };
 
-// What was asked of a service lately; for the role planner.
+// Requests to a service and their estimated cost since the start; input of the
+// role planner.
 struct Demand {
   std::uint64_t requests = 0;
   base::Tokens prefill{0};
@@ -75,25 +77,26 @@
   ServingPlane(const ServingPlane&) = delete;
   ServingPlane& operator=(const ServingPlane&) = delete;
 
-  // Blocks until the request is answered or refused.
+  // Blocks until the request is answered or rejected.
   request::RelayResult Serve(const request::Request& request,
                              const request::CallerSink& sink);
 
-  // Takes a new accepted configuration's shares.
+  // Applies the admission shares of a newly accepted configuration.
   void OnConfiguration(const version::Configuration& configuration);
-  // Call a few times a second: capacities follow the targets.
+  // Call a few times a second. Publishes target changes, reconciles ejections
+  // and quarantine, and updates the admission capacity of each service.
   void Refresh();
-  // A load report came; tells quarantine whether the target crashed.
+  // Applies a load report; a restart found by it is reported to quarantine.
   void OnLoad(const connection::LoadReport& report);
-  // A quarantine mark from another instance.
+  // Merges a quarantine entry of another instance.
   void OnQuarantineView(const ViewItem& item);
-  // Refuses what is not queued yet.
+  // Rejects new requests; those queued for admission are still served.
   void Stop();
 
   // GET /v1/admin/quarantine, DELETE /v1/admin/quarantine/<hash>.
   connection::ApiAnswer HandleQuarantine(const connection::ApiCall& call);
-  // Requests and tokens by service since the start.
   std::map<base::ServiceName, Demand> DemandByService() const;
+  // Requests queued for admission, and requests admitted and not yet finished.
   std::size_t waiting() const;
   int running() const;
 
@@ -103,7 +106,7 @@
   request::RelayHooks MakeRelayHooks(const ServingHooks& hooks);
   request::PickResult Pick(const request::PickQuery& query);
   request::AdmissionVerdict Admit(const request::Request& request,
-                                  const std::function<bool()>& gone);
+                                  const std::function<bool()>& caller_gone);
   std::optional<request::Refusal> CheckQuarantine(
       const request::Request& request);
   request::RetryVerdict AllowRetry(const request::RetryQuery& query);
@@ -115,15 +118,15 @@
   void OnAttemptEnd(const request::Target& target,
                     const request::AttemptOrder& order,
                     const request::AttemptReport& report);
-  void JudgeTarget(const request::Target& target,
-                   const request::AttemptReport& report);
-  void NoteRefusal(const request::Target& target,
-                   const request::AttemptReport& report);
+  void UpdateTargetHealth(const request::Target& target,
+                          const request::AttemptReport& report);
+  void RecordRefusal(const request::Target& target,
+                     const request::AttemptReport& report);
   std::optional<request::RouteChoice> Route(const request::TargetIndex& index,
                                             const request::PickQuery& query,
                                             request::RoleWanted role,
                                             request::RouteError* error);
-  void AddDemand(const request::Request& request, const request::Cost& cost);
+  void RecordDemand(const request::Request& request, const request::Cost& cost);
 
   const ServingOptions options_;
   const base::Clock clock_;
@@ -140,7 +143,7 @@
   request::OutlierEjector ejector_;
   mutable std::mutex demand_mutex_;
   std::map<base::ServiceName, Demand> demand_;
-  // Last: its hooks use all of the above.
+  // Declared last, because its hooks use the members above.
   request::Relay relay_;
 };
 
--- a/src/process/slices.cc
+++ b/src/process/slices.cc
@@ -16,16 +16,16 @@
 // 2^-53: maps 53 random bits to (0, 1).
 constexpr double kTwoToMinus53 = 1.0 / 9007199254740992.0;
 
-// Spreads the bits of a combination of two hashes; the constants are those of
-// the splitmix64 generator's finaliser.
+// Finaliser of the splitmix64 generator.
 std::uint64_t Mix(std::uint64_t n) noexcept {
   n = (n ^ (n >> 30)) * 0xbf58476d1ce4e5b9ull;
   n = (n ^ (n >> 27)) * 0x94d049bb133111ebull;
   return n ^ (n >> 31);
 }
 
-// Of exponential draws -ln(u)/w the least belongs to a member with a chance in
-// proportion to its weight; scores are negated so that the greatest wins.
+// -ln(u)/w is exponentially distributed with rate w, so each member has the
+// minimum with a probability proportional to its weight. Negated, so that the
+// greatest score wins.
 double Score(std::uint64_t hash, double weight) noexcept {
   const double u = (static_cast<double>(hash >> 11) + 0.5) * kTwoToMinus53;
   return std::log(u) / weight;
@@ -36,7 +36,7 @@
 Slices::Slices(std::vector<SliceMember> members)
     : members_(std::move(members)) {
   std::erase_if(members_, [](const SliceMember& m) { return m.weight <= 0; });
-  // The order decides ties only, but every instance must break them alike.
+  // All instances must break ties in the same way.
   std::ranges::sort(members_, {}, &SliceMember::id);
   std::ranges::transform(
       members_, std::back_inserter(seeds_),
@@ -46,16 +46,16 @@
 const base::InstanceId& Slices::OwnerOf(
     const base::TargetId& target) const noexcept {
   const std::uint64_t key = base::Hash64(target.str());
-  const base::InstanceId* home = &nobody_;
+  const base::InstanceId* owner = &no_owner_;
   double best = -std::numeric_limits<double>::infinity();
   for (std::size_t i = 0; i < members_.size(); ++i) {
     const double score = Score(Mix(key ^ seeds_[i]), members_[i].weight);
     if (score > best) {
       best = score;
-      home = &members_[i].id;
+      owner = &members_[i].id;
     }
   }
-  return *home;
+  return *owner;
 }
 
 std::vector<base::TargetId> Slices::SliceOf(
--- a/src/process/slices.h
+++ b/src/process/slices.h
@@ -1,11 +1,10 @@
-// Which instance of a zone is home to which of the zone's targets.
+// Assigns each target of a zone to one owner among the zone's instances.
 //
-// The home polls its targets' load and state and tells the others. Every
-// instance works the homes out by itself from the members it sees, by weighted
-// rendezvous hashing: each member draws a score for the target and the
-// greatest score wins. When a member goes, only its own targets move; when one
-// comes, it takes only its share. The ways that were weighed and their
-// measurements are in docs/notes/slices.md.
+// The owner polls the target's load and state and shares them with the others.
+// Each instance computes the assignment locally from its list of members by
+// weighted rendezvous hashing: the member with the greatest score for a target
+// owns it. When a member leaves, only its targets move; when one joins, it
+// takes only its share. See docs/notes/slices.md.
 #ifndef LYNXGLADE_PROCESS_SLICES_H_
 #define LYNXGLADE_PROCESS_SLICES_H_
 
@@ -18,20 +17,20 @@
 
 struct SliceMember {
   base::InstanceId id;
-  // Share of the targets relative to other members; a weight of 0 or less
-  // takes none.
+  // Share of the targets relative to the other members; a member with a weight
+  // of 0 or less owns none.
   double weight = 1.0;
 };
 
-// Immutable; cheap to build. Thread-safe.
+// Immutable and thread-safe; cheap to construct.
 class Slices {
  public:
   explicit Slices(std::vector<SliceMember> members);
 
-  // The home of a target; empty id when there is no member with a weight.
+  // The owner of a target; an empty id if no member has a positive weight.
   const base::InstanceId& OwnerOf(const base::TargetId& target) const noexcept;
 
-  // Of `targets`, those whose home is `instance`, in their order.
+  // The targets owned by `instance`, in the order of `targets`.
   std::vector<base::TargetId> SliceOf(
       const base::InstanceId& instance,
       const std::vector<base::TargetId>& targets) const;
@@ -39,7 +38,7 @@
  private:
   std::vector<SliceMember> members_;
   std::vector<std::uint64_t> seeds_;
-  base::InstanceId nobody_;
+  base::InstanceId no_owner_;
 };
 
 }  // namespace lynxglade::process
--- a/src/process/target_registry.cc
+++ b/src/process/target_registry.cc
@@ -16,11 +16,11 @@
 using request::TargetState;
 
 constexpr int kMaxViewDepth = 4;
-// Targets that become known one by one make a new index at once while they
-// add at least this part to it, so that 12,000 of them do not make 12,000.
-constexpr std::size_t kAdditionPart = 16;
+// Newly known targets are published immediately only if they add at least 1/16
+// to the index. Otherwise a large fleet would rebuild the index per target.
+constexpr std::size_t kImmediatePublishDivisor = 16;
 
-// The state that a view item's body names; nothing when it is malformed.
+// The state in the body of a view item; empty if the body is malformed.
 std::optional<TargetState> ReadState(const nlohmann::json& body) {
   const auto it = body.find("state");
   if (it == body.end() || !it->is_string()) {
@@ -42,8 +42,8 @@
   return it != body.end() && it->is_string() ? it->get<std::string>() : "";
 }
 
-// What a view says that an engine runs.
-void Describe(const nlohmann::json& body, request::Target& target) {
+// Copies role, model and version from the body of a view item.
+void ApplyDescription(const nlohmann::json& body, request::Target& target) {
   request::ParseEngineRole(ReadText(body, "role"), &target.role);
   target.model = base::ModelName(ReadText(body, "model"));
   target.version = base::ModelVersion(ReadText(body, "version"));
@@ -67,7 +67,7 @@
 TargetRegistry::TargetRegistry()
     : index_(std::make_shared<const request::TargetIndex>()) {}
 
-// --- What comes in ----------------------------------------------------------
+// --- Updates ----------------------------------------------------------------
 
 void TargetRegistry::SetRows(const connection::InstanceTable& list) {
   std::lock_guard lock(mutex_);
@@ -120,7 +120,7 @@
   record.incarnation = report.incarnation;
   record.sequence = report.sequence;
   record.reported_draining = report.draining;
-  record.refused_as.reset();
+  record.refused_state.reset();
   record.target.load = report.load;
   bool changed = false;
   if (record.listed.engine) {
@@ -152,14 +152,14 @@
     return;
   }
   it->second.view_version = item.version;
-  it->second.viewed = *state;
-  it->second.refused_as.reset();
+  it->second.view_state = *state;
+  it->second.refused_state.reset();
   const bool first = !IsKnown(it->second);
   bool changed = Refresh(it->second);
   if (!it->second.reported && it->second.listed.engine) {
     changed = true;
-    it->second.described = true;
-    Describe(*body, it->second.target);
+    it->second.described_by_view = true;
+    ApplyDescription(*body, it->second.target);
   }
   if (changed) {
     PublishChange(first);
@@ -173,13 +173,13 @@
   if (it == records_.end()) {
     return;
   }
-  it->second.refused_as = state;
+  it->second.refused_state = state;
   if (Refresh(it->second)) {
     PublishLocked();
   }
 }
 
-// --- What goes out ----------------------------------------------------------
+// --- Queries and publication ------------------------------------------------
 
 void TargetRegistry::Publish() {
   std::lock_guard lock(mutex_);
@@ -203,20 +203,20 @@
   return rows;
 }
 
-// Of an engine that nobody told of, model and role are not known.
+// An engine is not routable until a report or view names its role and model.
 bool TargetRegistry::IsKnown(const Record& record) noexcept {
-  return record.reported || record.described || !record.listed.engine;
+  return record.reported || record.described_by_view || !record.listed.engine;
 }
 
 TargetState TargetRegistry::StateOf(const Record& record) noexcept {
   if (record.listed.row.leaving) {
     return TargetState::kLeaving;
   }
-  if (record.refused_as) {
-    return *record.refused_as;
+  if (record.refused_state) {
+    return *record.refused_state;
   }
-  if (record.viewed != TargetState::kServing) {
-    return record.viewed;
+  if (record.view_state != TargetState::kServing) {
+    return record.view_state;
   }
   return record.reported_draining ? TargetState::kDraining
                                   : TargetState::kServing;
@@ -230,13 +230,13 @@
 void TargetRegistry::PublishChange(bool first) {
   dirty_ = true;
   const std::size_t held = index_.load()->table().targets.size();
-  if (!first || ++additions_ * kAdditionPart >= held) {
+  if (!first || ++additions_ * kImmediatePublishDivisor >= held) {
     PublishLocked();
   }
 }
 
 void TargetRegistry::PublishLocked() {
-  // By service, then id, as the map already has them.
+  // Sorted by service, then id: the map iterates by id and the sort is stable.
   std::vector<const request::Target*> known;
   for (const auto& [id, record] : records_) {
     if (IsKnown(record)) {
--- a/src/process/target_registry.h
+++ b/src/process/target_registry.h
@@ -1,5 +1,5 @@
-// All targets in view, gathered from the instance list, from load reports and
-// from what other instances say; published as one index for routing.
+// Registry of all known targets: merges the instance list, load reports and
+// facts from other instances, and publishes an index for routing.
 #ifndef LYNXGLADE_PROCESS_TARGET_REGISTRY_H_
 #define LYNXGLADE_PROCESS_TARGET_REGISTRY_H_
 
@@ -23,32 +23,32 @@
 
 namespace lynxglade::process {
 
-// Thread-safe; a short lock a call, none for Index().
+// Thread-safe. Index() takes no lock; other calls hold a mutex briefly.
 class TargetRegistry {
  public:
   TargetRegistry();
   TargetRegistry(const TargetRegistry&) = delete;
   TargetRegistry& operator=(const TargetRegistry&) = delete;
 
-  // Takes the newest list: targets not in it are dropped at once; new ones are
-  // added.
+  // Replaces the rows by the newest list. Targets not in it are removed
+  // immediately.
   void SetRows(const connection::InstanceTable& list);
-  // Takes a report; an older one than is held is ignored. Returns whether the
-  // target runs under another incarnation than before: it has crashed or was
-  // restarted since.
+  // Applies a load report; an outdated one is ignored. Returns whether the
+  // target's incarnation changed, that is, whether it crashed or was restarted
+  // since its previous report.
   bool OnLoad(const connection::LoadReport& report);
-  // Takes an engine's state from the views (ViewKind::kTarget); older versions
-  // are ignored.
+  // Applies an engine's state as shared by other instances
+  // (ViewKind::kTarget); older versions are ignored.
   void OnTargetView(const ViewItem& item);
-  // The target itself said that it takes no new work now. Holds until a newer
-  // load report or view says otherwise.
+  // The target rejected a request because it is in `state`. Overrides other
+  // sources until the next newer load report or view.
   void OnTargetRefusal(const base::TargetId& id, request::TargetState state);
 
-  // Makes a new index when something changed since the last. Call a few times
-  // a second; changes of state are published at once without it.
+  // Publishes a new index if anything changed since the last one. Call a few
+  // times a second; changes of state are published immediately without it.
   void Publish();
 
-  // What routing reads. Never null.
+  // The current index for routing. Never null.
   std::shared_ptr<const request::TargetIndex> Index() const;
   std::vector<ListedTarget> Rows() const;
 
@@ -59,30 +59,30 @@
     std::string incarnation;
     std::uint64_t sequence = 0;
     bool reported = false;
-    // A view said what it runs; counts until the first report.
-    bool described = false;
+    // Role and model were set by a view; used until the first load report.
+    bool described_by_view = false;
     bool reported_draining = false;
-    // From the views; kServing when nothing was heard.
-    request::TargetState viewed = request::TargetState::kServing;
+    // Shared by other instances; kServing until a view arrives.
+    request::TargetState view_state = request::TargetState::kServing;
     ViewVersion view_version;
-    std::optional<request::TargetState> refused_as;
+    std::optional<request::TargetState> refused_state;
   };
 
   static bool IsKnown(const Record& record) noexcept;
   static request::TargetState StateOf(const Record& record) noexcept;
-  // Updates the record's published state; true when it changed.
+  // Recomputes the target's state; returns whether it changed.
   static bool Refresh(Record& record) noexcept;
   void PublishLocked();
-  // A change of state is published at once; a target that became known
-  // (`first`) may wait for Publish() in a large fleet.
+  // Publishes a change of state immediately. In a large fleet a newly known
+  // target (`first`) is left to the next Publish().
   void PublishChange(bool first);
-  // Returns whether any row is new or differs.
+  // Returns whether any row is new or changed.
   bool TakeRows(const std::vector<connection::TargetRow>& rows, bool engines);
 
   mutable std::mutex mutex_;
   std::map<base::TargetId, Record> records_;
   bool dirty_ = false;
-  // Targets that became known since the index was made.
+  // Targets that became known since the index was last published.
   std::size_t additions_ = 0;
   std::atomic<std::shared_ptr<const request::TargetIndex>> index_;
 };
--- a/tests/process/slices_test.cc
+++ b/tests/process/slices_test.cc
@@ -31,7 +31,7 @@
   return targets;
 }
 
-RC_GTEST_PROP(SlicesProperty, OnlyTheTargetsOfAMemberThatGoesMove, ()) {
+RC_GTEST_PROP(SlicesProperty, RemovingAMemberMovesOnlyItsTargets, ()) {
   auto members = Members(*rc::gen::inRange(2, 40));
   const auto targets = Targets(300);
   const Slices before(members);
@@ -40,23 +40,23 @@
   members.erase(members.begin() + static_cast<std::ptrdiff_t>(gone));
   const Slices after(members);
   for (const auto& target : targets) {
-    const auto& home = before.OwnerOf(target);
+    const auto& owner = before.OwnerOf(target);
     const auto& now = after.OwnerOf(target);
-    const bool right = home == gone_id ? now != gone_id : now == home;
+    const bool right = owner == gone_id ? now != gone_id : now == owner;
     RC_ASSERT(right);
   }
 }
 
-RC_GTEST_PROP(SlicesProperty, AGreaterWeightOnlyDrawsTargetsToItsMember, ()) {
+RC_GTEST_PROP(SlicesProperty, RaisingAWeightMovesTargetsToThatMemberOnly, ()) {
   auto members = Members(*rc::gen::inRange(2, 40));
   const Slices before(members);
   const auto grown = *rc::gen::inRange<std::size_t>(0, members.size());
   members[grown].weight = 1.0 + *rc::gen::inRange(1, 100) / 10.0;
   const Slices after(members);
   for (const auto& target : Targets(300)) {
-    const auto& home = after.OwnerOf(target);
+    const auto& owner = after.OwnerOf(target);
     const bool right =
-        home == before.OwnerOf(target) || home == members[grown].id;
+        owner == before.OwnerOf(target) || owner == members[grown].id;
     RC_ASSERT(right);
   }
 }
@@ -81,7 +81,7 @@
   EXPECT_EQ(count["node-1"], 0);
 }
 
-TEST(Slices, SlicesPartitionTheTargetsAndNobodyIsHomeWithoutMembers) {
+TEST(Slices, SlicesPartitionTargetsAndNoMembersMeansNoOwner) {
   const auto targets = Targets(100);
   const auto members = Members(7);
   const Slices slices(members);
@@ -93,7 +93,8 @@
   EXPECT_TRUE(Slices({}).OwnerOf(targets[0]).empty());
 }
 
-// Greatest number of links that a fact crosses from the first candidate.
+// Number of hops from the first candidate to the farthest one, or the number of
+// candidates if some are unreachable. `links` is set to the maximum degree.
 std::size_t Hops(const std::vector<LinkCandidate>& all, std::size_t* links) {
   std::map<base::InstanceId, std::set<base::InstanceId>> edges;
   *links = 0;
@@ -122,7 +123,7 @@
   return reached.size() == all.size() ? hops - 1 : all.size();
 }
 
-TEST(LinkChoice, FewLinksReachEverybodyWithinFewHops) {
+TEST(LinkChoice, FewLinksReachAllInstancesInFewHops) {
   std::vector<LinkCandidate> all;
   for (int i = 0; i < 340; ++i) {
     all.push_back({base::InstanceId("node-" + std::to_string(i)),
@@ -133,7 +134,7 @@
   EXPECT_LE(links, 12u);
 }
 
-RC_GTEST_PROP(LinkChoiceProperty, EverybodyIsConnected, ()) {
+RC_GTEST_PROP(LinkChoiceProperty, AllInstancesAreConnected, ()) {
   std::vector<LinkCandidate> all;
   const int n = *rc::gen::inRange(2, 40);
   for (int i = 0; i < n; ++i) {
