--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -109,7 +109,7 @@
   request::passthrough::PeerReads peer_reads;
   request::passthrough::PeerAvoidance peer_avoidance;
   request::passthrough::ZoneHealth zones;
-  request::passthrough::ReadTimes read_times;
+  request::passthrough::PrefillTimes prefill_times;
   request::passthrough::GenerationTimes generation_times;
   request::passthrough::AnswerAdmission answers{generation_times};
   const request::passthrough::EngineRoom room =
@@ -146,7 +146,7 @@
       store(loop, channels, {.endpoint = EndpointOf(s.store)}, metrics),
       choice(
           {.zone = s.zone},
-          read_times,
+          prefill_times,
           random,
           [this](const request::passthrough::Engine& engine,
                  int priority,
@@ -291,7 +291,7 @@
           .channels = channels,
           .engines = views.engines(),
           .choice = choice,
-          .read_times = read_times,
+          .prefill_times = prefill_times,
           .generation_times = generation_times,
           .answers = answers,
           .allowance = allowance,
--- a/src/request/passthrough/engine_choice.cc
+++ b/src/request/passthrough/engine_choice.cc
@@ -25,14 +25,14 @@
 }  // namespace
 
 EngineChoice::EngineChoice(EngineChoiceOptions options,
-                           const ReadTimes& read_times,
+                           const PrefillTimes& prefill_times,
                            base::RandomSource random,
                            PeerTokens peer_tokens,
                            ZoneCutOff cut_off,
                            PeersAvoid peers_avoid,
                            EngineRoom room)
     : options_(std::move(options)),
-      read_times_(read_times),
+      prefill_times_(prefill_times),
       random_(std::move(random)),
       peer_tokens_(std::move(peer_tokens)),
       cut_off_(std::move(cut_off)),
@@ -59,7 +59,7 @@
     if (IsPrefill(*engine) && !engine->entry.draining) {
       ++readers;
       ms += static_cast<double>(CountReads(*engine, 0, now).total()) /
-            read_times_.TokensPerMs(*engine);
+            prefill_times_.TokensPerMs(*engine);
     }
   }
   return readers == 0 ? base::Duration::max() : FromFineMillis(ms / readers);
@@ -129,7 +129,7 @@
   for (const EngineHandle& engine : readers) {
     EnginePick pick = Reading(engine, places, query);
     pick.expected += FromFineMillis(
-        read_times_.HandoverMs(engine->entry.service) + least_ms);
+        prefill_times_.HandoverMs(engine->entry.service) + least_ms);
     if (pick.expected < best.expected) {
       pick.runner = least;
       pick.reader = engine;
@@ -148,15 +148,15 @@
   EnginePick pick;
   pick.alone = ahead.total() == 0;
   pick.unread_tokens = places.home ? prompt.OwnTokens() : prompt.TotalTokens();
-  double read_ms = ReadMs(*engine, pick.unread_tokens);
+  double read_ms = PrefillMs(*engine, pick.unread_tokens);
   if (places.holder && engine != places.holder) {
     pick.fetch_from = places.holder;
-    read_ms += read_times_.FetchMs(engine->entry.service);
+    read_ms += prefill_times_.FetchMs(engine->entry.service);
   }
   if (places.home && engine != places.home) {
     const std::int64_t shared = prompt.TotalTokens() - prompt.OwnTokens();
     read_ms +=
-        std::max(options_.away_from_home * ReadMs(*engine, shared),
+        std::max(options_.away_from_home * PrefillMs(*engine, shared),
                  options_.away_ms_per_token * static_cast<double>(shared));
   }
   pick.read_time = FromFineMillis(read_ms);
@@ -186,10 +186,10 @@
   }
   const double begun =
       std::min(static_cast<double>(ahead.less_urgent),
-               read_times_.TokensLeftOfOne(engine.entry.service));
+               prefill_times_.MeanRemainingTokens(engine.entry.service));
   const double tokens = static_cast<double>(ahead.before) + begun;
-  return std::max(
-      longest, tokens / read_times_.TokensPerMs(engine) * StageFactor(engine));
+  return std::max(longest, tokens / prefill_times_.TokensPerMs(engine) *
+                               StageFactor(engine));
 }
 
 EngineChoice::ReadsAhead EngineChoice::CountReads(const Engine& engine,
@@ -263,9 +263,11 @@
   return has_runner(sound) ? sound : open;
 }
 
-double EngineChoice::ReadMs(const Engine& engine, std::int64_t tokens) const {
-  return tokens == 0 ? 0
-                     : read_times_.ReadMs(engine, tokens) * StageFactor(engine);
+double EngineChoice::PrefillMs(const Engine& engine,
+                               std::int64_t tokens) const {
+  return tokens == 0
+             ? 0
+             : prefill_times_.PrefillMs(engine, tokens) * StageFactor(engine);
 }
 
 double EngineChoice::StageFactor(const Engine& engine) const noexcept {
--- a/src/request/passthrough/engine_choice.h
+++ b/src/request/passthrough/engine_choice.h
@@ -3,7 +3,7 @@
 // For a prompt, each engine is judged by when it would begin to generate: how
 // long prompts wait there (by what this instance and its peers have it read, by
 // this one's overdue reads, and by the wait that its last read met), then what
-// it has to read of this one, at the speeds that read_times has learnt.
+// it has to read of this one, at the speeds that prefill_times has learnt.
 // Shared parts live at a home, the prefill engine that all instances agree on
 // without a message (rendezvous hashing); another engine fetches their KV cache
 // from there, which takes a few milliseconds where reading takes hundreds. A
@@ -24,8 +24,8 @@
 #include "base/time.h"
 #include "request/passthrough/engine_table.h"
 #include "request/passthrough/part_places.h"
+#include "request/passthrough/prefill_times.h"
 #include "request/passthrough/prompt.h"
-#include "request/passthrough/read_times.h"
 
 namespace lynxglade::request::passthrough {
 
@@ -113,7 +113,7 @@
   // The hooks may be empty: nothing is known of others, all zones are reached,
   // an engine has room for as many requests as it has slots.
   EngineChoice(EngineChoiceOptions options,
-               const ReadTimes& read_times,
+               const PrefillTimes& prefill_times,
                base::RandomSource random,
                PeerTokens peer_tokens = {},
                ZoneCutOff cut_off = {},
@@ -171,7 +171,7 @@
                 int priority,
                 base::Time now) const;
   // Milliseconds to read so much there; 0 for nothing.
-  double ReadMs(const Engine& engine, std::int64_t tokens) const;
+  double PrefillMs(const Engine& engine, std::int64_t tokens) const;
   // How many times as long reading takes at an engine of that stage.
   double StageFactor(const Engine& engine) const noexcept;
   double ZoneMs(const Engine& engine) const noexcept;
@@ -186,7 +186,7 @@
   base::Duration AlikeSpread() const;
 
   const EngineChoiceOptions options_;
-  const ReadTimes& read_times_;
+  const PrefillTimes& prefill_times_;
   const base::RandomSource random_;
   const PeerTokens peer_tokens_;
   const ZoneCutOff cut_off_;
--- a/src/request/passthrough/engine_table.h
+++ b/src/request/passthrough/engine_table.h
@@ -87,7 +87,7 @@
   // another, or does not do this. Ends when the entry changes.
   base::Time misdirected_until{};
   // How long it takes to read against the other engines of its service, as
-  // learnt by ReadTimes.
+  // learnt by PrefillTimes.
   double slowness = 1;
   // The same of what it generates, as learnt by GenerationTimes.
   double generation_slowness = 1;
--- a/src/request/passthrough/read_times.cc
+++ b/src/request/passthrough/prefill_times.cc
@@ -1,4 +1,4 @@
-#include "request/passthrough/read_times.h"
+#include "request/passthrough/prefill_times.h"
 
 #include <algorithm>
 #include <array>
@@ -19,12 +19,12 @@
 
 }  // namespace
 
-ReadTimes::ReadTimes(ReadTimesOptions options)
+PrefillTimes::PrefillTimes(PrefillTimesOptions options)
     : options_(options), unseen_(MakeService()) {}
 
-void ReadTimes::LearnRead(Engine& engine,
-                          std::int64_t tokens,
-                          base::Duration took) {
+void PrefillTimes::RecordPrefill(Engine& engine,
+                                 std::int64_t tokens,
+                                 base::Duration took) {
   Service& service = Of(engine.entry.service);
   const double size = std::max(static_cast<double>(tokens), 1.0);
   const double usual = Fit(service).At(size);
@@ -40,53 +40,54 @@
   Add(service, size, level);
 }
 
-void ReadTimes::Add(Service& service, double tokens, double ms) noexcept {
+void PrefillTimes::Add(Service& service, double tokens, double ms) noexcept {
   service.read_ms.Add(tokens, ms, 1 / tokens);
   service.tokens_squared += tokens * tokens;
 }
 
-void ReadTimes::LearnFetchedRead(const Engine& engine,
-                                 std::int64_t tokens,
-                                 base::Duration took) {
+void PrefillTimes::RecordPrefillAfterFetch(const Engine& engine,
+                                           std::int64_t tokens,
+                                           base::Duration took) {
   Service& service = Of(engine.entry.service);
   const double rest =
-      std::max(base::ToFineMillis(took) - ReadMs(engine, tokens), 0.0);
+      std::max(base::ToFineMillis(took) - PrefillMs(engine, tokens), 0.0);
   service.fetch_ms +=
       options_.step * (Believed(rest, service.fetch_ms) - service.fetch_ms);
 }
 
-void ReadTimes::LearnHandover(const base::ServiceName& name,
-                              base::Duration took) {
+void PrefillTimes::RecordHandover(const base::ServiceName& name,
+                                  base::Duration took) {
   Service& service = Of(name);
   const double ms = Believed(base::ToFineMillis(took), service.handover_ms);
   service.handover_ms += options_.step * (ms - service.handover_ms);
 }
 
-double ReadTimes::ReadMs(const Engine& engine, std::int64_t tokens) const {
+double PrefillTimes::PrefillMs(const Engine& engine,
+                               std::int64_t tokens) const {
   return engine.slowness *
          Fit(Of(engine.entry.service)).At(static_cast<double>(tokens));
 }
 
-double ReadTimes::TokensPerMs(const Engine& engine) const {
+double PrefillTimes::TokensPerMs(const Engine& engine) const {
   const Service& service = Of(engine.entry.service);
   const double mean = service.tokens() / service.reads();
   return mean / (engine.slowness * Fit(service).At(mean));
 }
 
-double ReadTimes::TokensLeftOfOne(const base::ServiceName& name) const {
+double PrefillTimes::MeanRemainingTokens(const base::ServiceName& name) const {
   const Service& service = Of(name);
   return service.tokens_squared / std::max(service.tokens(), 1.0) / 2;
 }
 
-double ReadTimes::FetchMs(const base::ServiceName& service) const {
+double PrefillTimes::FetchMs(const base::ServiceName& service) const {
   return Of(service).fetch_ms;
 }
 
-double ReadTimes::HandoverMs(const base::ServiceName& service) const {
+double PrefillTimes::HandoverMs(const base::ServiceName& service) const {
   return Of(service).handover_ms;
 }
 
-ReadTimes::Service ReadTimes::MakeService() const {
+PrefillTimes::Service PrefillTimes::MakeService() const {
   Service service;
   for (const double size : kPriorSizes) {
     Add(service, size, size / options_.prior_tokens_per_ms);
@@ -96,21 +97,21 @@
   return service;
 }
 
-const ReadTimes::Service& ReadTimes::Of(
+const PrefillTimes::Service& PrefillTimes::Of(
     const base::ServiceName& service) const {
   const auto it = services_.find(service);
   return it == services_.end() ? unseen_ : it->second;
 }
 
-ReadTimes::Service& ReadTimes::Of(const base::ServiceName& service) {
+PrefillTimes::Service& PrefillTimes::Of(const base::ServiceName& service) {
   return services_.try_emplace(service, unseen_).first->second;
 }
 
-Line ReadTimes::Fit(const Service& service) noexcept {
+Line PrefillTimes::Fit(const Service& service) noexcept {
   return service.read_ms.Fit(1 / kMostTokensPerMs);
 }
 
-double ReadTimes::Believed(double ms, double expected) const noexcept {
+double PrefillTimes::Believed(double ms, double expected) const noexcept {
   return std::min(ms, options_.most_surprise * std::max(expected, 1.0));
 }
 
--- a/src/request/passthrough/read_times.h
+++ b/src/request/passthrough/prefill_times.h
@@ -5,8 +5,8 @@
 // slowness * (base + n / rate). Reads that met no other show base and rate; an
 // engine's slowness is what its reads take against that. The figures that the
 // instance starts with stand for a few reads and fade as real ones come.
-#ifndef LYNXGLADE_REQUEST_PASSTHROUGH_READ_TIMES_H_
-#define LYNXGLADE_REQUEST_PASSTHROUGH_READ_TIMES_H_
+#ifndef LYNXGLADE_REQUEST_PASSTHROUGH_PREFILL_TIMES_H_
+#define LYNXGLADE_REQUEST_PASSTHROUGH_PREFILL_TIMES_H_
 
 #include <cstdint>
 #include <map>
@@ -18,7 +18,7 @@
 
 namespace lynxglade::request::passthrough {
 
-struct ReadTimesOptions {
+struct PrefillTimesOptions {
   // Before anything is seen. Engines of the users' sheets read 38 to 220
   // tokens in a millisecond.
   double prior_tokens_per_ms = 45;
@@ -38,32 +38,32 @@
 };
 
 // Not thread-safe: lives on the event loop.
-class ReadTimes {
+class PrefillTimes {
  public:
-  explicit ReadTimes(ReadTimesOptions options = {});
-  ReadTimes(const ReadTimes&) = delete;
-  ReadTimes& operator=(const ReadTimes&) = delete;
+  explicit PrefillTimes(PrefillTimesOptions options = {});
+  PrefillTimes(const PrefillTimes&) = delete;
+  PrefillTimes& operator=(const PrefillTimes&) = delete;
 
   // An engine read `tokens` in `took`, with nothing before it as far as is
   // known here.
-  void LearnRead(Engine& engine, std::int64_t tokens, base::Duration took);
+  void RecordPrefill(Engine& engine, std::int64_t tokens, base::Duration took);
   // The same, after the shared parts were fetched; what it took longer than
   // the reading is the fetch.
-  void LearnFetchedRead(const Engine& engine,
-                        std::int64_t tokens,
-                        base::Duration took);
+  void RecordPrefillAfterFetch(const Engine& engine,
+                               std::int64_t tokens,
+                               base::Duration took);
   // From handing a read prompt over to an engine of the service to the first
   // event.
-  void LearnHandover(const base::ServiceName& service, base::Duration took);
+  void RecordHandover(const base::ServiceName& service, base::Duration took);
 
   // Milliseconds of engine time, at the full speed of its kind.
-  double ReadMs(const Engine& engine, std::int64_t tokens) const;
+  double PrefillMs(const Engine& engine, std::int64_t tokens) const;
   // Tokens in a millisecond, for a prompt of the mean size seen.
   double TokensPerMs(const Engine& engine) const;
   // What is left on average of the prompt that an engine has begun to read: it
   // ends that one before it reads a more urgent one. Long prompts are met more
   // often than short ones.
-  double TokensLeftOfOne(const base::ServiceName& service) const;
+  double MeanRemainingTokens(const base::ServiceName& service) const;
   double FetchMs(const base::ServiceName& service) const;
   double HandoverMs(const base::ServiceName& service) const;
 
@@ -89,11 +89,11 @@
   // `ms`, or as much as may be believed of it.
   double Believed(double ms, double expected) const noexcept;
 
-  const ReadTimesOptions options_;
+  const PrefillTimesOptions options_;
   const Service unseen_;
   std::map<base::ServiceName, Service> services_;
 };
 
 }  // namespace lynxglade::request::passthrough
 
-#endif  // LYNXGLADE_REQUEST_PASSTHROUGH_READ_TIMES_H_
+#endif  // LYNXGLADE_REQUEST_PASSTHROUGH_PREFILL_TIMES_H_
--- a/src/request/passthrough/relay.h
+++ b/src/request/passthrough/relay.h
@@ -23,7 +23,7 @@
 #include "request/passthrough/engine_table.h"
 #include "request/passthrough/generation_times.h"
 #include "request/passthrough/goal_admission.h"
-#include "request/passthrough/read_times.h"
+#include "request/passthrough/prefill_times.h"
 #include "request/passthrough/retry_allowance.h"
 #include "request/passthrough/route_table.h"
 #include "request/passthrough/target_protocol.h"
@@ -72,7 +72,7 @@
   connection::event::ChannelPool& channels;
   EngineTable& engines;
   const EngineChoice& choice;
-  ReadTimes& read_times;
+  PrefillTimes& prefill_times;
   GenerationTimes& generation_times;
   AnswerAdmission& answers;
   RetryAllowance& allowance;
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -146,7 +146,7 @@
   current_ = nullptr;
   if (source_) {
     use.PromptRead(parts_.clock());
-    LearnRead(pick, parts_.clock() - begun);
+    RecordPrefill(pick, parts_.clock() - begun);
     pick.reader->health.OnAccepted();
     ++accepted_reads_;
     prompt_read_at_ = Elapsed();
@@ -172,14 +172,15 @@
   co_return false;
 }
 
-void RelayRun::LearnRead(const EnginePick& pick, base::Duration took) {
+void RelayRun::RecordPrefill(const EnginePick& pick, base::Duration took) {
   if (!pick.alone) {
     return;
   }
   if (pick.fetch_from) {
-    parts_.read_times.LearnFetchedRead(*pick.reader, pick.unread_tokens, took);
+    parts_.prefill_times.RecordPrefillAfterFetch(*pick.reader,
+                                                 pick.unread_tokens, took);
   } else {
-    parts_.read_times.LearnRead(*pick.reader, pick.unread_tokens, took);
+    parts_.prefill_times.RecordPrefill(*pick.reader, pick.unread_tokens, took);
   }
 }
 
@@ -341,7 +342,7 @@
   if (!reply_.begun()) {
     first_bytes_at_ = now;
     if (prompt_read_at_) {
-      parts_.read_times.LearnHandover(service_, now - *prompt_read_at_);
+      parts_.prefill_times.RecordHandover(service_, now - *prompt_read_at_);
     }
     reply_.Begin(HeadForCaller(exchange.head()));
   } else {
--- a/src/request/passthrough/relay_run.h
+++ b/src/request/passthrough/relay_run.h
@@ -101,7 +101,7 @@
   // was not accepted.
   Awaitable<bool> SendRead(const EnginePick& pick, bool* may_count);
   // What a read tells of its engine.
-  void LearnRead(const EnginePick& pick, base::Duration took);
+  void RecordPrefill(const EnginePick& pick, base::Duration took);
   // Gives back KV cache that no engine will fetch.
   Awaitable<void> FreeSource();
   // A run that was to fetch KV cache was rejected: for the engine's own
--- a/tests/platform/relay_fixture.cc
+++ b/tests/platform/relay_fixture.cc
@@ -136,7 +136,7 @@
           .channels = channels_,
           .engines = engines_,
           .choice = choice_,
-          .read_times = read_times_,
+          .prefill_times = prefill_times_,
           .generation_times = generation_times_,
           .answers = answers_,
           .allowance = allowance_,
--- a/tests/platform/relay_fixture.h
+++ b/tests/platform/relay_fixture.h
@@ -83,11 +83,11 @@
   base::Metrics metrics_;
   connection::event::ChannelPool channels_{loop_, base::BootClock::now};
   request::passthrough::EngineTable engines_{base::Duration(0)};
-  request::passthrough::ReadTimes read_times_;
+  request::passthrough::PrefillTimes prefill_times_;
   request::passthrough::GenerationTimes generation_times_;
   request::passthrough::AnswerAdmission answers_{generation_times_};
   request::passthrough::EngineChoice choice_{{.zone = base::ZoneId("a")},
-                                             read_times_,
+                                             prefill_times_,
                                              base::SeededRandom(1)};
   request::passthrough::RetryAllowance allowance_{{}};
   request::passthrough::ZoneHealth zones_;
--- a/tests/request/passthrough/engine_choice_test.cc
+++ b/tests/request/passthrough/engine_choice_test.cc
@@ -59,12 +59,12 @@
 }
 
 // Nothing is learnt in these tests: engines read 45 tokens in a millisecond.
-ReadTimes read_times;
+PrefillTimes prefill_times;
 
 EngineChoice MakeChoice(std::uint64_t seed = 1) {
   EngineChoiceOptions options;
   options.zone = base::ZoneId("a");
-  return EngineChoice(options, read_times, base::SeededRandom(seed));
+  return EngineChoice(options, prefill_times, base::SeededRandom(seed));
 }
 
 TEST(EngineChoice, LongPromptsAreReadAtPrefillEngines) {
@@ -96,7 +96,7 @@
 // that those at the slow ones end late.
 TEST(EngineChoice, EnginesAreFilledByTheirRoom) {
   const auto fleet = Fleet(2, 2);
-  EngineChoice choice({.zone = base::ZoneId("a")}, read_times,
+  EngineChoice choice({.zone = base::ZoneId("a")}, prefill_times,
                       base::SeededRandom(1), {}, {}, {},
                       [](const Engine& engine, base::Time) {
                         return engine.entry.id.str() == "d0" ? 16.0 : 48.0;
@@ -138,7 +138,7 @@
   const auto fleet = Fleet(4, 2);
   EngineChoice blind = MakeChoice();
   const EngineHandle home = Ask(blind, fleet, Album("x")).reader;
-  EngineChoice choice({.zone = base::ZoneId("a")}, read_times,
+  EngineChoice choice({.zone = base::ZoneId("a")}, prefill_times,
                       base::SeededRandom(1),
                       [&home](const Engine& engine, int, base::Time) {
                         return &engine == home.get() ? 100'000 : 0;
@@ -167,7 +167,7 @@
   std::vector<EngineHandle> fleet = Fleet(2, 2);
   fleet[0]->entry.zone = base::ZoneId("b");
   fleet[2]->entry.zone = base::ZoneId("b");
-  EngineChoice choice({.zone = base::ZoneId("a")}, read_times,
+  EngineChoice choice({.zone = base::ZoneId("a")}, prefill_times,
                       base::SeededRandom(1), {},
                       [](const base::ZoneId& zone, base::Time) {
                         return zone == base::ZoneId("b");
@@ -239,7 +239,7 @@
 TEST(EngineChoice, WhatOthersFindToFailIsLeftWhileOthersRemain) {
   const auto fleet = Fleet(2, 1);
   std::set<std::string> avoided{"p0"};
-  EngineChoice choice({.zone = base::ZoneId("a")}, read_times,
+  EngineChoice choice({.zone = base::ZoneId("a")}, prefill_times,
                       base::SeededRandom(1), {}, {},
                       [&avoided](const Engine& engine, base::Time) {
                         return avoided.contains(engine.entry.id.str());
--- a/tests/request/passthrough/read_times_test.cc
+++ b/tests/request/passthrough/prefill_times_test.cc
@@ -1,4 +1,4 @@
-#include "request/passthrough/read_times.h"
+#include "request/passthrough/prefill_times.h"
 
 #include <algorithm>
 #include <cmath>
@@ -37,13 +37,17 @@
  public:
   explicit Reads(std::uint64_t seed) : random_(base::SeededRandom(seed)) {}
 
-  void Read(ReadTimes& times, Engine& engine, const TrueEngine& real, int n) {
+  void Read(PrefillTimes& times,
+            Engine& engine,
+            const TrueEngine& real,
+            int n) {
     for (int i = 0; i < n; ++i) {
       const double tokens = 300 * std::exp(3.5 * base::UniformReal(random_));
       const double noise = 0.95 + 0.1 * base::UniformReal(random_);
       const bool met = base::UniformReal(random_) < 0.05;
       const double ms = real.Ms(tokens) * noise * (met ? 4 : 1);
-      times.LearnRead(engine, std::llround(tokens), base::FromFineMillis(ms));
+      times.RecordPrefill(engine, std::llround(tokens),
+                          base::FromFineMillis(ms));
     }
   }
 
@@ -51,14 +55,14 @@
   const base::RandomSource random_;
 };
 
-double WorstError(const ReadTimes& times,
+double WorstError(const PrefillTimes& times,
                   const Engine& engine,
                   const TrueEngine& real) {
   double worst = 0;
   for (const int tokens : {600, 2'000, 5'000, 10'000}) {
     const double expected = real.Ms(tokens);
     worst = std::max(
-        worst, std::abs(times.ReadMs(engine, tokens) - expected) / expected);
+        worst, std::abs(times.PrefillMs(engine, tokens) - expected) / expected);
   }
   return worst;
 }
@@ -71,8 +75,8 @@
 
 // 150 reads are three seconds of a busy instance; the users' services read 38
 // to 220 tokens in a millisecond.
-RC_GTEST_PROP(ReadTimes, FindsTheTimesOfEnginesNobodyTold, ()) {
-  ReadTimes times;
+RC_GTEST_PROP(PrefillTimes, FindsTheTimesOfEnginesNobodyTold, ()) {
+  PrefillTimes times;
   Engine engine = MakeEngine("e");
   const TrueEngine real = DrawnEngine();
   Reads reads(*rc::gen::inRange(1, 1'000'000));
@@ -81,8 +85,8 @@
   RC_ASSERT(times.TokensPerMs(engine) < 2 * real.tokens_per_ms);
 }
 
-RC_GTEST_PROP(ReadTimes, FollowsAnEngineThatChangesItsSpeed, ()) {
-  ReadTimes times;
+RC_GTEST_PROP(PrefillTimes, FollowsAnEngineThatChangesItsSpeed, ()) {
+  PrefillTimes times;
   Engine engine = MakeEngine("e");
   TrueEngine real = DrawnEngine();
   Reads reads(*rc::gen::inRange(1, 1'000'000));
@@ -94,8 +98,8 @@
 
 // Engines of one service that differ by 1.3: each is told apart, and the
 // others' reads say what an engine without reads would take.
-TEST(ReadTimes, TellsSlowEnginesFromFastOnes) {
-  ReadTimes times;
+TEST(PrefillTimes, TellsSlowEnginesFromFastOnes) {
+  PrefillTimes times;
   Engine fast = MakeEngine("fast");
   Engine slow = MakeEngine("slow");
   const TrueEngine real_fast{.base_ms = 3, .tokens_per_ms = 200};
@@ -108,48 +112,49 @@
   }
   EXPECT_NEAR(slow.slowness / fast.slowness, 1.3, 0.15);
   const Engine unseen = MakeEngine("unseen");
-  EXPECT_GT(times.ReadMs(unseen, 3'000), 0.8 * real_fast.Ms(3'000));
-  EXPECT_LT(times.ReadMs(unseen, 3'000), 1.2 * real_slow.Ms(3'000));
+  EXPECT_GT(times.PrefillMs(unseen, 3'000), 0.8 * real_fast.Ms(3'000));
+  EXPECT_LT(times.PrefillMs(unseen, 3'000), 1.2 * real_slow.Ms(3'000));
 }
 
-TEST(ReadTimes, PromptsOfOneSizeGiveAFiniteTime) {
-  ReadTimes times;
+TEST(PrefillTimes, PromptsOfOneSizeGiveAFiniteTime) {
+  PrefillTimes times;
   Engine engine = MakeEngine("e");
   for (int i = 0; i < 500; ++i) {
-    times.LearnRead(engine, 1'000, std::chrono::milliseconds(10));
+    times.RecordPrefill(engine, 1'000, std::chrono::milliseconds(10));
   }
-  EXPECT_NEAR(times.ReadMs(engine, 1'000), 10, 1);
-  EXPECT_GT(times.ReadMs(engine, 4'000), 10);
-  EXPECT_LT(times.ReadMs(engine, 4'000), 60);
+  EXPECT_NEAR(times.PrefillMs(engine, 1'000), 10, 1);
+  EXPECT_GT(times.PrefillMs(engine, 4'000), 10);
+  EXPECT_LT(times.PrefillMs(engine, 4'000), 60);
 }
 
 // The load this answers: links of 530 Gbit/s where 370 had been measured. Each
 // fetch was taken to cost 12 ms and took three, so parts were waited for at
 // home.
-TEST(ReadTimes, LearnsWhatMovesOfKvCacheCost) {
-  ReadTimes times;
+TEST(PrefillTimes, LearnsWhatMovesOfKvCacheCost) {
+  PrefillTimes times;
   Engine engine = MakeEngine("e");
-  const double read = times.ReadMs(engine, 1'000);
+  const double read = times.PrefillMs(engine, 1'000);
   for (int i = 0; i < 100; ++i) {
-    times.LearnFetchedRead(engine, 1'000, base::FromFineMillis(read + 3));
-    times.LearnHandover(kService, std::chrono::milliseconds(9));
+    times.RecordPrefillAfterFetch(engine, 1'000,
+                                  base::FromFineMillis(read + 3));
+    times.RecordHandover(kService, std::chrono::milliseconds(9));
   }
   EXPECT_NEAR(times.FetchMs(kService), 3, 0.5);
   EXPECT_NEAR(times.HandoverMs(kService), 9, 0.5);
   const base::ServiceName other("other");
-  EXPECT_EQ(times.HandoverMs(other), ReadTimesOptions().prior_handover_ms);
+  EXPECT_EQ(times.HandoverMs(other), PrefillTimesOptions().prior_handover_ms);
 }
 
 // One read that hangs for seconds is no measure of the others.
-TEST(ReadTimes, OneSurpriseChangesLittle) {
-  ReadTimes times;
+TEST(PrefillTimes, OneSurpriseChangesLittle) {
+  PrefillTimes times;
   Engine engine = MakeEngine("e");
   Reads reads(3);
   const TrueEngine real{.base_ms = 2, .tokens_per_ms = 100};
   reads.Read(times, engine, real, 100);
-  const double before = times.ReadMs(engine, 3'000);
-  times.LearnRead(engine, 3'000, std::chrono::seconds(10));
-  EXPECT_LT(times.ReadMs(engine, 3'000), 1.5 * before);
+  const double before = times.PrefillMs(engine, 3'000);
+  times.RecordPrefill(engine, 3'000, std::chrono::seconds(10));
+  EXPECT_LT(times.PrefillMs(engine, 3'000), 1.5 * before);
 }
 
 }  // namespace
