--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -117,7 +117,7 @@
         return answers.Room(engine, now);
       };
   request::passthrough::EngineChoice choice;
-  request::passthrough::RetryAllowance allowance;
+  request::passthrough::SharedRetryBudget allowance;
   process::InstancePresence presence;
   // What the followers watch: the store, or another instance that does.
   process::WatchSharing watches;
--- a/src/process/retry_loans.cc
+++ b/src/process/retry_loans.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-RetryLoans::RetryLoans(request::passthrough::RetryAllowance& allowance,
+RetryLoans::RetryLoans(request::passthrough::SharedRetryBudget& allowance,
                        PeerDatagrams& datagrams,
                        RetryLoansHooks hooks,
                        RetryLoansOptions options,
--- a/src/process/retry_loans.h
+++ b/src/process/retry_loans.h
@@ -21,7 +21,7 @@
 #include "process/instance_presence.h"
 #include "process/loan_messages.h"
 #include "process/peer_datagrams.h"
-#include "request/passthrough/retry_allowance.h"
+#include "request/passthrough/shared_retry_budget.h"
 
 namespace lynxglade::process {
 
@@ -50,7 +50,7 @@
 // Not thread-safe: lives on the event loop.
 class RetryLoans {
  public:
-  RetryLoans(request::passthrough::RetryAllowance& allowance,
+  RetryLoans(request::passthrough::SharedRetryBudget& allowance,
              PeerDatagrams& datagrams,
              RetryLoansHooks hooks,
              RetryLoansOptions options,
@@ -81,7 +81,7 @@
   bool TakeLoan(const InstancePeer& from, std::string_view body);
   void Count(const char* outcome);
 
-  request::passthrough::RetryAllowance& allowance_;
+  request::passthrough::SharedRetryBudget& allowance_;
   PeerDatagrams& datagrams_;
   const RetryLoansHooks hooks_;
   const RetryLoansOptions options_;
--- a/src/request/passthrough/relay.h
+++ b/src/request/passthrough/relay.h
@@ -24,8 +24,8 @@
 #include "request/passthrough/generation_times.h"
 #include "request/passthrough/goal_admission.h"
 #include "request/passthrough/prefill_times.h"
-#include "request/passthrough/retry_allowance.h"
 #include "request/passthrough/route_table.h"
+#include "request/passthrough/shared_retry_budget.h"
 #include "request/passthrough/target_protocol.h"
 #include "request/passthrough/zone_health.h"
 
@@ -75,7 +75,7 @@
   PrefillTimes& prefill_times;
   GenerationTimes& generation_times;
   AnswerAdmission& answers;
-  RetryAllowance& allowance;
+  SharedRetryBudget& allowance;
   ZoneHealth& zones;
   base::Metrics& metrics;
   base::Clock clock;
--- a/src/request/passthrough/retry_allowance.cc
+++ b/src/request/passthrough/shared_retry_budget.cc
@@ -1,4 +1,4 @@
-#include "request/passthrough/retry_allowance.h"
+#include "request/passthrough/shared_retry_budget.h"
 
 #include <algorithm>
 #include <numeric>
@@ -6,16 +6,17 @@
 
 namespace lynxglade::request::passthrough {
 
-RetryAllowance::RetryAllowance(RetryAllowanceOptions options, OnShort on_short)
+SharedRetryBudget::SharedRetryBudget(SharedRetryBudgetOptions options,
+                                     OnShort on_short)
     : options_(options), on_short_(std::move(on_short)) {}
 
-void RetryAllowance::OnRequest(const base::ServiceName& service,
-                               base::Time now) {
+void SharedRetryBudget::OnRequest(const base::ServiceName& service,
+                                  base::Time now) {
   Find(service).requests.Add(1, now);
 }
 
 // Loans first: they end, the own share does not.
-std::optional<HeldArrivals> RetryAllowance::TryHold(
+std::optional<HeldArrivals> SharedRetryBudget::TryHold(
     const base::ServiceName& service,
     int arrivals,
     ArrivalUse use,
@@ -43,7 +44,7 @@
   return held;
 }
 
-void RetryAllowance::TakeLoans(Account& account, double arrivals) {
+void SharedRetryBudget::TakeLoans(Account& account, double arrivals) {
   for (Loan& loan : account.loans) {
     const double part = std::min(loan.arrivals, arrivals);
     loan.arrivals -= part;
@@ -52,9 +53,9 @@
   std::erase_if(account.loans, [](const Loan& it) { return it.arrivals <= 0; });
 }
 
-void RetryAllowance::Release(const base::ServiceName& service,
-                             const HeldArrivals& held,
-                             base::Time now) {
+void SharedRetryBudget::Release(const base::ServiceName& service,
+                                const HeldArrivals& held,
+                                base::Time now) {
   Account& account = Find(service);
   Unhold(account, held);
   if (held.borrowed > 0 && held.borrowed_until > now) {
@@ -62,8 +63,8 @@
   }
 }
 
-void RetryAllowance::Charge(const base::ServiceName& service,
-                            const HeldArrivals& held) {
+void SharedRetryBudget::Charge(const base::ServiceName& service,
+                               const HeldArrivals& held) {
   Account& account = Find(service);
   Unhold(account, held);
   if (held.own > 0) {
@@ -71,15 +72,15 @@
   }
 }
 
-void RetryAllowance::ChargeLate(const base::ServiceName& service,
-                                base::Time now) {
+void SharedRetryBudget::ChargeLate(const base::ServiceName& service,
+                                   base::Time now) {
   Find(service).spent.Add(1, now);
 }
 
-double RetryAllowance::Lend(const base::ServiceName& service,
-                            double wanted,
-                            int instances,
-                            base::Time now) {
+double SharedRetryBudget::Lend(const base::ServiceName& service,
+                               double wanted,
+                               int instances,
+                               base::Time now) {
   Account& account = Find(service);
   const double lent =
       std::min(std::max(wanted, options_.least_loan),
@@ -91,13 +92,13 @@
   return lent;
 }
 
-void RetryAllowance::Borrow(const base::ServiceName& service,
-                            double arrivals,
-                            base::Time asked_at) {
+void SharedRetryBudget::Borrow(const base::ServiceName& service,
+                               double arrivals,
+                               base::Time asked_at) {
   AddLoan(Find(service), {asked_at + options_.loan_life, arrivals});
 }
 
-void RetryAllowance::Unhold(Account& account, const HeldArrivals& held) {
+void SharedRetryBudget::Unhold(Account& account, const HeldArrivals& held) {
   account.held -= held.own;
   --account.holds;
   if (account.holds == 0) {
@@ -106,27 +107,27 @@
   }
 }
 
-RetryAllowance::Account& RetryAllowance::Find(
+SharedRetryBudget::Account& SharedRetryBudget::Find(
     const base::ServiceName& service) {
   return accounts_.try_emplace(service, options_).first->second;
 }
 
-double RetryAllowance::PartFor(ArrivalUse use) const noexcept {
+double SharedRetryBudget::PartFor(ArrivalUse use) const noexcept {
   return use == ArrivalUse::kFirstReading ? options_.most_in_all
                                           : options_.most_for_retries;
 }
 
-double RetryAllowance::Own(Account& account,
-                           double part,
-                           int instances,
-                           base::Time now) const {
+double SharedRetryBudget::Own(Account& account,
+                              double part,
+                              int instances,
+                              base::Time now) const {
   const double earned = options_.ratio * account.requests.Total(now);
   const double granted = options_.allowance / std::max(instances, 1);
   return part * (earned + granted) - account.spent.Total(now) -
          account.lent.Total(now) - account.held;
 }
 
-double RetryAllowance::Borrowed(Account& account, base::Time now) {
+double SharedRetryBudget::Borrowed(Account& account, base::Time now) {
   std::erase_if(account.loans,
                 [now](const Loan& it) { return it.until <= now; });
   return std::accumulate(
@@ -134,7 +135,7 @@
       [](double sum, const Loan& it) { return sum + it.arrivals; });
 }
 
-void RetryAllowance::AddLoan(Account& account, const Loan& loan) {
+void SharedRetryBudget::AddLoan(Account& account, const Loan& loan) {
   const auto later =
       std::ranges::upper_bound(account.loans, loan.until, {}, &Loan::until);
   account.loans.insert(later, loan);
--- a/src/request/passthrough/retry_allowance.h
+++ b/src/request/passthrough/shared_retry_budget.h
@@ -12,8 +12,8 @@
 // contain an arrival that it paid for. So the shares are never exceeded
 // together, whatever is lost, late or repeated between instances: a loan that
 // does not arrive is spent by nobody.
-#ifndef LYNXGLADE_REQUEST_PASSTHROUGH_RETRY_ALLOWANCE_H_
-#define LYNXGLADE_REQUEST_PASSTHROUGH_RETRY_ALLOWANCE_H_
+#ifndef LYNXGLADE_REQUEST_PASSTHROUGH_SHARED_RETRY_BUDGET_H_
+#define LYNXGLADE_REQUEST_PASSTHROUGH_SHARED_RETRY_BUDGET_H_
 
 #include <functional>
 #include <map>
@@ -26,7 +26,7 @@
 
 namespace lynxglade::request::passthrough {
 
-struct RetryAllowanceOptions {
+struct SharedRetryBudgetOptions {
   // Of the fleet, as the platform states it.
   double ratio = 0.2;
   double allowance = 50;
@@ -66,7 +66,7 @@
 };
 
 // Not thread-safe: lives on the event loop.
-class RetryAllowance {
+class SharedRetryBudget {
  public:
   // `missing` arrivals more would have paid for something.
   using OnShort =
@@ -76,9 +76,10 @@
   // for. Loans that are asked for before they are needed end unspent, while
   // they bind their lenders for three times as long: where each instance asked
   // as soon as it had little, the fleet's allowance was gone in four seconds.
-  explicit RetryAllowance(RetryAllowanceOptions options, OnShort on_short = {});
-  RetryAllowance(const RetryAllowance&) = delete;
-  RetryAllowance& operator=(const RetryAllowance&) = delete;
+  explicit SharedRetryBudget(SharedRetryBudgetOptions options,
+                             OnShort on_short = {});
+  SharedRetryBudget(const SharedRetryBudget&) = delete;
+  SharedRetryBudget& operator=(const SharedRetryBudget&) = delete;
 
   // A request for the service was taken from a caller.
   void OnRequest(const base::ServiceName& service, base::Time now);
@@ -117,7 +118,7 @@
     double arrivals = 0;
   };
   struct Account {
-    explicit Account(const RetryAllowanceOptions& options)
+    explicit Account(const SharedRetryBudgetOptions& options)
         : requests(options.window),
           spent(options.window),
           lent(options.window + options.loan_life) {}
@@ -145,11 +146,11 @@
   static void TakeLoans(Account& account, double arrivals);
   static void AddLoan(Account& account, const Loan& loan);
   static void Unhold(Account& account, const HeldArrivals& held);
-  const RetryAllowanceOptions options_;
+  const SharedRetryBudgetOptions options_;
   const OnShort on_short_;
   std::map<base::ServiceName, Account> accounts_;
 };
 
 }  // namespace lynxglade::request::passthrough
 
-#endif  // LYNXGLADE_REQUEST_PASSTHROUGH_RETRY_ALLOWANCE_H_
+#endif  // LYNXGLADE_REQUEST_PASSTHROUGH_SHARED_RETRY_BUDGET_H_
--- a/tests/platform/first_reads_test.cc
+++ b/tests/platform/first_reads_test.cc
@@ -15,7 +15,7 @@
 using connection::ScriptedServer;
 using request::passthrough::ArrivalUse;
 using request::passthrough::EngineStage;
-using request::passthrough::RetryAllowanceOptions;
+using request::passthrough::SharedRetryBudgetOptions;
 using Then = ScriptedServer::Then;
 
 // The load this answers: engines that crash in series and come back with
@@ -47,7 +47,7 @@
   for (const ScriptedServer* reader : readers) {
     rejected += reader->requests().size();
   }
-  const RetryAllowanceOptions bound;
+  const SharedRetryBudgetOptions bound;
   EXPECT_LE(static_cast<double>(rejected),
             bound.ratio * kRequests + bound.allowance);
 }
--- a/tests/platform/relay_fixture.h
+++ b/tests/platform/relay_fixture.h
@@ -89,7 +89,7 @@
   request::passthrough::EngineChoice choice_{{.zone = base::ZoneId("a")},
                                              prefill_times_,
                                              base::SeededRandom(1)};
-  request::passthrough::RetryAllowance allowance_{{}};
+  request::passthrough::SharedRetryBudget allowance_{{}};
   request::passthrough::ZoneHealth zones_;
   request::passthrough::RelayOptions options_;
   bool accepts_ = true;
--- a/tests/process/retry_loans_test.cc
+++ b/tests/process/retry_loans_test.cc
@@ -11,7 +11,7 @@
 namespace {
 
 using request::passthrough::ArrivalUse;
-using request::passthrough::RetryAllowance;
+using request::passthrough::SharedRetryBudget;
 using std::chrono::milliseconds;
 
 const base::ServiceName kService("llm");
@@ -42,7 +42,7 @@
       return PeerParts::Counted("lynxglade_retry_loans_total", outcome);
     }
 
-    RetryAllowance allowance;
+    SharedRetryBudget allowance;
     RetryLoans loans;
   };
 
--- a/tests/request/passthrough/retry_allowance_test.cc
+++ b/tests/request/passthrough/shared_retry_budget_test.cc
@@ -1,4 +1,4 @@
-#include "request/passthrough/retry_allowance.h"
+#include "request/passthrough/shared_retry_budget.h"
 
 #include <algorithm>
 #include <cstdint>
@@ -20,7 +20,7 @@
 const base::Time kNow = base::Time() + std::chrono::hours(1);
 const base::ServiceName kService("llm");
 
-std::optional<HeldArrivals> HoldReading(RetryAllowance& allowance,
+std::optional<HeldArrivals> HoldReading(SharedRetryBudget& allowance,
                                         int instances,
                                         base::Time now) {
   return allowance.TryHold(kService, 1, ArrivalUse::kFirstReading, instances,
@@ -28,7 +28,7 @@
 }
 
 // Retries that reach their targets.
-bool Take(RetryAllowance& allowance,
+bool Take(SharedRetryBudget& allowance,
           int arrivals,
           int instances,
           base::Time now,
@@ -42,7 +42,7 @@
 }
 
 // Whether one arrival more could be set aside, by the only instance.
-bool CanHold(RetryAllowance& allowance, base::Time now) {
+bool CanHold(SharedRetryBudget& allowance, base::Time now) {
   const auto held = HoldReading(allowance, 1, now);
   if (held) {
     allowance.Release(kService, *held, now);
@@ -50,8 +50,8 @@
   return held.has_value();
 }
 
-TEST(RetryAllowance, AQuietInstanceMaySpendItsPartOfTheAllowance) {
-  RetryAllowance allowance(
+TEST(SharedRetryBudget, AQuietInstanceMaySpendItsPartOfTheAllowance) {
+  SharedRetryBudget allowance(
       {.ratio = 0.2, .allowance = 50, .most_in_all = 1, .most_for_retries = 1});
   int taken = 0;
   while (Take(allowance, 1, 5, kNow)) {
@@ -61,23 +61,23 @@
   EXPECT_TRUE(Take(allowance, 1, 5, kNow + seconds(11)));
 }
 
-TEST(RetryAllowance, ServicesDoNotShare) {
-  RetryAllowance allowance(
+TEST(SharedRetryBudget, ServicesDoNotShare) {
+  SharedRetryBudget allowance(
       {.ratio = 0, .allowance = 1, .most_in_all = 1, .most_for_retries = 1});
   EXPECT_TRUE(Take(allowance, 1, 1, kNow));
   EXPECT_FALSE(Take(allowance, 1, 1, kNow));
   EXPECT_TRUE(Take(allowance, 1, 1, kNow, base::ServiceName("portal")));
 }
 
-TEST(RetryAllowance, WhatCannotBePaidWholeTakesNothing) {
-  RetryAllowance allowance(
+TEST(SharedRetryBudget, WhatCannotBePaidWholeTakesNothing) {
+  SharedRetryBudget allowance(
       {.ratio = 0, .allowance = 1, .most_in_all = 1, .most_for_retries = 1});
   EXPECT_FALSE(Take(allowance, 2, 1, kNow));
   EXPECT_TRUE(Take(allowance, 1, 1, kNow));
 }
 
-TEST(RetryAllowance, HeldArrivalsCountUntilTheyAreReleased) {
-  RetryAllowance allowance(
+TEST(SharedRetryBudget, HeldArrivalsCountUntilTheyAreReleased) {
+  SharedRetryBudget allowance(
       {.ratio = 0, .allowance = 2, .most_in_all = 1, .most_for_retries = 1});
   const auto first = HoldReading(allowance, 1, kNow);
   const auto second = HoldReading(allowance, 1, kNow);
@@ -88,8 +88,8 @@
   EXPECT_TRUE(Take(allowance, 1, 1, kNow));
 }
 
-TEST(RetryAllowance, HeldArrivalsThatAreChargedCountForAWindow) {
-  RetryAllowance allowance(
+TEST(SharedRetryBudget, HeldArrivalsThatAreChargedCountForAWindow) {
+  SharedRetryBudget allowance(
       {.ratio = 0, .allowance = 1, .most_in_all = 1, .most_for_retries = 1});
   const auto held = HoldReading(allowance, 1, kNow);
   ASSERT_TRUE(held);
@@ -98,8 +98,8 @@
   EXPECT_TRUE(CanHold(allowance, kNow + milliseconds(10'001)));
 }
 
-TEST(RetryAllowance, ALoanIsSpentInTimeOrNotAtAll) {
-  RetryAllowance allowance(
+TEST(SharedRetryBudget, ALoanIsSpentInTimeOrNotAtAll) {
+  SharedRetryBudget allowance(
       {.ratio = 0, .allowance = 0, .most_in_all = 1, .most_for_retries = 1});
   allowance.Borrow(kService, 1.5, kNow);
   EXPECT_TRUE(Take(allowance, 1, 1, kNow + seconds(4)));
@@ -107,8 +107,8 @@
   EXPECT_FALSE(Take(allowance, 1, 1, kNow + seconds(5)));
 }
 
-TEST(RetryAllowance, AHeldLoanThatIsReleasedEndsWhenItWouldHave) {
-  RetryAllowance allowance(
+TEST(SharedRetryBudget, AHeldLoanThatIsReleasedEndsWhenItWouldHave) {
+  SharedRetryBudget allowance(
       {.ratio = 0, .allowance = 0, .most_in_all = 1, .most_for_retries = 1});
   allowance.Borrow(kService, 1, kNow);
   const auto held = HoldReading(allowance, 1, kNow);
@@ -120,16 +120,16 @@
 }
 
 // It is bound until no window can contain what the loan paid for.
-TEST(RetryAllowance, ALenderGetsItBackAfterTheLoansLifeAndAWindow) {
-  RetryAllowance allowance(
+TEST(SharedRetryBudget, ALenderGetsItBackAfterTheLoansLifeAndAWindow) {
+  SharedRetryBudget allowance(
       {.ratio = 0, .allowance = 4, .most_in_all = 1, .most_for_retries = 1});
   EXPECT_EQ(allowance.Lend(kService, 3, 1, kNow), 3);
   EXPECT_EQ(allowance.Lend(kService, 3, 1, kNow + seconds(15)), 1);
   EXPECT_EQ(allowance.Lend(kService, 3, 1, kNow + milliseconds(15'001)), 3);
 }
 
-TEST(RetryAllowance, OneWithoutAnyToSpareLendsNone) {
-  RetryAllowance allowance(
+TEST(SharedRetryBudget, OneWithoutAnyToSpareLendsNone) {
+  SharedRetryBudget allowance(
       {.ratio = 0, .allowance = 2, .most_in_all = 1, .most_for_retries = 1});
   EXPECT_TRUE(Take(allowance, 2, 1, kNow));
   EXPECT_EQ(allowance.Lend(kService, 1, 1, kNow), 0);
@@ -140,8 +140,8 @@
 
 // The load this answers: engines that crash in series, before which retries
 // took all, and prompts could not be read apart any more.
-TEST(RetryAllowance, RetriesLeaveAPartToFirstReadings) {
-  RetryAllowance allowance(
+TEST(SharedRetryBudget, RetriesLeaveAPartToFirstReadings) {
+  SharedRetryBudget allowance(
       {.ratio = 0, .allowance = 10, .most_in_all = 1, .most_for_retries = 0.8});
   int taken = 0;
   while (Take(allowance, 1, 1, kNow)) {
@@ -154,9 +154,9 @@
   EXPECT_FALSE(HoldReading(allowance, 1, kNow));
 }
 
-TEST(RetryAllowance, SaysWhatIsMissing) {
+TEST(SharedRetryBudget, SaysWhatIsMissing) {
   double missing = 0;
-  RetryAllowance allowance(
+  SharedRetryBudget allowance(
       {.ratio = 0, .allowance = 1.5, .most_in_all = 1, .most_for_retries = 1},
       [&missing](const base::ServiceName&, double n) { missing = n; });
   ASSERT_TRUE(HoldReading(allowance, 1, kNow));
@@ -171,7 +171,7 @@
 // one before it, or half way between, whichever has most.
 class Bound {
  public:
-  explicit Bound(const RetryAllowanceOptions& options) : options_(options) {}
+  explicit Bound(const SharedRetryBudgetOptions& options) : options_(options) {}
 
   void OnRequest(base::Time now) { requests_.push_back(now); }
   void OnExtra(base::Time now) { extra_.push_back(now); }
@@ -193,7 +193,7 @@
     return static_cast<std::size_t>(std::max<std::ptrdiff_t>(last - first, 0));
   }
 
-  const RetryAllowanceOptions options_;
+  const SharedRetryBudgetOptions options_;
   std::vector<base::Time> requests_;
   std::vector<base::Time> extra_;
 };
@@ -203,11 +203,11 @@
 class LendingFleet {
  public:
   LendingFleet(int instances,
-               const RetryAllowanceOptions& options,
+               const SharedRetryBudgetOptions& options,
                base::RandomSource random)
       : options_(options), random_(std::move(random)), bound_(options) {
     for (int i = 0; i < instances; ++i) {
-      fleet_.push_back(std::make_unique<RetryAllowance>(options));
+      fleet_.push_back(std::make_unique<SharedRetryBudget>(options));
     }
   }
 
@@ -296,11 +296,11 @@
     loans_.erase(due.begin(), due.end());
   }
 
-  const RetryAllowanceOptions options_;
+  const SharedRetryBudgetOptions options_;
   const base::RandomSource random_;
   base::Time now_ = kNow;
   Bound bound_;
-  std::vector<std::unique_ptr<RetryAllowance>> fleet_;
+  std::vector<std::unique_ptr<SharedRetryBudget>> fleet_;
   std::vector<Held> held_;
   std::vector<OnItsWay> loans_;
   std::size_t extra_ = 0;
@@ -310,7 +310,7 @@
 // are to read, at all instances at once. In no window do the instances together
 // exceed the fleet's bound, whatever the order of requests, retries, readings
 // and loans, and if every reading under way is rejected.
-RC_GTEST_PROP(RetryAllowance, TheFleetKeepsToItsBoundInEveryWindow, ()) {
+RC_GTEST_PROP(SharedRetryBudget, TheFleetKeepsToItsBoundInEveryWindow, ()) {
   const int instances = *rc::gen::element(1, 2, 7, 40, 300);
   const auto seed = *rc::gen::arbitrary<std::uint64_t>();
   LendingFleet fleet(instances, {.ratio = 0.2, .allowance = 20},
@@ -323,7 +323,7 @@
 
 // Without what requests earn no margin is needed: the shares add up to the
 // allowance, lent or not.
-RC_GTEST_PROP(RetryAllowance, LoansNeverAddToTheAllowance, ()) {
+RC_GTEST_PROP(SharedRetryBudget, LoansNeverAddToTheAllowance, ()) {
   const int instances = *rc::gen::element(2, 7, 40, 300);
   const auto seed = *rc::gen::arbitrary<std::uint64_t>();
   LendingFleet fleet(instances,
@@ -343,20 +343,20 @@
 // apart at once. Of 295 instances and 630 retries, one with its equal share
 // could read two prompts at a time (0.95 x 630 / 295 = 2.0); 20 is what it has
 // under way at ten requests a second and two seconds a reading.
-TEST(RetryAllowance, APressedInstanceReadsWithWhatItsZoneCanSpare) {
+TEST(SharedRetryBudget, APressedInstanceReadsWithWhatItsZoneCanSpare) {
   constexpr int kInstances = 295;
   constexpr int kZone = 59;
   constexpr int kReadings = 20;
-  const RetryAllowanceOptions options{.ratio = 0.2, .allowance = 630};
-  std::vector<std::unique_ptr<RetryAllowance>> others;
+  const SharedRetryBudgetOptions options{.ratio = 0.2, .allowance = 630};
+  std::vector<std::unique_ptr<SharedRetryBudget>> others;
   for (int i = 0; i < kZone - 1; ++i) {
-    others.push_back(std::make_unique<RetryAllowance>(options));
+    others.push_back(std::make_unique<SharedRetryBudget>(options));
   }
   std::size_t next = 0;
-  RetryAllowance* self = nullptr;
-  RetryAllowance pressed(
+  SharedRetryBudget* self = nullptr;
+  SharedRetryBudget pressed(
       options, [&](const base::ServiceName& service, double missing) {
-        RetryAllowance& lender = *others[next++ % others.size()];
+        SharedRetryBudget& lender = *others[next++ % others.size()];
         self->Borrow(service, lender.Lend(service, missing, kInstances, kNow),
                      kNow);
       });
