--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -70,10 +70,10 @@
   if (accepted_reads_ > 0) {
     co_return co_await SendRead(pick, &may_count);
   }
-  const auto held = std::make_shared<std::optional<HeldArrivals>>();
+  const auto held = std::make_shared<std::optional<ReservedArrivals>>();
   const std::function<bool(base::Time)> hold = [&](base::Time now) {
-    *held = parts_.allowance.TryHold(service_, 1, ArrivalUse::kFirstReading,
-                                     parts_.instances(), now);
+    *held = parts_.allowance.TryReserve(
+        service_, 1, ArrivalPurpose::kFirstPrefill, parts_.instances(), now);
     return held->has_value();
   };
   const bool paid = co_await PayOrWait(hold);
--- a/src/request/passthrough/relay_run.cc
+++ b/src/request/passthrough/relay_run.cc
@@ -221,19 +221,19 @@
                   kLeast);
 }
 
-Awaitable<std::optional<HeldArrivals>> RelayRun::Pay(const EnginePick& pick,
-                                                     AttemptEnd after) {
+Awaitable<std::optional<ReservedArrivals>> RelayRun::Pay(const EnginePick& pick,
+                                                         AttemptEnd after) {
   const bool reads = pick.reader && !source_;
   const int arrivals = (runs_ + rejections_ > 0 ? 1 : 0) +
                        (reads && accepted_reads_ > 0 ? 1 : 0);
   if (arrivals == 0) {
-    co_return parts_.allowance.TryHold(service_, 0, ArrivalUse::kRetry,
-                                       parts_.instances(), parts_.clock());
+    co_return parts_.allowance.TryReserve(service_, 0, ArrivalPurpose::kRetry,
+                                          parts_.instances(), parts_.clock());
   }
-  std::optional<HeldArrivals> held;
+  std::optional<ReservedArrivals> held;
   const std::function<bool(base::Time)> hold = [&](base::Time now) {
-    held = parts_.allowance.TryHold(service_, arrivals, ArrivalUse::kRetry,
-                                    parts_.instances(), now);
+    held = parts_.allowance.TryReserve(
+        service_, arrivals, ArrivalPurpose::kRetry, parts_.instances(), now);
     return held.has_value();
   };
   const bool paid = co_await PayOrWait(hold);
--- a/src/request/passthrough/relay_run.h
+++ b/src/request/passthrough/relay_run.h
@@ -88,8 +88,8 @@
   int Priority() const noexcept;
   // Sets aside what an attempt adds to the request's first arrival; waits a
   // little for loans if the share is used up. Nothing if it is denied.
-  Awaitable<std::optional<HeldArrivals>> Pay(const EnginePick& pick,
-                                             AttemptEnd after);
+  Awaitable<std::optional<ReservedArrivals>> Pay(const EnginePick& pick,
+                                                 AttemptEnd after);
   Awaitable<AttemptEnd> Attempt(EnginePick pick);
   // Has the prompt read and sets source_; false if that failed. The arrival is
   // paid for if it counts.
--- a/src/request/passthrough/shared_retry_budget.cc
+++ b/src/request/passthrough/shared_retry_budget.cc
@@ -7,7 +7,7 @@
 namespace lynxglade::request::passthrough {
 
 SharedRetryBudget::SharedRetryBudget(SharedRetryBudgetOptions options,
-                                     OnShort on_short)
+                                     OnShortfall on_short)
     : options_(options), on_short_(std::move(on_short)) {}
 
 void SharedRetryBudget::OnRequest(const base::ServiceName& service,
@@ -16,10 +16,10 @@
 }
 
 // Loans first: they end, the own share does not.
-std::optional<HeldArrivals> SharedRetryBudget::TryHold(
+std::optional<ReservedArrivals> SharedRetryBudget::TryReserve(
     const base::ServiceName& service,
     int arrivals,
-    ArrivalUse use,
+    ArrivalPurpose use,
     int instances,
     base::Time now) {
   Account& account = Find(service);
@@ -31,7 +31,7 @@
     }
     return std::nullopt;
   }
-  HeldArrivals held;
+  ReservedArrivals held;
   held.held_at = now;
   if (!account.loans.empty()) {
     held.borrowed_until = account.loans.front().until;
@@ -54,7 +54,7 @@
 }
 
 void SharedRetryBudget::Release(const base::ServiceName& service,
-                                const HeldArrivals& held,
+                                const ReservedArrivals& held,
                                 base::Time now) {
   Account& account = Find(service);
   Unhold(account, held);
@@ -64,7 +64,7 @@
 }
 
 void SharedRetryBudget::Charge(const base::ServiceName& service,
-                               const HeldArrivals& held) {
+                               const ReservedArrivals& held) {
   Account& account = Find(service);
   Unhold(account, held);
   if (held.own > 0) {
@@ -83,9 +83,9 @@
                                base::Time now) {
   Account& account = Find(service);
   const double lent =
-      std::min(std::max(wanted, options_.least_loan),
-               Own(account, options_.most_for_retries, instances, now));
-  if (lent < options_.least_loan) {
+      std::min(std::max(wanted, options_.min_loan),
+               Own(account, options_.max_retry_fraction, instances, now));
+  if (lent < options_.min_loan) {
     return 0;
   }
   account.lent.Add(lent, now);
@@ -95,10 +95,10 @@
 void SharedRetryBudget::Borrow(const base::ServiceName& service,
                                double arrivals,
                                base::Time asked_at) {
-  AddLoan(Find(service), {asked_at + options_.loan_life, arrivals});
+  AddLoan(Find(service), {asked_at + options_.loan_ttl, arrivals});
 }
 
-void SharedRetryBudget::Unhold(Account& account, const HeldArrivals& held) {
+void SharedRetryBudget::Unhold(Account& account, const ReservedArrivals& held) {
   account.held -= held.own;
   --account.holds;
   if (account.holds == 0) {
@@ -112,9 +112,9 @@
   return accounts_.try_emplace(service, options_).first->second;
 }
 
-double SharedRetryBudget::PartFor(ArrivalUse use) const noexcept {
-  return use == ArrivalUse::kFirstReading ? options_.most_in_all
-                                          : options_.most_for_retries;
+double SharedRetryBudget::PartFor(ArrivalPurpose use) const noexcept {
+  return use == ArrivalPurpose::kFirstPrefill ? options_.max_fraction
+                                              : options_.max_retry_fraction;
 }
 
 double SharedRetryBudget::Own(Account& account,
--- a/src/request/passthrough/shared_retry_budget.h
+++ b/src/request/passthrough/shared_retry_budget.h
@@ -33,22 +33,22 @@
   base::Duration window = std::chrono::seconds(10);
   // The part of both that is spent, so that instances whose windows or counts
   // disagree do not exceed the fleet's bound together.
-  double most_in_all = 0.95;
+  double max_fraction = 0.95;
   // Of which retries and loans may take this part of both. The rest is left for
   // first readings, which mostly cost nothing, and without which long prompts
   // are refused.
-  double most_for_retries = 0.8;
+  double max_retry_fraction = 0.8;
   // A loan is spent within so long of being asked for, or not at all. Longer
   // lasts for more reads of a prompt; shorter is given back sooner, as a loan
   // binds its lender for this and a window.
-  base::Duration loan_life = std::chrono::seconds(5);
+  base::Duration loan_ttl = std::chrono::seconds(5);
   // Smaller loans are not worth a message: who misses less is lent this.
-  double least_loan = 0.1;
+  double min_loan = 0.1;
 };
 
 // Arrivals that are set aside until it is known whether they are beyond the
 // first of their request.
-struct HeldArrivals {
+struct ReservedArrivals {
   // Of the instance's own share, and of loans.
   double own = 0;
   double borrowed = 0;
@@ -58,18 +58,18 @@
 };
 
 // What arrivals are for.
-enum class ArrivalUse {
+enum class ArrivalPurpose {
   // A request is sent again; these count if they reach a target.
   kRetry,
   // The first reading of a prompt, which counts only if it is rejected.
-  kFirstReading,
+  kFirstPrefill,
 };
 
 // Not thread-safe: lives on the event loop.
 class SharedRetryBudget {
  public:
   // `missing` arrivals more would have paid for something.
-  using OnShort =
+  using OnShortfall =
       std::function<void(const base::ServiceName& service, double missing)>;
 
   // `on_short` may be empty; it is called whenever something could not be paid
@@ -77,7 +77,7 @@
   // they bind their lenders for three times as long: where each instance asked
   // as soon as it had little, the fleet's allowance was gone in four seconds.
   explicit SharedRetryBudget(SharedRetryBudgetOptions options,
-                             OnShort on_short = {});
+                             OnShortfall on_short = {});
   SharedRetryBudget(const SharedRetryBudget&) = delete;
   SharedRetryBudget& operator=(const SharedRetryBudget&) = delete;
 
@@ -86,17 +86,17 @@
   // Sets so many arrivals aside; nothing if the share and what was borrowed do
   // not cover them. What is held is either released or charged. `instances`,
   // here and below: those that may be up, this one included.
-  std::optional<HeldArrivals> TryHold(const base::ServiceName& service,
-                                      int arrivals,
-                                      ArrivalUse use,
-                                      int instances,
-                                      base::Time now);
+  std::optional<ReservedArrivals> TryReserve(const base::ServiceName& service,
+                                             int arrivals,
+                                             ArrivalPurpose use,
+                                             int instances,
+                                             base::Time now);
   // They do not count.
   void Release(const base::ServiceName& service,
-               const HeldArrivals& held,
+               const ReservedArrivals& held,
                base::Time now);
   // They count, from when they were held.
-  void Charge(const base::ServiceName& service, const HeldArrivals& held);
+  void Charge(const base::ServiceName& service, const ReservedArrivals& held);
   // An arrival that counts although it was not held any more.
   void ChargeLate(const base::ServiceName& service, base::Time now);
 
@@ -121,7 +121,7 @@
     explicit Account(const SharedRetryBudgetOptions& options)
         : requests(options.window),
           spent(options.window),
-          lent(options.window + options.loan_life) {}
+          lent(options.window + options.loan_ttl) {}
 
     AgingSum requests;
     // Paid from the own share.
@@ -142,12 +142,12 @@
              int instances,
              base::Time now) const;
   static double Borrowed(Account& account, base::Time now);
-  double PartFor(ArrivalUse use) const noexcept;
+  double PartFor(ArrivalPurpose use) const noexcept;
   static void TakeLoans(Account& account, double arrivals);
   static void AddLoan(Account& account, const Loan& loan);
-  static void Unhold(Account& account, const HeldArrivals& held);
+  static void Unhold(Account& account, const ReservedArrivals& held);
   const SharedRetryBudgetOptions options_;
-  const OnShort on_short_;
+  const OnShortfall on_short_;
   std::map<base::ServiceName, Account> accounts_;
 };
 
--- a/tests/platform/first_reads_test.cc
+++ b/tests/platform/first_reads_test.cc
@@ -13,7 +13,7 @@
 namespace {
 
 using connection::ScriptedServer;
-using request::passthrough::ArrivalUse;
+using request::passthrough::ArrivalPurpose;
 using request::passthrough::EngineStage;
 using request::passthrough::SharedRetryBudgetOptions;
 using Then = ScriptedServer::Then;
@@ -78,8 +78,8 @@
   EXPECT_TRUE(Call(Request("/stream/x", kPromptLines)).ends_with("0\r\n\r\n"));
   EXPECT_EQ(reader.requests().size(), 1U);
   // It was accepted, so the loan is left.
-  EXPECT_TRUE(allowance_.TryHold(kService, 1, ArrivalUse::kFirstReading,
-                                 /*instances=*/1, base::BootClock::now()));
+  EXPECT_TRUE(allowance_.TryReserve(kService, 1, ArrivalPurpose::kFirstPrefill,
+                                    /*instances=*/1, base::BootClock::now()));
 }
 
 TEST_F(UsedUpShareTest, ARetryWaitsForALoan) {
--- a/tests/platform/relay_fixture.cc
+++ b/tests/platform/relay_fixture.cc
@@ -201,8 +201,8 @@
 
 void RelayTest::UseUpShare() {
   const base::ServiceName service("s");
-  while (const auto held = allowance_.TryHold(
-             service, 1, request::passthrough::ArrivalUse::kFirstReading,
+  while (const auto held = allowance_.TryReserve(
+             service, 1, request::passthrough::ArrivalPurpose::kFirstPrefill,
              /*instances=*/1, base::BootClock::now())) {
     allowance_.Charge(service, *held);
   }
--- a/tests/process/retry_loans_test.cc
+++ b/tests/process/retry_loans_test.cc
@@ -10,7 +10,7 @@
 namespace lynxglade::process {
 namespace {
 
-using request::passthrough::ArrivalUse;
+using request::passthrough::ArrivalPurpose;
 using request::passthrough::SharedRetryBudget;
 using std::chrono::milliseconds;
 
@@ -25,8 +25,8 @@
         : PeerParts(test, name),
           allowance({.ratio = 0,
                      .allowance = share,
-                     .most_in_all = 1,
-                     .most_for_retries = 1}),
+                     .max_fraction = 1,
+                     .max_retry_fraction = 1}),
           loans(
               allowance,
               datagrams,
@@ -55,8 +55,8 @@
     return {name == "poor" ? rich_.Peer() : poor_.Peer()};
   }
   bool PoorCanHold() {
-    const auto held =
-        poor_.allowance.TryHold(kService, 1, ArrivalUse::kRetry, 1, now_);
+    const auto held = poor_.allowance.TryReserve(
+        kService, 1, ArrivalPurpose::kRetry, 1, now_);
     if (held) {
       poor_.allowance.Release(kService, *held, now_);
     }
@@ -97,8 +97,8 @@
 }
 
 TEST_F(RetryLoansTest, QuestionsThatBringNothingComeMoreSeldom) {
-  ASSERT_TRUE(
-      rich_.allowance.TryHold(kService, 10, ArrivalUse::kRetry, 1, now_));
+  ASSERT_TRUE(rich_.allowance.TryReserve(kService, 10, ArrivalPurpose::kRetry,
+                                         1, now_));
   // At 0, 20, 60, 140 and 300 ms, then every 160 ms.
   for (int ms = 0; ms <= 2300; ms += 10) {
     poor_.loans.Ask(kService, 1);
--- a/tests/request/passthrough/shared_retry_budget_test.cc
+++ b/tests/request/passthrough/shared_retry_budget_test.cc
@@ -20,11 +20,11 @@
 const base::Time kNow = base::Time() + std::chrono::hours(1);
 const base::ServiceName kService("llm");
 
-std::optional<HeldArrivals> HoldReading(SharedRetryBudget& allowance,
-                                        int instances,
-                                        base::Time now) {
-  return allowance.TryHold(kService, 1, ArrivalUse::kFirstReading, instances,
-                           now);
+std::optional<ReservedArrivals> HoldReading(SharedRetryBudget& allowance,
+                                            int instances,
+                                            base::Time now) {
+  return allowance.TryReserve(kService, 1, ArrivalPurpose::kFirstPrefill,
+                              instances, now);
 }
 
 // Retries that reach their targets.
@@ -33,8 +33,8 @@
           int instances,
           base::Time now,
           const base::ServiceName& service = kService) {
-  const auto held =
-      allowance.TryHold(service, arrivals, ArrivalUse::kRetry, instances, now);
+  const auto held = allowance.TryReserve(
+      service, arrivals, ArrivalPurpose::kRetry, instances, now);
   if (held) {
     allowance.Charge(service, *held);
   }
@@ -51,8 +51,10 @@
 }
 
 TEST(SharedRetryBudget, AQuietInstanceMaySpendItsPartOfTheAllowance) {
-  SharedRetryBudget allowance(
-      {.ratio = 0.2, .allowance = 50, .most_in_all = 1, .most_for_retries = 1});
+  SharedRetryBudget allowance({.ratio = 0.2,
+                               .allowance = 50,
+                               .max_fraction = 1,
+                               .max_retry_fraction = 1});
   int taken = 0;
   while (Take(allowance, 1, 5, kNow)) {
     ++taken;
@@ -63,7 +65,7 @@
 
 TEST(SharedRetryBudget, ServicesDoNotShare) {
   SharedRetryBudget allowance(
-      {.ratio = 0, .allowance = 1, .most_in_all = 1, .most_for_retries = 1});
+      {.ratio = 0, .allowance = 1, .max_fraction = 1, .max_retry_fraction = 1});
   EXPECT_TRUE(Take(allowance, 1, 1, kNow));
   EXPECT_FALSE(Take(allowance, 1, 1, kNow));
   EXPECT_TRUE(Take(allowance, 1, 1, kNow, base::ServiceName("portal")));
@@ -71,14 +73,14 @@
 
 TEST(SharedRetryBudget, WhatCannotBePaidWholeTakesNothing) {
   SharedRetryBudget allowance(
-      {.ratio = 0, .allowance = 1, .most_in_all = 1, .most_for_retries = 1});
+      {.ratio = 0, .allowance = 1, .max_fraction = 1, .max_retry_fraction = 1});
   EXPECT_FALSE(Take(allowance, 2, 1, kNow));
   EXPECT_TRUE(Take(allowance, 1, 1, kNow));
 }
 
 TEST(SharedRetryBudget, HeldArrivalsCountUntilTheyAreReleased) {
   SharedRetryBudget allowance(
-      {.ratio = 0, .allowance = 2, .most_in_all = 1, .most_for_retries = 1});
+      {.ratio = 0, .allowance = 2, .max_fraction = 1, .max_retry_fraction = 1});
   const auto first = HoldReading(allowance, 1, kNow);
   const auto second = HoldReading(allowance, 1, kNow);
   ASSERT_TRUE(first && second);
@@ -90,7 +92,7 @@
 
 TEST(SharedRetryBudget, HeldArrivalsThatAreChargedCountForAWindow) {
   SharedRetryBudget allowance(
-      {.ratio = 0, .allowance = 1, .most_in_all = 1, .most_for_retries = 1});
+      {.ratio = 0, .allowance = 1, .max_fraction = 1, .max_retry_fraction = 1});
   const auto held = HoldReading(allowance, 1, kNow);
   ASSERT_TRUE(held);
   allowance.Charge(kService, *held);
@@ -100,7 +102,7 @@
 
 TEST(SharedRetryBudget, ALoanIsSpentInTimeOrNotAtAll) {
   SharedRetryBudget allowance(
-      {.ratio = 0, .allowance = 0, .most_in_all = 1, .most_for_retries = 1});
+      {.ratio = 0, .allowance = 0, .max_fraction = 1, .max_retry_fraction = 1});
   allowance.Borrow(kService, 1.5, kNow);
   EXPECT_TRUE(Take(allowance, 1, 1, kNow + seconds(4)));
   allowance.Borrow(kService, 0.5, kNow + seconds(1));
@@ -109,7 +111,7 @@
 
 TEST(SharedRetryBudget, AHeldLoanThatIsReleasedEndsWhenItWouldHave) {
   SharedRetryBudget allowance(
-      {.ratio = 0, .allowance = 0, .most_in_all = 1, .most_for_retries = 1});
+      {.ratio = 0, .allowance = 0, .max_fraction = 1, .max_retry_fraction = 1});
   allowance.Borrow(kService, 1, kNow);
   const auto held = HoldReading(allowance, 1, kNow);
   ASSERT_TRUE(held);
@@ -122,7 +124,7 @@
 // It is bound until no window can contain what the loan paid for.
 TEST(SharedRetryBudget, ALenderGetsItBackAfterTheLoansLifeAndAWindow) {
   SharedRetryBudget allowance(
-      {.ratio = 0, .allowance = 4, .most_in_all = 1, .most_for_retries = 1});
+      {.ratio = 0, .allowance = 4, .max_fraction = 1, .max_retry_fraction = 1});
   EXPECT_EQ(allowance.Lend(kService, 3, 1, kNow), 3);
   EXPECT_EQ(allowance.Lend(kService, 3, 1, kNow + seconds(15)), 1);
   EXPECT_EQ(allowance.Lend(kService, 3, 1, kNow + milliseconds(15'001)), 3);
@@ -130,7 +132,7 @@
 
 TEST(SharedRetryBudget, OneWithoutAnyToSpareLendsNone) {
   SharedRetryBudget allowance(
-      {.ratio = 0, .allowance = 2, .most_in_all = 1, .most_for_retries = 1});
+      {.ratio = 0, .allowance = 2, .max_fraction = 1, .max_retry_fraction = 1});
   EXPECT_TRUE(Take(allowance, 2, 1, kNow));
   EXPECT_EQ(allowance.Lend(kService, 1, 1, kNow), 0);
   // What was borrowed is not lent on.
@@ -141,8 +143,10 @@
 // The load this answers: engines that crash in series, before which retries
 // took all, and prompts could not be read apart any more.
 TEST(SharedRetryBudget, RetriesLeaveAPartToFirstReadings) {
-  SharedRetryBudget allowance(
-      {.ratio = 0, .allowance = 10, .most_in_all = 1, .most_for_retries = 0.8});
+  SharedRetryBudget allowance({.ratio = 0,
+                               .allowance = 10,
+                               .max_fraction = 1,
+                               .max_retry_fraction = 0.8});
   int taken = 0;
   while (Take(allowance, 1, 1, kNow)) {
     ++taken;
@@ -157,7 +161,10 @@
 TEST(SharedRetryBudget, SaysWhatIsMissing) {
   double missing = 0;
   SharedRetryBudget allowance(
-      {.ratio = 0, .allowance = 1.5, .most_in_all = 1, .most_for_retries = 1},
+      {.ratio = 0,
+       .allowance = 1.5,
+       .max_fraction = 1,
+       .max_retry_fraction = 1},
       [&missing](const base::ServiceName&, double n) { missing = n; });
   ASSERT_TRUE(HoldReading(allowance, 1, kNow));
   EXPECT_EQ(missing, 0);
@@ -236,7 +243,7 @@
  private:
   struct Held {
     int instance = 0;
-    HeldArrivals arrival;
+    ReservedArrivals arrival;
   };
   struct OnItsWay {
     base::Time arrives{};
@@ -329,8 +336,8 @@
   LendingFleet fleet(instances,
                      {.ratio = 0,
                       .allowance = 2.0 * instances,
-                      .most_in_all = 1,
-                      .most_for_retries = 1},
+                      .max_fraction = 1,
+                      .max_retry_fraction = 1},
                      base::SeededRandom(seed));
   for (int step = 0; step < 2000; ++step) {
     fleet.Step();
