--- a/src/request/passthrough/shared_retry_budget.h
+++ b/src/request/passthrough/shared_retry_budget.h
@@ -22,7 +22,7 @@
 
 #include "base/ids.h"
 #include "base/time.h"
-#include "request/passthrough/aging_sum.h"
+#include "request/passthrough/sliding_window_sum.h"
 
 namespace lynxglade::request::passthrough {
 
@@ -123,10 +123,10 @@
           spent(options.window),
           lent(options.window + options.loan_ttl) {}
 
-    AgingSum requests;
+    SlidingWindowSum requests;
     // Paid from the own share.
-    AgingSum spent;
-    AgingSum lent;
+    SlidingWindowSum spent;
+    SlidingWindowSum lent;
     // Of the own share; and arrivals held in all.
     double held = 0;
     int holds = 0;
--- a/src/request/passthrough/aging_sum.h
+++ b/src/request/passthrough/sliding_window_sum.h
@@ -1,6 +1,6 @@
 // A sum of amounts that each count for a fixed time.
-#ifndef LYNXGLADE_REQUEST_PASSTHROUGH_AGING_SUM_H_
-#define LYNXGLADE_REQUEST_PASSTHROUGH_AGING_SUM_H_
+#ifndef LYNXGLADE_REQUEST_PASSTHROUGH_SLIDING_WINDOW_SUM_H_
+#define LYNXGLADE_REQUEST_PASSTHROUGH_SLIDING_WINDOW_SUM_H_
 
 #include <algorithm>
 #include <deque>
@@ -10,10 +10,10 @@
 namespace lynxglade::request::passthrough {
 
 // Not thread-safe.
-class AgingSum {
+class SlidingWindowSum {
  public:
   // An amount of t counts up to and including t + `life`.
-  explicit AgingSum(base::Duration life) noexcept : life_(life) {}
+  explicit SlidingWindowSum(base::Duration life) noexcept : life_(life) {}
 
   void Add(double amount, base::Time at) {
     const auto later = std::ranges::upper_bound(amounts_, at, {}, &Amount::at);
@@ -47,4 +47,4 @@
 
 }  // namespace lynxglade::request::passthrough
 
-#endif  // LYNXGLADE_REQUEST_PASSTHROUGH_AGING_SUM_H_
+#endif  // LYNXGLADE_REQUEST_PASSTHROUGH_SLIDING_WINDOW_SUM_H_
