--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -116,7 +116,7 @@
       [this](const request::passthrough::Engine& engine, base::Time now) {
         return answers.Room(engine, now);
       };
-  request::passthrough::EngineChoice choice;
+  request::passthrough::EnginePicker choice;
   request::passthrough::SharedRetryBudget allowance;
   process::InstancePresence presence;
   // What the followers watch: the store, or another instance that does.
--- a/src/request/passthrough/engine_choice.cc
+++ b/src/request/passthrough/engine_picker.cc
@@ -1,4 +1,4 @@
-#include "request/passthrough/engine_choice.h"
+#include "request/passthrough/engine_picker.h"
 
 #include <algorithm>
 #include <cmath>
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-EngineChoice::EngineChoice(EngineChoiceOptions options,
+EnginePicker::EnginePicker(EnginePickerOptions options,
                            const PrefillTimes& prefill_times,
                            base::RandomSource random,
                            PeerTokens peer_tokens,
@@ -39,8 +39,8 @@
       peers_avoid_(std::move(peers_avoid)),
       room_(std::move(room)) {}
 
-EnginePick EngineChoice::Pick(const std::vector<EngineHandle>& engines,
-                              const ChoiceQuery& query) const {
+EnginePick EnginePicker::Pick(const std::vector<EngineHandle>& engines,
+                              const PickQuery& query) const {
   const std::vector<EngineHandle> usable = Usable(engines, query);
   if (usable.empty()) {
     return {};
@@ -51,7 +51,7 @@
   return PickForPrompt(engines, usable, query);
 }
 
-base::Duration EngineChoice::Backlog(const std::vector<EngineHandle>& engines,
+base::Duration EnginePicker::Backlog(const std::vector<EngineHandle>& engines,
                                      base::Time now) const {
   int readers = 0;
   double ms = 0;
@@ -65,13 +65,13 @@
   return readers == 0 ? base::Duration::max() : FromFineMillis(ms / readers);
 }
 
-bool EngineChoice::Disturbs(const EnginePick& pick) const noexcept {
+bool EnginePicker::Disturbs(const EnginePick& pick) const noexcept {
   return !pick.reader && pick.unread_tokens > options_.most_read_at_decoder;
 }
 
-EngineHandle EngineChoice::PickDecoder(const std::vector<EngineHandle>& engines,
+EngineHandle EnginePicker::PickDecoder(const std::vector<EngineHandle>& engines,
                                        const Engine& reader,
-                                       const ChoiceQuery& query) const {
+                                       const PickQuery& query) const {
   std::vector<EngineHandle> near;
   std::vector<EngineHandle> any;
   for (const EngineHandle& engine : Usable(engines, query)) {
@@ -87,16 +87,16 @@
   return LeastLoaded(near.empty() ? any : near, query.now);
 }
 
-EnginePick EngineChoice::PickPlain(const std::vector<EngineHandle>& usable,
+EnginePick EnginePicker::PickPlain(const std::vector<EngineHandle>& usable,
                                    base::Time now) const {
   EnginePick pick;
   pick.runner = LeastLoaded(usable, now);
   return pick;
 }
 
-EnginePick EngineChoice::PickForPrompt(const std::vector<EngineHandle>& engines,
+EnginePick EnginePicker::PickForPrompt(const std::vector<EngineHandle>& engines,
                                        const std::vector<EngineHandle>& usable,
-                                       const ChoiceQuery& query) const {
+                                       const PickQuery& query) const {
   const base::Time now = query.now;
   std::vector<EngineHandle> decoders;
   std::ranges::copy_if(usable, std::back_inserter(decoders),
@@ -139,9 +139,9 @@
   return best;
 }
 
-EnginePick EngineChoice::Reading(const EngineHandle& engine,
+EnginePick EnginePicker::Reading(const EngineHandle& engine,
                                  const PartPlaces& places,
-                                 const ChoiceQuery& query) const {
+                                 const PickQuery& query) const {
   const Prompt& prompt = query.prompt;
   const ReadsAhead ahead = CountReads(*engine, query.priority, query.now);
   const double wait_ms = WaitMs(*engine, ahead, query.priority, query.now);
@@ -168,7 +168,7 @@
 
 // What waits behind this request does not count, but for the prompt that is
 // being read: its reading ends first.
-double EngineChoice::WaitMs(const Engine& engine,
+double EnginePicker::WaitMs(const Engine& engine,
                             const ReadsAhead& ahead,
                             int priority,
                             base::Time now) const {
@@ -192,7 +192,7 @@
                                StageFactor(engine));
 }
 
-EngineChoice::ReadsAhead EngineChoice::CountReads(const Engine& engine,
+EnginePicker::ReadsAhead EnginePicker::CountReads(const Engine& engine,
                                                   int priority,
                                                   base::Time now) const {
   ReadsAhead ahead;
@@ -209,7 +209,7 @@
 }
 
 // As in AlikeSpread(), in requests.
-EngineHandle EngineChoice::LeastLoaded(const std::vector<EngineHandle>& usable,
+EngineHandle EnginePicker::LeastLoaded(const std::vector<EngineHandle>& usable,
                                        base::Time now) const {
   EngineHandle best;
   double best_load = std::numeric_limits<double>::infinity();
@@ -227,9 +227,9 @@
 
 // Targets of zones that cannot be reached are left out while others remain, and
 // so are those that failed lately, here or at other instances.
-std::vector<EngineHandle> EngineChoice::Usable(
+std::vector<EngineHandle> EnginePicker::Usable(
     const std::vector<EngineHandle>& engines,
-    const ChoiceQuery& query) const {
+    const PickQuery& query) const {
   // An entry without a stage among engines that have one is not an engine's.
   const bool staged =
       !query.prompt.empty() && std::ranges::any_of(engines, IsStaged);
@@ -263,34 +263,34 @@
   return has_runner(sound) ? sound : open;
 }
 
-double EngineChoice::PrefillMs(const Engine& engine,
+double EnginePicker::PrefillMs(const Engine& engine,
                                std::int64_t tokens) const {
   return tokens == 0
              ? 0
              : prefill_times_.PrefillMs(engine, tokens) * StageFactor(engine);
 }
 
-double EngineChoice::StageFactor(const Engine& engine) const noexcept {
+double EnginePicker::StageFactor(const Engine& engine) const noexcept {
   return IsPrefill(engine) ? 1 : options_.decode_read_factor;
 }
 
-base::Duration EngineChoice::AlikeSpread() const {
+base::Duration EnginePicker::AlikeSpread() const {
   return FromFineMillis(options_.running_ms * base::UniformReal(random_));
 }
 
-double EngineChoice::Room(const Engine& engine, base::Time now) const {
+double EnginePicker::Room(const Engine& engine, base::Time now) const {
   const double slots = std::max(engine.entry.slots, 1);
   return room_ ? std::clamp(room_(engine, now), 1.0, slots) : slots;
 }
 
-double EngineChoice::RunningMs(const Engine& engine, base::Time now) const {
+double EnginePicker::RunningMs(const Engine& engine, base::Time now) const {
   const double crowding =
       IsPrefill(engine) ? 1
                         : std::max(engine.entry.slots, 1) / Room(engine, now);
   return options_.running_ms * KnownLoad(engine, now) * crowding;
 }
 
-double EngineChoice::ZoneMs(const Engine& engine) const noexcept {
+double EnginePicker::ZoneMs(const Engine& engine) const noexcept {
   return engine.entry.zone == options_.zone ? 0 : options_.other_zone_ms;
 }
 
--- a/src/request/passthrough/engine_choice.h
+++ b/src/request/passthrough/engine_picker.h
@@ -9,8 +9,8 @@
 // from there, which takes a few milliseconds where reading takes hundreds. A
 // prefill engine reads at full speed, but the KV cache then has to move to a
 // decode engine. Plain requests go to the target with the fewest requests.
-#ifndef LYNXGLADE_REQUEST_PASSTHROUGH_ENGINE_CHOICE_H_
-#define LYNXGLADE_REQUEST_PASSTHROUGH_ENGINE_CHOICE_H_
+#ifndef LYNXGLADE_REQUEST_PASSTHROUGH_ENGINE_PICKER_H_
+#define LYNXGLADE_REQUEST_PASSTHROUGH_ENGINE_PICKER_H_
 
 #include <cstddef>
 #include <functional>
@@ -29,7 +29,7 @@
 
 namespace lynxglade::request::passthrough {
 
-struct EngineChoiceOptions {
+struct EnginePickerOptions {
   base::ZoneId zone;
   // A decode engine takes so many times as long to read (users' protocol page).
   double decode_read_factor = 2;
@@ -61,7 +61,7 @@
 };
 
 // What is to be run, and where it may be.
-struct ChoiceQuery {
+struct PickQuery {
   const Prompt& prompt;
   // 0 is the most urgent.
   int priority = 0;
@@ -108,23 +108,23 @@
 using PeersAvoid = std::function<bool(const Engine& engine, base::Time now)>;
 
 // Not thread-safe: lives on the event loop.
-class EngineChoice {
+class EnginePicker {
  public:
   // The hooks may be empty: nothing is known of others, all zones are reached,
   // an engine has room for as many requests as it has slots.
-  EngineChoice(EngineChoiceOptions options,
+  EnginePicker(EnginePickerOptions options,
                const PrefillTimes& prefill_times,
                base::RandomSource random,
                PeerTokens peer_tokens = {},
                ZoneCutOff cut_off = {},
                PeersAvoid peers_avoid = {},
                EngineRoom room = {});
-  EngineChoice(const EngineChoice&) = delete;
-  EngineChoice& operator=(const EngineChoice&) = delete;
+  EnginePicker(const EnginePicker&) = delete;
+  EnginePicker& operator=(const EnginePicker&) = delete;
 
   // Chooses among `engines`, those of one service.
   EnginePick Pick(const std::vector<EngineHandle>& engines,
-                  const ChoiceQuery& query) const;
+                  const PickQuery& query) const;
 
   // How long a prompt that is no more urgent than others would wait to be read,
   // on average over the prefill engines; for ever if there is none.
@@ -132,28 +132,28 @@
                          base::Time now) const;
 
   // Whether the runner reads so much itself that it holds up what it generates
-  // for (EngineChoiceOptions::most_read_at_decoder).
+  // for (EnginePickerOptions::most_read_at_decoder).
   bool Disturbs(const EnginePick& pick) const noexcept;
 
   // The engine to run a request whose KV cache waits at `reader`.
   EngineHandle PickDecoder(const std::vector<EngineHandle>& engines,
                            const Engine& reader,
-                           const ChoiceQuery& query) const;
+                           const PickQuery& query) const;
 
  private:
   EnginePick PickPlain(const std::vector<EngineHandle>& usable,
                        base::Time now) const;
   EnginePick PickForPrompt(const std::vector<EngineHandle>& engines,
                            const std::vector<EngineHandle>& usable,
-                           const ChoiceQuery& query) const;
+                           const PickQuery& query) const;
   EngineHandle LeastLoaded(const std::vector<EngineHandle>& usable,
                            base::Time now) const;
   std::vector<EngineHandle> Usable(const std::vector<EngineHandle>& engines,
-                                   const ChoiceQuery& query) const;
+                                   const PickQuery& query) const;
   // Reading at `engine`; the pick's engines are left open.
   EnginePick Reading(const EngineHandle& engine,
                      const PartPlaces& places,
-                     const ChoiceQuery& query) const;
+                     const PickQuery& query) const;
   // Tokens of other prompts at an engine, by this instance and its peers.
   struct ReadsAhead {
     // As urgent as the request, or more.
@@ -185,7 +185,7 @@
   // one.
   base::Duration AlikeSpread() const;
 
-  const EngineChoiceOptions options_;
+  const EnginePickerOptions options_;
   const PrefillTimes& prefill_times_;
   const base::RandomSource random_;
   const PeerTokens peer_tokens_;
@@ -196,4 +196,4 @@
 
 }  // namespace lynxglade::request::passthrough
 
-#endif  // LYNXGLADE_REQUEST_PASSTHROUGH_ENGINE_CHOICE_H_
+#endif  // LYNXGLADE_REQUEST_PASSTHROUGH_ENGINE_PICKER_H_
--- a/src/request/passthrough/relay.h
+++ b/src/request/passthrough/relay.h
@@ -19,7 +19,7 @@
 #include "connection/event/caller_server.h"
 #include "connection/event/channel_pool.h"
 #include "request/passthrough/answer_admission.h"
-#include "request/passthrough/engine_choice.h"
+#include "request/passthrough/engine_picker.h"
 #include "request/passthrough/engine_table.h"
 #include "request/passthrough/generation_times.h"
 #include "request/passthrough/goal_admission.h"
@@ -71,7 +71,7 @@
   connection::event::asio::io_context& loop;
   connection::event::ChannelPool& channels;
   EngineTable& engines;
-  const EngineChoice& choice;
+  const EnginePicker& choice;
   PrefillTimes& prefill_times;
   GenerationTimes& generation_times;
   AnswerAdmission& answers;
--- a/tests/request/passthrough/engine_choice_test.cc
+++ b/tests/request/passthrough/engine_picker_test.cc
@@ -1,4 +1,4 @@
-#include "request/passthrough/engine_choice.h"
+#include "request/passthrough/engine_picker.h"
 
 #include <algorithm>
 #include <map>
@@ -47,7 +47,7 @@
 // The least urgent of the users' routes.
 constexpr int kPriority = 2;
 
-EnginePick Ask(EngineChoice& choice,
+EnginePick Ask(EnginePicker& choice,
                const std::vector<EngineHandle>& fleet,
                const Prompt& prompt,
                base::Time now = kNow,
@@ -61,14 +61,14 @@
 // Nothing is learnt in these tests: engines read 45 tokens in a millisecond.
 PrefillTimes prefill_times;
 
-EngineChoice MakeChoice(std::uint64_t seed = 1) {
-  EngineChoiceOptions options;
+EnginePicker MakeChoice(std::uint64_t seed = 1) {
+  EnginePickerOptions options;
   options.zone = base::ZoneId("a");
-  return EngineChoice(options, prefill_times, base::SeededRandom(seed));
+  return EnginePicker(options, prefill_times, base::SeededRandom(seed));
 }
 
-TEST(EngineChoice, LongPromptsAreReadAtPrefillEngines) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, LongPromptsAreReadAtPrefillEngines) {
+  EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(4, 2);
   const EnginePick pick = Ask(choice, fleet, Album("x"));
   ASSERT_NE(pick.reader, nullptr);
@@ -78,8 +78,8 @@
 
 // The load this answers: albums whose shared parts were taken to be cached at
 // decode engines, where reading one held up each stream for 400 ms a piece.
-TEST(EngineChoice, ADecodeEngineNeverReadsALongPromptWhileAnotherCan) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, ADecodeEngineNeverReadsALongPromptWhileAnotherCan) {
+  EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(2, 6);
   for (const EngineHandle& engine : fleet) {
     if (engine->entry.stage == EngineStage::kPrefill) {
@@ -94,9 +94,9 @@
 
 // Guards against: long answers spread evenly over engines of two speeds, so
 // that those at the slow ones end late.
-TEST(EngineChoice, EnginesAreFilledByTheirRoom) {
+TEST(EnginePicker, EnginesAreFilledByTheirRoom) {
   const auto fleet = Fleet(2, 2);
-  EngineChoice choice({.zone = base::ZoneId("a")}, prefill_times,
+  EnginePicker choice({.zone = base::ZoneId("a")}, prefill_times,
                       base::SeededRandom(1), {}, {}, {},
                       [](const Engine& engine, base::Time) {
                         return engine.entry.id.str() == "d0" ? 16.0 : 48.0;
@@ -112,13 +112,13 @@
 // The load this answers: a fleet of 295 instances whose prompts may not be read
 // apart. They all took the first of the engines that looked alike, which got
 // 6.1 times the mean of arrivals.
-TEST(EngineChoice, OfEnginesThatLookAlikeEachInstanceTakesAnother) {
+TEST(EnginePicker, OfEnginesThatLookAlikeEachInstanceTakesAnother) {
   constexpr int kInstances = 200;
   constexpr int kEngines = 20;
   const auto fleet = Fleet(4, kEngines);
   std::map<base::TargetId, int> taken;
   for (std::uint64_t i = 0; i < kInstances; ++i) {
-    const EngineChoice choice = MakeChoice(i + 1);
+    const EnginePicker choice = MakeChoice(i + 1);
     const EnginePick pick = choice.Pick(fleet, {.prompt = Album("x"),
                                                 .priority = kPriority,
                                                 .tried = {},
@@ -134,11 +134,11 @@
 // The load this answers: seven instances, each of which sees one read in seven.
 // Where the home is busy with what others sent, an instance took it for idle:
 // waits of 150 to 300 ms were foreseen and 500 ms met.
-TEST(EngineChoice, WhatPeersHaveReadCounts) {
+TEST(EnginePicker, WhatPeersHaveReadCounts) {
   const auto fleet = Fleet(4, 2);
-  EngineChoice blind = MakeChoice();
+  EnginePicker blind = MakeChoice();
   const EngineHandle home = Ask(blind, fleet, Album("x")).reader;
-  EngineChoice choice({.zone = base::ZoneId("a")}, prefill_times,
+  EnginePicker choice({.zone = base::ZoneId("a")}, prefill_times,
                       base::SeededRandom(1),
                       [&home](const Engine& engine, int, base::Time) {
                         return &engine == home.get() ? 100'000 : 0;
@@ -151,8 +151,8 @@
 
 // The load this answers: quick questions sent to engines that had begun to
 // read a job of 20,000 tokens; one in ten waited for 470 ms.
-TEST(EngineChoice, AQuickPromptAvoidsAnEngineThatReadsALongOne) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, AQuickPromptAvoidsAnEngineThatReadsALongOne) {
+  EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(2, 1);
   const Prompt question{{{"shop", 350}, {"own", 1'110}}};
   const EngineHandle home =
@@ -163,11 +163,11 @@
             home);
 }
 
-TEST(EngineChoice, AZoneThatIsCutOffIsLeftWhileOthersRemain) {
+TEST(EnginePicker, AZoneThatIsCutOffIsLeftWhileOthersRemain) {
   std::vector<EngineHandle> fleet = Fleet(2, 2);
   fleet[0]->entry.zone = base::ZoneId("b");
   fleet[2]->entry.zone = base::ZoneId("b");
-  EngineChoice choice({.zone = base::ZoneId("a")}, prefill_times,
+  EnginePicker choice({.zone = base::ZoneId("a")}, prefill_times,
                       base::SeededRandom(1), {},
                       [](const base::ZoneId& zone, base::Time) {
                         return zone == base::ZoneId("b");
@@ -183,21 +183,21 @@
   EXPECT_NE(Ask(choice, fleet, Album("x")).runner, nullptr);
 }
 
-TEST(EngineChoice, WithoutPrefillEnginesADecodeEngineReads) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, WithoutPrefillEnginesADecodeEngineReads) {
+  EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(0, 3);
   const EnginePick pick = Ask(choice, fleet, Album("x"));
   ASSERT_NE(pick.runner, nullptr);
   EXPECT_EQ(pick.reader, nullptr);
 }
 
-TEST(EngineChoice, WithoutDecodeEnginesNothingRuns) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, WithoutDecodeEnginesNothingRuns) {
+  EnginePicker choice = MakeChoice();
   EXPECT_EQ(Ask(choice, Fleet(3, 0), Album("x")).runner, nullptr);
 }
 
-TEST(EngineChoice, DrainingAndTriedEnginesAreLeftOut) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, DrainingAndTriedEnginesAreLeftOut) {
+  EnginePicker choice = MakeChoice();
   auto fleet = Fleet(0, 3);
   fleet[0]->entry.draining = true;
   const EnginePick pick =
@@ -205,8 +205,8 @@
   EXPECT_EQ(pick.runner, fleet[2]);
 }
 
-TEST(EngineChoice, AnEngineThatFailedIsUsedOnlyIfAllDid) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, AnEngineThatFailedIsUsedOnlyIfAllDid) {
+  EnginePicker choice = MakeChoice();
   auto fleet = Fleet(0, 2);
   fleet[0]->health.OnFailure(kNow);
   EXPECT_EQ(Ask(choice, fleet, Prompt{}).runner, fleet[1]);
@@ -215,20 +215,20 @@
 }
 
 // All instances agree on a part's home without a message.
-RC_GTEST_PROP(EngineChoice, IdleInstancesSendAPartToTheSameEngine, ()) {
+RC_GTEST_PROP(EnginePicker, IdleInstancesSendAPartToTheSameEngine, ()) {
   const auto fleet = Fleet(*rc::gen::inRange(1, 12), 2);
   const auto part = *rc::gen::nonEmpty<std::string>();
-  EngineChoice one = MakeChoice(1);
-  EngineChoice two = MakeChoice(2);
+  EnginePicker one = MakeChoice(1);
+  EnginePicker two = MakeChoice(2);
   RC_ASSERT(Ask(one, fleet, Album(part)).reader ==
             Ask(two, fleet, Album(part)).reader);
 }
 
 // The loss of an engine moves only the parts that lived there.
-RC_GTEST_PROP(EngineChoice, PartsOfOtherEnginesStayWhenOneLeaves, ()) {
+RC_GTEST_PROP(EnginePicker, PartsOfOtherEnginesStayWhenOneLeaves, ()) {
   auto fleet = Fleet(*rc::gen::inRange(2, 12), 2);
   const auto part = *rc::gen::nonEmpty<std::string>();
-  EngineChoice choice = MakeChoice();
+  EnginePicker choice = MakeChoice();
   const EngineHandle before = Ask(choice, fleet, Album(part)).reader;
   const auto left = *rc::gen::inRange<std::size_t>(0, fleet.size() - 2);
   RC_PRE(fleet[left] != before);
@@ -236,10 +236,10 @@
   RC_ASSERT(Ask(choice, fleet, Album(part)).reader == before);
 }
 
-TEST(EngineChoice, WhatOthersFindToFailIsLeftWhileOthersRemain) {
+TEST(EnginePicker, WhatOthersFindToFailIsLeftWhileOthersRemain) {
   const auto fleet = Fleet(2, 1);
   std::set<std::string> avoided{"p0"};
-  EngineChoice choice({.zone = base::ZoneId("a")}, prefill_times,
+  EnginePicker choice({.zone = base::ZoneId("a")}, prefill_times,
                       base::SeededRandom(1), {}, {},
                       [&avoided](const Engine& engine, base::Time) {
                         return avoided.contains(engine.entry.id.str());
@@ -254,8 +254,8 @@
   EXPECT_NE(Ask(choice, fleet, Album("x")).runner, nullptr);
 }
 
-TEST(EngineChoice, SharedPartsSpreadOverTheReaders) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, SharedPartsSpreadOverTheReaders) {
+  EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(12, 6);
   std::map<EngineHandle, int> parts;
   constexpr int kParts = 164;
@@ -270,8 +270,8 @@
 
 // A home with work for two seconds is passed over, and the shared part is
 // fetched from it.
-TEST(EngineChoice, ABusyHomeIsPassedOverAndFetchedFrom) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, ABusyHomeIsPassedOverAndFetchedFrom) {
+  EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(4, 2);
   const EnginePick calm = Ask(choice, fleet, Album("x"));
   EXPECT_EQ(calm.fetch_from, nullptr);
@@ -284,8 +284,8 @@
 
 // The load this answers: a retry, or a request whose cache was lost, is read by
 // the engine that runs it; it read the whole album there, at half speed.
-TEST(EngineChoice, ARunnerThatReadsFetchesTheSharedPart) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, ARunnerThatReadsFetchesTheSharedPart) {
+  EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(4, 2);
   const EngineHandle home = Ask(choice, fleet, Album("x")).reader;
   const Prompt album = Album("x");
@@ -299,8 +299,8 @@
 // The load this answers: albums whose requests spread as soon as their home
 // had a little to do, so that 7.1 million tokens of shared parts were read
 // again in 34 s, and each read waited for these.
-TEST(EngineChoice, AHomeThatIsALittleBusierKeepsItsParts) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, AHomeThatIsALittleBusierKeepsItsParts) {
+  EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(4, 2);
   const EngineHandle home = Ask(choice, fleet, Album("x")).reader;
   home->reads[kPriority].unread_tokens = 13'300;
@@ -309,8 +309,8 @@
 
 // Reads of other instances show in the wait that this instance's own met, for
 // a moment, and in its reads that are overdue.
-TEST(EngineChoice, WaitsThatReadsMetCountForAMoment) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, WaitsThatReadsMetCountForAMoment) {
+  EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(4, 2);
   const EngineHandle home = Ask(choice, fleet, Album("x")).reader;
   home->reads[kPriority].waited = std::chrono::seconds(2);
@@ -321,8 +321,8 @@
       home);
 }
 
-TEST(EngineChoice, AnOverdueReadSaysThatItsEngineIsBusy) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, AnOverdueReadSaysThatItsEngineIsBusy) {
+  EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(4, 2);
   const EngineHandle home = Ask(choice, fleet, Album("x")).reader;
   home->reads[kPriority].due.insert(kNow - std::chrono::seconds(2));
@@ -331,8 +331,8 @@
 
 // An engine reads urgent prompts first: what waits behind a request does not
 // hold it up, and what goes before it does.
-TEST(EngineChoice, OnlyPromptsAsUrgentCountAsAhead) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, OnlyPromptsAsUrgentCountAsAhead) {
+  EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(1, 1);
   ReadQueue& queue = fleet[0]->reads[1];
   queue.waited = milliseconds(700);
@@ -345,7 +345,7 @@
             milliseconds(700));
 }
 
-TEST(EngineChoice, ATargetInUseIsCountedAndItsWaitLearnt) {
+TEST(EnginePicker, ATargetInUseIsCountedAndItsWaitLearnt) {
   const EngineHandle engine = MakeEngine("p", EngineStage::kPrefill);
   {
     EngineUse use(engine, kPriority, 1'000, milliseconds(20), kNow);
@@ -361,7 +361,7 @@
 }
 
 // The engine that generates what the first of the fleet has read.
-EngineHandle Decoder(const EngineChoice& choice,
+EngineHandle Decoder(const EnginePicker& choice,
                      const std::vector<EngineHandle>& fleet,
                      const std::vector<base::TargetId>& tried) {
   const Prompt prompt = Album("x");
@@ -371,20 +371,20 @@
 
 // A target takes so many connections from all instances, and resets those
 // beyond: a request that was sent on one has an unknown outcome.
-TEST(EngineChoice, ATargetWithItsPartOfConnectionsIsLeftOut) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, ATargetWithItsPartOfConnectionsIsLeftOut) {
+  EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(0, 2);
   const Prompt plain;
   fleet[0]->in_flight = 4;
-  const ChoiceQuery query{
+  const PickQuery query{
       .prompt = plain, .tried = {}, .most_in_flight = 4, .now = kNow};
   EXPECT_EQ(choice.Pick(fleet, query).runner, fleet[1]);
   fleet[1]->in_flight = 4;
   EXPECT_EQ(choice.Pick(fleet, query).runner, nullptr);
 }
 
-TEST(EngineChoice, AnotherEngineOfTheReadersZoneGenerates) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, AnotherEngineOfTheReadersZoneGenerates) {
+  EnginePicker choice = MakeChoice();
   const std::vector<EngineHandle> fleet = {
       MakeEngine("p", EngineStage::kPrefill, "b"),
       MakeEngine("d0", EngineStage::kDecode, "a"),
@@ -394,8 +394,8 @@
 }
 
 // Requests of a plain service go where the fewest are, reports included.
-TEST(EngineChoice, PlainRequestsGoToTheLeastLoaded) {
-  EngineChoice choice = MakeChoice();
+TEST(EnginePicker, PlainRequestsGoToTheLeastLoaded) {
+  EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(0, 3);
   fleet[0]->in_flight = 5;
   fleet[1]->reported = {6, 2, 6};
