--- a/src/request/passthrough/engine_picker.cc
+++ b/src/request/passthrough/engine_picker.cc
@@ -5,7 +5,7 @@
 #include <iterator>
 #include <limits>
 
-#include "request/passthrough/part_places.h"
+#include "request/passthrough/prefix_placement.h"
 
 namespace lynxglade::request::passthrough {
 
@@ -109,9 +109,9 @@
   std::vector<EngineHandle> readers;
   std::ranges::copy_if(usable, std::back_inserter(readers),
                        [](const EngineHandle& it) { return IsPrefill(*it); });
-  const PartPlaces places =
-      FindPlaces(readers.empty() ? decoders : readers, engines, query.prompt,
-                 options_.settling, now);
+  const PrefixPlacement places =
+      FindPrefixPlacement(readers.empty() ? decoders : readers, engines,
+                          query.prompt, options_.settling, now);
   if (!query.pairs) {
     readers.clear();
   }
@@ -119,7 +119,7 @@
   best.expected = base::Duration::max();
   for (const EngineHandle& engine : decoders) {
     EnginePick pick =
-        Reading(engine, readers.empty() ? places : PartPlaces(), query);
+        Reading(engine, readers.empty() ? places : PrefixPlacement(), query);
     pick.expected += AlikeSpread();
     if (pick.expected < best.expected && (!Disturbs(pick) || readers.empty())) {
       pick.runner = engine;
@@ -140,7 +140,7 @@
 }
 
 EnginePick EnginePicker::Reading(const EngineHandle& engine,
-                                 const PartPlaces& places,
+                                 const PrefixPlacement& places,
                                  const PickQuery& query) const {
   const Prompt& prompt = query.prompt;
   const ReadsAhead ahead = CountReads(*engine, query.priority, query.now);
--- a/src/request/passthrough/engine_picker.h
+++ b/src/request/passthrough/engine_picker.h
@@ -23,8 +23,8 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "request/passthrough/engine_table.h"
-#include "request/passthrough/part_places.h"
 #include "request/passthrough/prefill_times.h"
+#include "request/passthrough/prefix_placement.h"
 #include "request/passthrough/prompt.h"
 
 namespace lynxglade::request::passthrough {
@@ -152,7 +152,7 @@
                                    const PickQuery& query) const;
   // Reading at `engine`; the pick's engines are left open.
   EnginePick Reading(const EngineHandle& engine,
-                     const PartPlaces& places,
+                     const PrefixPlacement& places,
                      const PickQuery& query) const;
   // Tokens of other prompts at an engine, by this instance and its peers.
   struct ReadsAhead {
--- a/src/request/passthrough/part_places.cc
+++ b/src/request/passthrough/prefix_placement.cc
@@ -1,4 +1,4 @@
-#include "request/passthrough/part_places.h"
+#include "request/passthrough/prefix_placement.h"
 
 #include <algorithm>
 #include <iterator>
@@ -22,16 +22,16 @@
 
 }  // namespace
 
-PartPlaces FindPlaces(const std::vector<EngineHandle>& usable,
-                      const std::vector<EngineHandle>& engines,
-                      const Prompt& prompt,
-                      base::Duration settling,
-                      base::Time now) {
+PrefixPlacement FindPrefixPlacement(const std::vector<EngineHandle>& usable,
+                                    const std::vector<EngineHandle>& engines,
+                                    const Prompt& prompt,
+                                    base::Duration settling,
+                                    base::Time now) {
   const PromptPart* shared = prompt.Shared();
   if (!shared || usable.empty()) {
     return {};
   }
-  PartPlaces places;
+  PrefixPlacement places;
   places.home = Highest(usable, *shared);
   const EngineStage stage = places.home->entry.stage;
   std::vector<EngineHandle> settled;
--- a/src/request/passthrough/part_places.h
+++ b/src/request/passthrough/prefix_placement.h
@@ -5,8 +5,8 @@
 // to parts that still lie where they were; and one that is leaving still has
 // what now belongs elsewhere. Fetching a part's cache takes a few milliseconds
 // where reading it takes hundreds.
-#ifndef LYNXGLADE_REQUEST_PASSTHROUGH_PART_PLACES_H_
-#define LYNXGLADE_REQUEST_PASSTHROUGH_PART_PLACES_H_
+#ifndef LYNXGLADE_REQUEST_PASSTHROUGH_PREFIX_PLACEMENT_H_
+#define LYNXGLADE_REQUEST_PASSTHROUGH_PREFIX_PLACEMENT_H_
 
 #include <vector>
 
@@ -17,7 +17,7 @@
 namespace lynxglade::request::passthrough {
 
 // Both null for a prompt that shares nothing.
-struct PartPlaces {
+struct PrefixPlacement {
   // Where the shared parts are to be read or kept.
   EngineHandle home;
   // Where they most likely are: the home, or the one before it.
@@ -27,12 +27,12 @@
 // `usable` may read the prompt now; `engines` are all of the service, those
 // that are leaving included. An engine that took up its stage less than
 // `settling` ago is not taken to hold anything yet.
-PartPlaces FindPlaces(const std::vector<EngineHandle>& usable,
-                      const std::vector<EngineHandle>& engines,
-                      const Prompt& prompt,
-                      base::Duration settling,
-                      base::Time now);
+PrefixPlacement FindPrefixPlacement(const std::vector<EngineHandle>& usable,
+                                    const std::vector<EngineHandle>& engines,
+                                    const Prompt& prompt,
+                                    base::Duration settling,
+                                    base::Time now);
 
 }  // namespace lynxglade::request::passthrough
 
-#endif  // LYNXGLADE_REQUEST_PASSTHROUGH_PART_PLACES_H_
+#endif  // LYNXGLADE_REQUEST_PASSTHROUGH_PREFIX_PLACEMENT_H_
--- a/tests/request/passthrough/part_places_test.cc
+++ b/tests/request/passthrough/prefix_placement_test.cc
@@ -1,4 +1,4 @@
-#include "request/passthrough/part_places.h"
+#include "request/passthrough/prefix_placement.h"
 
 #include <algorithm>
 #include <string>
@@ -43,21 +43,22 @@
   return usable;
 }
 
-PartPlaces Find(const std::vector<EngineHandle>& engines, int album) {
-  return FindPlaces(Usable(engines), engines, Album(album), kSettling, kNow);
+PrefixPlacement Find(const std::vector<EngineHandle>& engines, int album) {
+  return FindPrefixPlacement(Usable(engines), engines, Album(album), kSettling,
+                             kNow);
 }
 
-TEST(PartPlaces, APartIsAtItsHome) {
+TEST(PrefixPlacement, APartIsAtItsHome) {
   const auto engines = Engines(5);
-  const PartPlaces places = Find(engines, 1);
+  const PrefixPlacement places = Find(engines, 1);
   ASSERT_NE(places.home, nullptr);
   EXPECT_EQ(places.holder, places.home);
 }
 
-TEST(PartPlaces, APromptThatSharesNothingHasNone) {
+TEST(PrefixPlacement, APromptThatSharesNothingHasNone) {
   const auto engines = Engines(5);
-  const PartPlaces places =
-      FindPlaces(engines, engines, Prompt{{{"own", 3'720}}}, kSettling, kNow);
+  const PrefixPlacement places = FindPrefixPlacement(
+      engines, engines, Prompt{{{"own", 3'720}}}, kSettling, kNow);
   EXPECT_EQ(places.home, nullptr);
   EXPECT_EQ(places.holder, nullptr);
 }
@@ -65,14 +66,14 @@
 // The load this answers: engines replaced one after the other. Each new one
 // became home to an eighteenth of the albums and read all of them again, while
 // those that had read them stood by: a fifth of all reading.
-TEST(PartPlaces, ANewHomeFetchesFromTheOneBefore) {
+TEST(PrefixPlacement, ANewHomeFetchesFromTheOneBefore) {
   auto engines = Engines(5);
   for (int album = 0; album < 50; ++album) {
     const EngineHandle before = Find(engines, album).home;
     auto joined = engines;
     joined.push_back(MakeEngine(9));
     joined.back()->staged_at = kNow - seconds(1);
-    const PartPlaces places = Find(joined, album);
+    const PrefixPlacement places = Find(joined, album);
     EXPECT_EQ(places.holder, before);
     joined.back()->staged_at = kNow - kSettling;
     EXPECT_EQ(Find(joined, album).holder, Find(joined, album).home);
@@ -80,20 +81,20 @@
 }
 
 // What an engine that is leaving has read is fetched while it still serves.
-TEST(PartPlaces, ALeavingEngineIsFetchedFrom) {
+TEST(PrefixPlacement, ALeavingEngineIsFetchedFrom) {
   const auto engines = Engines(5);
   const EngineHandle before = Find(engines, 1).home;
   before->entry.draining = true;
-  const PartPlaces places = Find(engines, 1);
+  const PrefixPlacement places = Find(engines, 1);
   EXPECT_NE(places.home, before);
   EXPECT_EQ(places.holder, before);
 }
 
-TEST(PartPlaces, AnEngineThatCannotBeReachedIsNotFetchedFrom) {
+TEST(PrefixPlacement, AnEngineThatCannotBeReachedIsNotFetchedFrom) {
   const auto engines = Engines(5);
   const EngineHandle before = Find(engines, 1).home;
   before->health.OnFailure(kNow);
-  const PartPlaces places = Find(engines, 1);
+  const PrefixPlacement places = Find(engines, 1);
   EXPECT_NE(places.home, before);
   EXPECT_EQ(places.holder, places.home);
 }
@@ -101,7 +102,7 @@
 // Whoever comes, goes or fails: a home is usable, a holder is none that just
 // joined unless nothing else is there, and instances that see the same engines
 // in another order agree.
-RC_GTEST_PROP(PartPlaces, AllInstancesAgree, ()) {
+RC_GTEST_PROP(PrefixPlacement, AllInstancesAgree, ()) {
   auto engines = Engines(*rc::gen::inRange(1, 12));
   for (const EngineHandle& engine : engines) {
     engine->entry.draining = *rc::gen::inRange(0, 4) == 0;
@@ -113,7 +114,7 @@
     }
   }
   const int album = *rc::gen::inRange(0, 1000);
-  const PartPlaces places = Find(engines, album);
+  const PrefixPlacement places = Find(engines, album);
   const auto usable = Usable(engines);
   RC_ASSERT((places.home == nullptr) == usable.empty());
   RC_ASSERT((places.holder == nullptr) == usable.empty());
@@ -123,7 +124,7 @@
                places.holder->staged_at == base::Time()));
   }
   std::ranges::reverse(engines);
-  const PartPlaces other = Find(engines, album);
+  const PrefixPlacement other = Find(engines, album);
   RC_ASSERT(other.home == places.home);
   RC_ASSERT(other.holder == places.holder);
 }
