--- a/src/request/passthrough/relay.h
+++ b/src/request/passthrough/relay.h
@@ -22,7 +22,7 @@
 #include "request/passthrough/engine_picker.h"
 #include "request/passthrough/engine_table.h"
 #include "request/passthrough/generation_times.h"
-#include "request/passthrough/goal_admission.h"
+#include "request/passthrough/latency_admission.h"
 #include "request/passthrough/prefill_times.h"
 #include "request/passthrough/route_table.h"
 #include "request/passthrough/shared_retry_budget.h"
@@ -50,7 +50,7 @@
   // Targets that a request may find unreachable before it is refused. They cost
   // no one but its caller, 300 ms each at most.
   int max_unreachable = 4;
-  GoalAdmissionOptions admission;
+  LatencyAdmissionOptions admission;
   // An answer that is no stream is held until it is whole, so that a torn one
   // never reaches the caller; beyond this size it is passed on piece by piece.
   std::size_t max_held_bytes = std::size_t{256} * 1024;
--- a/src/request/passthrough/relay_run.cc
+++ b/src/request/passthrough/relay_run.cc
@@ -156,7 +156,8 @@
 
 EnginePick RelayRun::PickFirst() {
   EnginePick pick = Pick();
-  if (late_ || !MissesGoal({pick.wait, pick.expected}, route_->target_latency,
+  if (late_ ||
+      !MissesLatencyTarget({pick.wait, pick.expected}, route_->target_latency,
                            options_.admission)) {
     return pick;
   }
@@ -166,8 +167,8 @@
 }
 
 std::optional<EndReason> RelayRun::Unwanted(const EnginePick& pick) const {
-  if (IsHopeless({pick.wait, pick.expected}, TimeToBegin(),
-                 options_.admission)) {
+  if (ExceedsCallerTimeout({pick.wait, pick.expected}, TimeToBegin(),
+                           options_.admission)) {
     return EndReason::kHopeless;
   }
   const AskedAnswer asked{.expected_tokens = terms_.expected_tokens,
@@ -188,7 +189,7 @@
 }
 
 int RelayRun::Priority() const noexcept {
-  return route_->priority + (late_ ? kLateRank : 0);
+  return route_->priority + (late_ ? kLatePriorityOffset : 0);
 }
 
 // KV cache that waits goes with the request to another engine.
--- a/tests/request/passthrough/goal_admission_test.cc
+++ b/tests/request/passthrough/latency_admission_test.cc
@@ -1,4 +1,4 @@
-#include "request/passthrough/goal_admission.h"
+#include "request/passthrough/latency_admission.h"
 
 #include <algorithm>
 #include <chrono>
@@ -46,15 +46,16 @@
 
   void Arrive(base::Duration now) {
     Advance(now);
-    const Outlook outlook = See(0);
-    const bool misses = MissesGoal(outlook, kGoal, options_);
+    const LatencyForecast outlook = See(0);
+    const bool misses = MissesLatencyTarget(outlook, kGoal, options_);
     if (policy_ == Policy::kFirstInFirstOut || !misses) {
       waiting_[0].push_back(now);
     } else if (policy_ == Policy::kRefuse ||
-               IsHopeless(See(kLateRank), kPatience, options_)) {
+               ExceedsCallerTimeout(See(kLatePriorityOffset), kPatience,
+                                    options_)) {
       ++tally_.refused;
     } else {
-      waiting_[kLateRank].push_back(now);
+      waiting_[kLatePriorityOffset].push_back(now);
     }
   }
   Tally Finish() {
@@ -67,7 +68,7 @@
   static constexpr base::Duration kPatience = seconds(2);
 
   // What a prompt of that rank would meet.
-  Outlook See(int rank) const {
+  LatencyForecast See(int rank) const {
     base::Duration wait = std::max(free_at_ - now_, base::Duration(0));
     for (const auto& [other, prompts] : waiting_) {
       wait += other <= rank ? std::ssize(prompts) * kRead : base::Duration(0);
@@ -98,7 +99,7 @@
   }
 
   const Policy policy_;
-  const GoalAdmissionOptions options_;
+  const LatencyAdmissionOptions options_;
   base::Duration now_{};
   base::Duration free_at_{};
   std::map<int, std::vector<base::Duration>> waiting_;
@@ -156,14 +157,18 @@
 }
 
 TEST(GoalAdmission, ARouteWithoutAGoalIsNeverLate) {
-  EXPECT_FALSE(MissesGoal({.wait = seconds(9)}, base::Duration(0), {}));
+  EXPECT_FALSE(
+      MissesLatencyTarget({.wait = seconds(9)}, base::Duration(0), {}));
 }
 
 // Refused at once: it would be read when its caller has left.
 TEST(GoalAdmission, WhatWouldWaitPastItsCallersPatienceIsRefused) {
-  EXPECT_TRUE(IsHopeless({.wait = milliseconds(1'100)}, seconds(2), {}));
-  EXPECT_FALSE(IsHopeless({.wait = milliseconds(900)}, seconds(2), {}));
-  EXPECT_TRUE(IsHopeless({.wait = {}, .expected = seconds(3)}, seconds(2), {}));
+  EXPECT_TRUE(
+      ExceedsCallerTimeout({.wait = milliseconds(1'100)}, seconds(2), {}));
+  EXPECT_FALSE(
+      ExceedsCallerTimeout({.wait = milliseconds(900)}, seconds(2), {}));
+  EXPECT_TRUE(ExceedsCallerTimeout({.wait = {}, .expected = seconds(3)},
+                                   seconds(2), {}));
 }
 
 // A stream's caller leaves after a silence, long before its whole time is up.
