--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -31,7 +31,7 @@
 #include "process/retry_loans.h"
 #include "process/stage_orders.h"
 #include "process/watch_sharing.h"
-#include "request/passthrough/peer_reads.h"
+#include "request/passthrough/peer_prefills.h"
 #include "request/passthrough/relay.h"
 
 namespace lynxglade {
@@ -106,7 +106,7 @@
   platform::StoreClient store;
 
   EntryViews views{clock, metrics};
-  request::passthrough::PeerReads peer_reads;
+  request::passthrough::PeerPrefills peer_reads;
   request::passthrough::PeerAvoidance peer_avoidance;
   request::passthrough::ZoneHealth zones;
   request::passthrough::PrefillTimes prefill_times;
@@ -151,7 +151,7 @@
           [this](const request::passthrough::Engine& engine,
                  int priority,
                  base::Time now) {
-            return peer_reads.UnreadTokens(engine.entry.id, priority, now);
+            return peer_reads.PrefillTokens(engine.entry.id, priority, now);
           },
           [this](const base::ZoneId& zone, base::Time now) {
             return zones.CutOff(zone, now);
--- a/src/process/read_sharing.cc
+++ b/src/process/read_sharing.cc
@@ -16,7 +16,7 @@
 using connection::CborWhole;
 using nlohmann::json;
 using request::passthrough::EngineKey;
-using request::passthrough::PeerRead;
+using request::passthrough::PeerPrefill;
 
 constexpr std::uint64_t kReportVersion = 1;
 // Of one report; an instance with more under way tells the first.
@@ -27,7 +27,7 @@
 constexpr std::uint64_t kMaxPriority = 1'000'000;
 constexpr std::uint64_t kMaxTokens = 1'000'000'000;
 
-std::optional<PeerRead> ReadRow(const json& row) {
+std::optional<PeerPrefill> ReadRow(const json& row) {
   if (!row.is_array() || row.size() != 3) {
     return std::nullopt;
   }
@@ -37,30 +37,31 @@
   if (!engine || !priority || !tokens) {
     return std::nullopt;
   }
-  return PeerRead{static_cast<EngineKey>(*engine), static_cast<int>(*priority),
-                  static_cast<std::int64_t>(*tokens)};
+  return PeerPrefill{static_cast<EngineKey>(*engine),
+                     static_cast<int>(*priority),
+                     static_cast<std::int64_t>(*tokens)};
 }
 
 }  // namespace
 
-std::string EncodeReads(const std::vector<PeerRead>& reads) {
+std::string EncodeReads(const std::vector<PeerPrefill>& reads) {
   json report = json::array({kReportVersion});
   const std::size_t n = std::min(reads.size(), kMaxReads);
-  std::for_each_n(reads.begin(), n, [&report](const PeerRead& it) {
+  std::for_each_n(reads.begin(), n, [&report](const PeerPrefill& it) {
     report.push_back({it.engine, static_cast<std::uint64_t>(it.priority),
-                      static_cast<std::uint64_t>(it.unread_tokens)});
+                      static_cast<std::uint64_t>(it.prefill_tokens)});
   });
   const auto bytes = json::to_cbor(report);
   return {bytes.begin(), bytes.end()};
 }
 
-std::optional<std::vector<PeerRead>> DecodeReads(std::string_view bytes) {
+std::optional<std::vector<PeerPrefill>> DecodeReads(std::string_view bytes) {
   const auto report =
       connection::DecodeVersioned(bytes, kLimits, kReportVersion);
   if (!report || report->size() > kMaxReads + 1) {
     return std::nullopt;
   }
-  std::vector<PeerRead> reads;
+  std::vector<PeerPrefill> reads;
   for (std::size_t i = 1; i < report->size(); ++i) {
     const auto read = ReadRow((*report)[i]);
     if (!read) {
@@ -85,7 +86,7 @@
 
 ReadSharing::ReadSharing(const request::passthrough::EngineTable& engines,
                          const InstancePresence& presence,
-                         request::passthrough::PeerReads& peer_reads,
+                         request::passthrough::PeerPrefills& peer_reads,
                          PeerDatagrams& datagrams,
                          ReadSharingOptions options,
                          base::Clock clock)
@@ -105,7 +106,7 @@
 }
 
 void ReadSharing::TellOnce() {
-  const auto reads = OwnReads(engines_);
+  const auto reads = OwnPrefills(engines_);
   const bool told_any = std::exchange(told_any_, !reads.empty());
   if (reads.empty() && !told_any) {
     return;
--- a/src/process/read_sharing.h
+++ b/src/process/read_sharing.h
@@ -17,7 +17,7 @@
 #include "process/instance_presence.h"
 #include "process/peer_datagrams.h"
 #include "request/passthrough/engine_table.h"
-#include "request/passthrough/peer_reads.h"
+#include "request/passthrough/peer_prefills.h"
 
 namespace lynxglade::process {
 
@@ -33,9 +33,9 @@
 // The form of a report: a CBOR array of its version and one [engine, priority,
 // tokens] a read.
 std::string EncodeReads(
-    const std::vector<request::passthrough::PeerRead>& reads);
+    const std::vector<request::passthrough::PeerPrefill>& reads);
 // Nothing if it is not that.
-std::optional<std::vector<request::passthrough::PeerRead>> DecodeReads(
+std::optional<std::vector<request::passthrough::PeerPrefill>> DecodeReads(
     std::string_view bytes);
 
 // The instances that this one tells and hears.
@@ -47,7 +47,7 @@
  public:
   ReadSharing(const request::passthrough::EngineTable& engines,
               const InstancePresence& presence,
-              request::passthrough::PeerReads& peer_reads,
+              request::passthrough::PeerPrefills& peer_reads,
               PeerDatagrams& datagrams,
               ReadSharingOptions options,
               base::Clock clock);
@@ -63,7 +63,7 @@
 
   const request::passthrough::EngineTable& engines_;
   const InstancePresence& presence_;
-  request::passthrough::PeerReads& peer_reads_;
+  request::passthrough::PeerPrefills& peer_reads_;
   PeerDatagrams& datagrams_;
   const ReadSharingOptions options_;
   const base::Clock clock_;
--- a/src/request/passthrough/engine_picker.cc
+++ b/src/request/passthrough/engine_picker.cc
@@ -66,7 +66,7 @@
 }
 
 bool EnginePicker::Disturbs(const EnginePick& pick) const noexcept {
-  return !pick.reader && pick.unread_tokens > options_.most_read_at_decoder;
+  return !pick.reader && pick.prefill_tokens > options_.most_read_at_decoder;
 }
 
 EngineHandle EnginePicker::PickDecoder(const std::vector<EngineHandle>& engines,
@@ -147,8 +147,8 @@
   const double wait_ms = WaitMs(*engine, ahead, query.priority, query.now);
   EnginePick pick;
   pick.alone = ahead.total() == 0;
-  pick.unread_tokens = places.home ? prompt.OwnTokens() : prompt.TotalTokens();
-  double read_ms = PrefillMs(*engine, pick.unread_tokens);
+  pick.prefill_tokens = places.home ? prompt.OwnTokens() : prompt.TotalTokens();
+  double read_ms = PrefillMs(*engine, pick.prefill_tokens);
   if (places.holder && engine != places.holder) {
     pick.fetch_from = places.holder;
     read_ms += prefill_times_.FetchMs(engine->entry.service);
@@ -203,7 +203,7 @@
   }
   for (const auto& [other, queue] : engine.reads) {
     (other > priority ? ahead.less_urgent : ahead.before) +=
-        queue.unread_tokens;
+        queue.prefill_tokens;
   }
   return ahead;
 }
--- a/src/request/passthrough/engine_picker.h
+++ b/src/request/passthrough/engine_picker.h
@@ -85,7 +85,7 @@
   EngineHandle fetch_from;
   // Tokens the reader (or else the runner) is expected to read, and how long
   // that takes if nothing else is read first.
-  std::int64_t unread_tokens = 0;
+  std::int64_t prefill_tokens = 0;
   base::Duration read_time{};
   // No other read is known to be under way there.
   bool alone = false;
--- a/src/request/passthrough/engine_table.h
+++ b/src/request/passthrough/engine_table.h
@@ -56,8 +56,8 @@
 };
 
 // The prompts of one priority that this instance has an engine read.
-struct ReadQueue {
-  std::int64_t unread_tokens = 0;
+struct PrefillQueue {
+  std::int64_t prefill_tokens = 0;
   // When each read under way would end if nothing else were to be read first.
   std::multiset<base::Time> due;
   // How long the last read waited for others, and when it ended.
@@ -76,7 +76,7 @@
   int in_flight = 0;
   // By priority, 0 first: an engine reads the prompts of a more urgent request
   // before those of others.
-  std::map<int, ReadQueue> reads;
+  std::map<int, PrefillQueue> reads;
   // The newest report, and how many requests were sent since.
   ReportedLoad reported;
   base::Time reported_at{};
--- a/src/request/passthrough/engine_use.h
+++ b/src/request/passthrough/engine_use.h
@@ -15,20 +15,20 @@
 
 class EngineUse {
  public:
-  // `unread_tokens` are to be read there, which takes `read_time` if nothing
+  // `prefill_tokens` are to be read there, which takes `read_time` if nothing
   // else is; none for what has no prompt to read.
   EngineUse(EngineHandle engine,
             int priority,
-            std::int64_t unread_tokens,
+            std::int64_t prefill_tokens,
             base::Duration read_time,
             base::Time now)
       : engine_(std::move(engine)),
         priority_(priority),
-        unread_(unread_tokens) {
+        unread_(prefill_tokens) {
     ++engine_->in_flight;
     if (unread_ > 0) {
-      ReadQueue& queue = engine_->reads[priority_];
-      queue.unread_tokens += unread_;
+      PrefillQueue& queue = engine_->reads[priority_];
+      queue.prefill_tokens += unread_;
       due_ = now + read_time;
       queue.due.insert(*due_);
     }
@@ -43,7 +43,7 @@
   // The target has read the prompt.
   void PromptRead(base::Time now) {
     if (due_) {
-      ReadQueue& queue = engine_->reads[priority_];
+      PrefillQueue& queue = engine_->reads[priority_];
       queue.waited = std::max(now - *due_, base::Duration::zero());
       queue.waited_at = now;
     }
@@ -53,8 +53,8 @@
  private:
   void Forget() {
     if (due_) {
-      ReadQueue& queue = engine_->reads[priority_];
-      queue.unread_tokens -= unread_;
+      PrefillQueue& queue = engine_->reads[priority_];
+      queue.prefill_tokens -= unread_;
       queue.due.erase(queue.due.find(*due_));
       due_.reset();
     }
--- a/src/request/passthrough/peer_avoidance.h
+++ b/src/request/passthrough/peer_avoidance.h
@@ -14,7 +14,7 @@
 #include "base/ids.h"
 #include "base/time.h"
 #include "request/passthrough/engine_table.h"
-#include "request/passthrough/peer_reads.h"
+#include "request/passthrough/peer_prefills.h"
 
 namespace lynxglade::request::passthrough {
 
--- a/src/request/passthrough/peer_reads.cc
+++ b/src/request/passthrough/peer_prefills.cc
@@ -1,4 +1,4 @@
-#include "request/passthrough/peer_reads.h"
+#include "request/passthrough/peer_prefills.h"
 
 #include <cmath>
 #include <utility>
@@ -11,37 +11,37 @@
   return static_cast<EngineKey>(base::Hash64(id.str()));
 }
 
-std::vector<PeerRead> OwnReads(const EngineTable& engines) {
-  std::vector<PeerRead> reads;
+std::vector<PeerPrefill> OwnPrefills(const EngineTable& engines) {
+  std::vector<PeerPrefill> reads;
   engines.ForEach([&reads](const Engine& engine) {
     for (const auto& [priority, queue] : engine.reads) {
-      if (queue.unread_tokens > 0) {
+      if (queue.prefill_tokens > 0) {
         reads.push_back(
-            {KeyOf(engine.entry.id), priority, queue.unread_tokens});
+            {KeyOf(engine.entry.id), priority, queue.prefill_tokens});
       }
     }
   });
   return reads;
 }
 
-PeerReads::PeerReads(PeerReadsOptions options) : options_(options) {}
+PeerPrefills::PeerPrefills(PeerPrefillsOptions options) : options_(options) {}
 
-void PeerReads::Put(const base::InstanceId& peer,
-                    const std::vector<PeerRead>& reads,
-                    base::Time now) {
+void PeerPrefills::Put(const base::InstanceId& peer,
+                       const std::vector<PeerPrefill>& reads,
+                       base::Time now) {
   for (auto& [engine, by_peer] : reads_) {
     by_peer.erase(peer);
   }
-  for (const PeerRead& read : reads) {
+  for (const PeerPrefill& read : reads) {
     reads_[read.engine].emplace(peer,
-                                Entry{read.priority, read.unread_tokens, now});
+                                Entry{read.priority, read.prefill_tokens, now});
   }
   std::erase_if(reads_, [](const auto& it) { return it.second.empty(); });
 }
 
-std::int64_t PeerReads::UnreadTokens(const base::TargetId& engine,
-                                     int priority,
-                                     base::Time now) const {
+std::int64_t PeerPrefills::PrefillTokens(const base::TargetId& engine,
+                                         int priority,
+                                         base::Time now) const {
   const auto it = reads_.find(KeyOf(engine));
   if (it == reads_.end()) {
     return 0;
@@ -50,7 +50,7 @@
   for (const auto& [peer, entry] : it->second) {
     if (entry.priority <= priority &&
         now - entry.heard_at <= options_.lifetime) {
-      sum += entry.unread_tokens;
+      sum += entry.prefill_tokens;
     }
   }
   return std::llround(scale_ * static_cast<double>(sum));
--- a/src/request/passthrough/peer_reads.h
+++ b/src/request/passthrough/peer_prefills.h
@@ -2,8 +2,8 @@
 //
 // An instance sees its own requests only, one of many at an engine. With what
 // the others say of theirs it knows how long a prompt would wait there.
-#ifndef LYNXGLADE_REQUEST_PASSTHROUGH_PEER_READS_H_
-#define LYNXGLADE_REQUEST_PASSTHROUGH_PEER_READS_H_
+#ifndef LYNXGLADE_REQUEST_PASSTHROUGH_PEER_PREFILLS_H_
+#define LYNXGLADE_REQUEST_PASSTHROUGH_PEER_PREFILLS_H_
 
 #include <cstdint>
 #include <map>
@@ -20,56 +20,56 @@
 EngineKey KeyOf(const base::TargetId& id) noexcept;
 
 // What one instance has one engine read at one priority.
-struct PeerRead {
+struct PeerPrefill {
   EngineKey engine = 0;
   // 0 is the most urgent.
   int priority = 0;
-  std::int64_t unread_tokens = 0;
+  std::int64_t prefill_tokens = 0;
 
-  friend bool operator==(const PeerRead&, const PeerRead&) = default;
+  friend bool operator==(const PeerPrefill&, const PeerPrefill&) = default;
 };
 
-struct PeerReadsOptions {
+struct PeerPrefillsOptions {
   // What an instance said counts for so long: four of its reports may be lost.
   base::Duration lifetime = std::chrono::milliseconds(500);
 };
 
 // What this instance has engines read, for the others.
-std::vector<PeerRead> OwnReads(const EngineTable& engines);
+std::vector<PeerPrefill> OwnPrefills(const EngineTable& engines);
 
 // Not thread-safe: lives on the event loop.
-class PeerReads {
+class PeerPrefills {
  public:
-  explicit PeerReads(PeerReadsOptions options = {});
-  PeerReads(const PeerReads&) = delete;
-  PeerReads& operator=(const PeerReads&) = delete;
+  explicit PeerPrefills(PeerPrefillsOptions options = {});
+  PeerPrefills(const PeerPrefills&) = delete;
+  PeerPrefills& operator=(const PeerPrefills&) = delete;
 
   // All that `peer` has engines read now.
   void Put(const base::InstanceId& peer,
-           const std::vector<PeerRead>& reads,
+           const std::vector<PeerPrefill>& reads,
            base::Time now);
   // Instances for each one that reports here, this one left out: above 1 where
   // not all report to all.
   void SetScale(double scale) noexcept { scale_ = scale; }
 
   // Tokens that are read at an engine before a prompt of that priority.
-  std::int64_t UnreadTokens(const base::TargetId& engine,
-                            int priority,
-                            base::Time now) const;
+  std::int64_t PrefillTokens(const base::TargetId& engine,
+                             int priority,
+                             base::Time now) const;
 
  private:
   struct Entry {
     int priority = 0;
-    std::int64_t unread_tokens = 0;
+    std::int64_t prefill_tokens = 0;
     base::Time heard_at{};
   };
   using ByPeer = std::multimap<base::InstanceId, Entry>;
 
-  const PeerReadsOptions options_;
+  const PeerPrefillsOptions options_;
   double scale_ = 1;
   std::map<EngineKey, ByPeer> reads_;
 };
 
 }  // namespace lynxglade::request::passthrough
 
-#endif  // LYNXGLADE_REQUEST_PASSTHROUGH_PEER_READS_H_
+#endif  // LYNXGLADE_REQUEST_PASSTHROUGH_PEER_PREFILLS_H_
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -112,7 +112,7 @@
     co_return false;
   }
   const base::Time begun = parts_.clock();
-  EngineUse use(pick.reader, Priority(), pick.unread_tokens, pick.read_time,
+  EngineUse use(pick.reader, Priority(), pick.prefill_tokens, pick.read_time,
                 begun);
   SendTerms terms;
   terms.target = pick.reader;
@@ -178,9 +178,9 @@
   }
   if (pick.fetch_from) {
     parts_.prefill_times.RecordPrefillAfterFetch(*pick.reader,
-                                                 pick.unread_tokens, took);
+                                                 pick.prefill_tokens, took);
   } else {
-    parts_.prefill_times.RecordPrefill(*pick.reader, pick.unread_tokens, took);
+    parts_.prefill_times.RecordPrefill(*pick.reader, pick.prefill_tokens, took);
   }
 }
 
@@ -208,7 +208,7 @@
     co_return AttemptEnd::kNotRun;
   }
   const bool reads = !source_;
-  EngineUse use(target, Priority(), reads ? pick.unread_tokens : 0,
+  EngineUse use(target, Priority(), reads ? pick.prefill_tokens : 0,
                 pick.read_time, parts_.clock());
   SendTerms terms;
   terms.target = target;
--- a/src/request/passthrough/relay_report.cc
+++ b/src/request/passthrough/relay_report.cc
@@ -166,7 +166,7 @@
         pick.fetch_from ? pick.fetch_from->entry.id.str() : std::string()},
        {"shared_part",
         terms_.prompt.Shared() ? terms_.prompt.Shared()->id : std::string()},
-       {"unread_tokens", pick.unread_tokens},
+       {"unread_tokens", pick.prefill_tokens},
        {"late", late_},
        {"wait_ms", base::ToMillis(pick.wait)},
        {"read_ms", base::ToMillis(pick.read_time)},
--- a/tests/platform/relay_test.cc
+++ b/tests/platform/relay_test.cc
@@ -424,7 +424,7 @@
   }
   // Busier than those, but not for longer than the caller stays.
   for (const char* id : {"t0", "t1", "t2"}) {
-    engines_.Find(base::TargetId(id))->reads[0].unread_tokens = 30'000;
+    engines_.Find(base::TargetId(id))->reads[0].prefill_tokens = 30'000;
   }
   EXPECT_TRUE(Call(Request("/stream/x", kPromptLines)).ends_with("0\r\n\r\n"));
   ASSERT_EQ(runner.requests().size(), 1U);
--- a/tests/process/read_sharing_test.cc
+++ b/tests/process/read_sharing_test.cc
@@ -14,15 +14,15 @@
 using request::passthrough::EngineEntry;
 using request::passthrough::EngineTable;
 using request::passthrough::KeyOf;
-using request::passthrough::PeerRead;
-using request::passthrough::PeerReads;
+using request::passthrough::PeerPrefill;
+using request::passthrough::PeerPrefills;
 namespace asio = connection::event::asio;
 using Udp = asio::ip::udp;
 
 const base::TargetId kEngine("e1");
 
 RC_GTEST_PROP(ReadReport, WhatIsWrittenIsRead, ()) {
-  std::vector<PeerRead> reads;
+  std::vector<PeerPrefill> reads;
   const int n = *rc::gen::inRange(0, 50);
   for (int i = 0; i < n; ++i) {
     reads.push_back({*rc::gen::arbitrary<std::uint32_t>(),
@@ -95,11 +95,11 @@
       engines.Put(entry, base::Time());
     }
     std::int64_t Heard() const {
-      return peers.UnreadTokens(kEngine, 9, base::BootClock::now());
+      return peers.PrefillTokens(kEngine, 9, base::BootClock::now());
     }
 
     EngineTable engines;
-    PeerReads peers;
+    PeerPrefills peers;
     ReadSharing sharing;
   };
 };
@@ -110,10 +110,10 @@
   Meet({&a, &b});
   a.sharing.Start();
   b.sharing.Start();
-  a.engines.Find(kEngine)->reads[1].unread_tokens = 700;
+  a.engines.Find(kEngine)->reads[1].prefill_tokens = 700;
   RunUntil(loop_, [&] { return b.Heard() == 700; });
   EXPECT_EQ(a.Heard(), 0);
-  a.engines.Find(kEngine)->reads[1].unread_tokens = 0;
+  a.engines.Find(kEngine)->reads[1].prefill_tokens = 0;
   RunUntil(loop_, [&] { return b.Heard() == 0; });
 }
 
--- a/tests/request/passthrough/engine_picker_test.cc
+++ b/tests/request/passthrough/engine_picker_test.cc
@@ -83,7 +83,7 @@
   const auto fleet = Fleet(2, 6);
   for (const EngineHandle& engine : fleet) {
     if (engine->entry.stage == EngineStage::kPrefill) {
-      engine->reads[kPriority].unread_tokens = 400'000;
+      engine->reads[kPriority].prefill_tokens = 400'000;
     }
   }
   for (int i = 0; i < 200; ++i) {
@@ -158,7 +158,7 @@
   const EngineHandle home =
       Ask(choice, fleet, question, kNow, {}, /*priority=*/0).reader;
   ASSERT_NE(home, nullptr);
-  home->reads[kPriority].unread_tokens = 20'000;
+  home->reads[kPriority].prefill_tokens = 20'000;
   EXPECT_NE(Ask(choice, fleet, question, kNow, {}, /*priority=*/0).reader,
             home);
 }
@@ -275,8 +275,8 @@
   const auto fleet = Fleet(4, 2);
   const EnginePick calm = Ask(choice, fleet, Album("x"));
   EXPECT_EQ(calm.fetch_from, nullptr);
-  EXPECT_EQ(calm.unread_tokens, 3'720);
-  calm.reader->reads[kPriority].unread_tokens = 90'000;
+  EXPECT_EQ(calm.prefill_tokens, 3'720);
+  calm.reader->reads[kPriority].prefill_tokens = 90'000;
   const EnginePick busy = Ask(choice, fleet, Album("x"));
   EXPECT_NE(busy.reader, calm.reader);
   EXPECT_EQ(busy.fetch_from, calm.reader);
@@ -293,7 +293,7 @@
       fleet, {.prompt = album, .tried = {}, .pairs = false, .now = kNow});
   EXPECT_EQ(pick.reader, nullptr);
   EXPECT_EQ(pick.fetch_from, home);
-  EXPECT_EQ(pick.unread_tokens, 3'720);
+  EXPECT_EQ(pick.prefill_tokens, 3'720);
 }
 
 // The load this answers: albums whose requests spread as soon as their home
@@ -303,7 +303,7 @@
   EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(4, 2);
   const EngineHandle home = Ask(choice, fleet, Album("x")).reader;
-  home->reads[kPriority].unread_tokens = 13'300;
+  home->reads[kPriority].prefill_tokens = 13'300;
   EXPECT_EQ(Ask(choice, fleet, Album("x")).reader, home);
 }
 
@@ -334,7 +334,7 @@
 TEST(EnginePicker, OnlyPromptsAsUrgentCountAsAhead) {
   EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(1, 1);
-  ReadQueue& queue = fleet[0]->reads[1];
+  PrefillQueue& queue = fleet[0]->reads[1];
   queue.waited = milliseconds(700);
   queue.waited_at = kNow;
   EXPECT_EQ(Ask(choice, fleet, Album("x"), kNow, {}, 0).wait,
@@ -350,10 +350,10 @@
   {
     EngineUse use(engine, kPriority, 1'000, milliseconds(20), kNow);
     EXPECT_EQ(engine->in_flight, 1);
-    EXPECT_EQ(engine->reads[kPriority].unread_tokens, 1'000);
+    EXPECT_EQ(engine->reads[kPriority].prefill_tokens, 1'000);
     EXPECT_EQ(engine->reads[kPriority].due.size(), 1U);
     use.PromptRead(kNow + milliseconds(50));
-    EXPECT_EQ(engine->reads[kPriority].unread_tokens, 0);
+    EXPECT_EQ(engine->reads[kPriority].prefill_tokens, 0);
     EXPECT_EQ(engine->reads[kPriority].waited, milliseconds(30));
   }
   EXPECT_EQ(engine->in_flight, 0);
--- a/tests/request/passthrough/engine_table_test.cc
+++ b/tests/request/passthrough/engine_table_test.cc
@@ -65,7 +65,7 @@
   table.Put(Born("a", 1000), kNow - std::chrono::minutes(1));
   const EngineHandle before = table.Find(base::TargetId("a"));
   before->in_flight = 3;
-  before->reads[0].unread_tokens = 5000;
+  before->reads[0].prefill_tokens = 5000;
   before->reported = {.running = 9, .waiting = 2, .slots = 64};
   before->health.OnFailure(kNow);
   table.Put(Born("a", 2000), kNow);
--- a/tests/request/passthrough/peer_reads_test.cc
+++ b/tests/request/passthrough/peer_prefills_test.cc
@@ -1,4 +1,4 @@
-#include "request/passthrough/peer_reads.h"
+#include "request/passthrough/peer_prefills.h"
 
 #include <string>
 #include <vector>
@@ -16,62 +16,64 @@
 const base::InstanceId kPeer("a");
 const base::InstanceId kOther("b");
 
-PeerRead Read(const base::TargetId& engine, int priority, std::int64_t tokens) {
+PeerPrefill Read(const base::TargetId& engine,
+                 int priority,
+                 std::int64_t tokens) {
   return {KeyOf(engine), priority, tokens};
 }
 
-TEST(PeerReads, CountsWhatIsAsUrgentOrMore) {
-  PeerReads reads;
+TEST(PeerPrefills, CountsWhatIsAsUrgentOrMore) {
+  PeerPrefills reads;
   reads.Put(kPeer, {Read(kEngine, 0, 100), Read(kEngine, 2, 3'000)}, kNow);
   reads.Put(kOther, {Read(kEngine, 1, 20)}, kNow);
-  EXPECT_EQ(reads.UnreadTokens(kEngine, 0, kNow), 100);
-  EXPECT_EQ(reads.UnreadTokens(kEngine, 1, kNow), 120);
-  EXPECT_EQ(reads.UnreadTokens(kEngine, 2, kNow), 3'120);
-  EXPECT_EQ(reads.UnreadTokens(base::TargetId("e2"), 2, kNow), 0);
+  EXPECT_EQ(reads.PrefillTokens(kEngine, 0, kNow), 100);
+  EXPECT_EQ(reads.PrefillTokens(kEngine, 1, kNow), 120);
+  EXPECT_EQ(reads.PrefillTokens(kEngine, 2, kNow), 3'120);
+  EXPECT_EQ(reads.PrefillTokens(base::TargetId("e2"), 2, kNow), 0);
 }
 
-TEST(PeerReads, AReportReplacesTheOneBefore) {
-  PeerReads reads;
+TEST(PeerPrefills, AReportReplacesTheOneBefore) {
+  PeerPrefills reads;
   reads.Put(kPeer, {Read(kEngine, 0, 100)}, kNow);
   reads.Put(kPeer, {}, kNow);
-  EXPECT_EQ(reads.UnreadTokens(kEngine, 9, kNow), 0);
+  EXPECT_EQ(reads.PrefillTokens(kEngine, 9, kNow), 0);
 }
 
 // An instance that is cut off or was killed says nothing of its end.
-TEST(PeerReads, WhatIsNotSaidAgainIsForgotten) {
-  PeerReads reads;
+TEST(PeerPrefills, WhatIsNotSaidAgainIsForgotten) {
+  PeerPrefills reads;
   reads.Put(kPeer, {Read(kEngine, 0, 100)}, kNow);
-  EXPECT_EQ(reads.UnreadTokens(kEngine, 0, kNow + milliseconds(500)), 100);
-  EXPECT_EQ(reads.UnreadTokens(kEngine, 0, kNow + milliseconds(501)), 0);
+  EXPECT_EQ(reads.PrefillTokens(kEngine, 0, kNow + milliseconds(500)), 100);
+  EXPECT_EQ(reads.PrefillTokens(kEngine, 0, kNow + milliseconds(501)), 0);
 }
 
-TEST(PeerReads, InstancesThatDoNotReportAreTakenToBeLikeThoseThatDo) {
-  PeerReads reads;
+TEST(PeerPrefills, InstancesThatDoNotReportAreTakenToBeLikeThoseThatDo) {
+  PeerPrefills reads;
   reads.SetScale(2.5);
   reads.Put(kPeer, {Read(kEngine, 0, 100)}, kNow);
-  EXPECT_EQ(reads.UnreadTokens(kEngine, 0, kNow), 250);
+  EXPECT_EQ(reads.PrefillTokens(kEngine, 0, kNow), 250);
 }
 
-TEST(PeerReads, OwnReadsAreThoseUnderWay) {
+TEST(PeerPrefills, OwnReadsAreThoseUnderWay) {
   EngineTable engines{base::Duration(0)};
   for (const char* id : {"e1", "e2", "e3"}) {
     EngineEntry entry;
     entry.id = base::TargetId(id);
     engines.Put(entry, kNow);
   }
-  engines.Find(kEngine)->reads[1].unread_tokens = 70;
-  engines.Find(base::TargetId("e2"))->reads[0].unread_tokens = 0;
-  const auto reads = OwnReads(engines);
+  engines.Find(kEngine)->reads[1].prefill_tokens = 70;
+  engines.Find(base::TargetId("e2"))->reads[0].prefill_tokens = 0;
+  const auto reads = OwnPrefills(engines);
   ASSERT_EQ(reads.size(), 1U);
   EXPECT_EQ(reads[0].engine, KeyOf(kEngine));
   EXPECT_EQ(reads[0].priority, 1);
-  EXPECT_EQ(reads[0].unread_tokens, 70);
+  EXPECT_EQ(reads[0].prefill_tokens, 70);
 }
 
 // Whatever the order of reports, the newest of each peer counts, and nothing
 // of a peer that fell silent.
-RC_GTEST_PROP(PeerReads, TheNewestOfEachPeerCounts, ()) {
-  PeerReads reads;
+RC_GTEST_PROP(PeerPrefills, TheNewestOfEachPeerCounts, ()) {
+  PeerPrefills reads;
   base::Time now = kNow;
   std::map<std::string, std::pair<std::int64_t, base::Time>> last;
   const int n = *rc::gen::inRange(0, 60);
@@ -85,9 +87,9 @@
   }
   std::int64_t sum = 0;
   for (const auto& [peer, row] : last) {
-    sum += now - row.second <= PeerReadsOptions().lifetime ? row.first : 0;
+    sum += now - row.second <= PeerPrefillsOptions().lifetime ? row.first : 0;
   }
-  RC_ASSERT(reads.UnreadTokens(kEngine, 0, now) == sum);
+  RC_ASSERT(reads.PrefillTokens(kEngine, 0, now) == sum);
 }
 
 }  // namespace
