--- a/src/request/passthrough/engine_use.h
+++ b/src/request/passthrough/in_flight_request.h
@@ -1,7 +1,7 @@
 // Counts a request at a target for as long as it is there, and learns how long
 // prompts wait there to be read.
-#ifndef LYNXGLADE_REQUEST_PASSTHROUGH_ENGINE_USE_H_
-#define LYNXGLADE_REQUEST_PASSTHROUGH_ENGINE_USE_H_
+#ifndef LYNXGLADE_REQUEST_PASSTHROUGH_IN_FLIGHT_REQUEST_H_
+#define LYNXGLADE_REQUEST_PASSTHROUGH_IN_FLIGHT_REQUEST_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -13,15 +13,15 @@
 
 namespace lynxglade::request::passthrough {
 
-class EngineUse {
+class InFlightRequest {
  public:
   // `prefill_tokens` are to be read there, which takes `read_time` if nothing
   // else is; none for what has no prompt to read.
-  EngineUse(EngineHandle engine,
-            int priority,
-            std::int64_t prefill_tokens,
-            base::Duration read_time,
-            base::Time now)
+  InFlightRequest(EngineHandle engine,
+                  int priority,
+                  std::int64_t prefill_tokens,
+                  base::Duration read_time,
+                  base::Time now)
       : engine_(std::move(engine)),
         priority_(priority),
         unread_(prefill_tokens) {
@@ -33,15 +33,15 @@
       queue.due.insert(*due_);
     }
   }
-  ~EngineUse() {
+  ~InFlightRequest() {
     Forget();
     --engine_->in_flight;
   }
-  EngineUse(const EngineUse&) = delete;
-  EngineUse& operator=(const EngineUse&) = delete;
+  InFlightRequest(const InFlightRequest&) = delete;
+  InFlightRequest& operator=(const InFlightRequest&) = delete;
 
   // The target has read the prompt.
-  void PromptRead(base::Time now) {
+  void OnPrefillDone(base::Time now) {
     if (due_) {
       PrefillQueue& queue = engine_->reads[priority_];
       queue.waited = std::max(now - *due_, base::Duration::zero());
@@ -68,4 +68,4 @@
 
 }  // namespace lynxglade::request::passthrough
 
-#endif  // LYNXGLADE_REQUEST_PASSTHROUGH_ENGINE_USE_H_
+#endif  // LYNXGLADE_REQUEST_PASSTHROUGH_IN_FLIGHT_REQUEST_H_
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -9,7 +9,7 @@
 #include "connection/event/call.h"
 #include "connection/event/hop_headers.h"
 #include "request/passthrough/engine_address.h"
-#include "request/passthrough/engine_use.h"
+#include "request/passthrough/in_flight_request.h"
 #include "request/passthrough/relay_run.h"
 
 namespace lynxglade::request::passthrough {
@@ -112,8 +112,8 @@
     co_return false;
   }
   const base::Time begun = parts_.clock();
-  EngineUse use(pick.reader, Priority(), pick.prefill_tokens, pick.read_time,
-                begun);
+  InFlightRequest use(pick.reader, Priority(), pick.prefill_tokens,
+                      pick.read_time, begun);
   SendTerms terms;
   terms.target = pick.reader;
   terms.time_left = TimeLeft();
@@ -145,7 +145,7 @@
   }
   current_ = nullptr;
   if (source_) {
-    use.PromptRead(parts_.clock());
+    use.OnPrefillDone(parts_.clock());
     RecordPrefill(pick, parts_.clock() - begun);
     pick.reader->health.OnAccepted();
     ++accepted_reads_;
@@ -208,8 +208,8 @@
     co_return AttemptEnd::kNotRun;
   }
   const bool reads = !source_;
-  EngineUse use(target, Priority(), reads ? pick.prefill_tokens : 0,
-                pick.read_time, parts_.clock());
+  InFlightRequest use(target, Priority(), reads ? pick.prefill_tokens : 0,
+                      pick.read_time, parts_.clock());
   SendTerms terms;
   terms.target = target;
   terms.time_left = TimeLeft();
@@ -225,7 +225,7 @@
   const ExchangeState state = co_await exchange.Start(
       *endpoint, Message(terms), AnswerFilter(), !route_->MayRepeat());
   NoteReach(*target, exchange);
-  use.PromptRead(parts_.clock());
+  use.OnPrefillDone(parts_.clock());
   AttemptEnd end = AttemptEnd::kNotRun;
   if (state == ExchangeState::kHead || state == ExchangeState::kWhole) {
     end = co_await TakeAnswer(exchange, target, entry_changes);
--- a/tests/request/passthrough/engine_picker_test.cc
+++ b/tests/request/passthrough/engine_picker_test.cc
@@ -8,7 +8,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "request/passthrough/engine_use.h"
+#include "request/passthrough/in_flight_request.h"
 
 namespace lynxglade::request::passthrough {
 namespace {
@@ -348,11 +348,11 @@
 TEST(EnginePicker, ATargetInUseIsCountedAndItsWaitLearnt) {
   const EngineHandle engine = MakeEngine("p", EngineStage::kPrefill);
   {
-    EngineUse use(engine, kPriority, 1'000, milliseconds(20), kNow);
+    InFlightRequest use(engine, kPriority, 1'000, milliseconds(20), kNow);
     EXPECT_EQ(engine->in_flight, 1);
     EXPECT_EQ(engine->reads[kPriority].prefill_tokens, 1'000);
     EXPECT_EQ(engine->reads[kPriority].due.size(), 1U);
-    use.PromptRead(kNow + milliseconds(50));
+    use.OnPrefillDone(kNow + milliseconds(50));
     EXPECT_EQ(engine->reads[kPriority].prefill_tokens, 0);
     EXPECT_EQ(engine->reads[kPriority].waited, milliseconds(30));
   }
