--- a/src/request/passthrough/engine_picker.cc
+++ b/src/request/passthrough/engine_picker.cc
@@ -40,7 +40,7 @@
       room_(std::move(room)) {}
 
 EnginePick EnginePicker::Pick(const std::vector<EngineHandle>& engines,
-                              const PickQuery& query) const {
+                              const EnginePickQuery& query) const {
   const std::vector<EngineHandle> usable = Usable(engines, query);
   if (usable.empty()) {
     return {};
@@ -71,7 +71,7 @@
 
 EngineHandle EnginePicker::PickDecoder(const std::vector<EngineHandle>& engines,
                                        const Engine& reader,
-                                       const PickQuery& query) const {
+                                       const EnginePickQuery& query) const {
   std::vector<EngineHandle> near;
   std::vector<EngineHandle> any;
   for (const EngineHandle& engine : Usable(engines, query)) {
@@ -96,7 +96,7 @@
 
 EnginePick EnginePicker::PickForPrompt(const std::vector<EngineHandle>& engines,
                                        const std::vector<EngineHandle>& usable,
-                                       const PickQuery& query) const {
+                                       const EnginePickQuery& query) const {
   const base::Time now = query.now;
   std::vector<EngineHandle> decoders;
   std::ranges::copy_if(usable, std::back_inserter(decoders),
@@ -141,7 +141,7 @@
 
 EnginePick EnginePicker::Reading(const EngineHandle& engine,
                                  const PrefixPlacement& places,
-                                 const PickQuery& query) const {
+                                 const EnginePickQuery& query) const {
   const Prompt& prompt = query.prompt;
   const ReadsAhead ahead = CountReads(*engine, query.priority, query.now);
   const double wait_ms = WaitMs(*engine, ahead, query.priority, query.now);
@@ -229,7 +229,7 @@
 // so are those that failed lately, here or at other instances.
 std::vector<EngineHandle> EnginePicker::Usable(
     const std::vector<EngineHandle>& engines,
-    const PickQuery& query) const {
+    const EnginePickQuery& query) const {
   // An entry without a stage among engines that have one is not an engine's.
   const bool staged =
       !query.prompt.empty() && std::ranges::any_of(engines, IsStaged);
--- a/src/request/passthrough/engine_picker.h
+++ b/src/request/passthrough/engine_picker.h
@@ -61,7 +61,7 @@
 };
 
 // What is to be run, and where it may be.
-struct PickQuery {
+struct EnginePickQuery {
   const Prompt& prompt;
   // 0 is the most urgent.
   int priority = 0;
@@ -124,7 +124,7 @@
 
   // Chooses among `engines`, those of one service.
   EnginePick Pick(const std::vector<EngineHandle>& engines,
-                  const PickQuery& query) const;
+                  const EnginePickQuery& query) const;
 
   // How long a prompt that is no more urgent than others would wait to be read,
   // on average over the prefill engines; for ever if there is none.
@@ -138,22 +138,22 @@
   // The engine to run a request whose KV cache waits at `reader`.
   EngineHandle PickDecoder(const std::vector<EngineHandle>& engines,
                            const Engine& reader,
-                           const PickQuery& query) const;
+                           const EnginePickQuery& query) const;
 
  private:
   EnginePick PickPlain(const std::vector<EngineHandle>& usable,
                        base::Time now) const;
   EnginePick PickForPrompt(const std::vector<EngineHandle>& engines,
                            const std::vector<EngineHandle>& usable,
-                           const PickQuery& query) const;
+                           const EnginePickQuery& query) const;
   EngineHandle LeastLoaded(const std::vector<EngineHandle>& usable,
                            base::Time now) const;
   std::vector<EngineHandle> Usable(const std::vector<EngineHandle>& engines,
-                                   const PickQuery& query) const;
+                                   const EnginePickQuery& query) const;
   // Reading at `engine`; the pick's engines are left open.
   EnginePick Reading(const EngineHandle& engine,
                      const PrefixPlacement& places,
-                     const PickQuery& query) const;
+                     const EnginePickQuery& query) const;
   // Tokens of other prompts at an engine, by this instance and its peers.
   struct ReadsAhead {
     // As urgent as the request, or more.
--- a/src/request/passthrough/relay_run.cc
+++ b/src/request/passthrough/relay_run.cc
@@ -195,7 +195,7 @@
 // KV cache that waits goes with the request to another engine.
 EnginePick RelayRun::Pick() {
   const auto& engines = parts_.engines.OfService(service_);
-  const PickQuery query{
+  const EnginePickQuery query{
       .prompt = terms_.prompt,
       .priority = Priority(),
       .tried = tried_,
--- a/tests/request/passthrough/engine_picker_test.cc
+++ b/tests/request/passthrough/engine_picker_test.cc
@@ -376,7 +376,7 @@
   const auto fleet = Fleet(0, 2);
   const Prompt plain;
   fleet[0]->in_flight = 4;
-  const PickQuery query{
+  const EnginePickQuery query{
       .prompt = plain, .tried = {}, .most_in_flight = 4, .now = kNow};
   EXPECT_EQ(choice.Pick(fleet, query).runner, fleet[1]);
   fleet[1]->in_flight = 4;
