--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -112,7 +112,7 @@
   request::passthrough::PrefillTimes prefill_times;
   request::passthrough::GenerationTimes generation_times;
   request::passthrough::AnswerAdmission answers{generation_times};
-  const request::passthrough::EngineRoom room =
+  const request::passthrough::EngineCapacity room =
       [this](const request::passthrough::Engine& engine, base::Time now) {
         return answers.Room(engine, now);
       };
--- a/src/process/generation_demand.cc
+++ b/src/process/generation_demand.cc
@@ -15,7 +15,7 @@
 }  // namespace
 
 GenerationDemand::GenerationDemand(GenerationDemandOptions options,
-                                   request::passthrough::EngineRoom room)
+                                   request::passthrough::EngineCapacity room)
     : options_(options), room_(std::move(room)) {}
 
 double GenerationDemand::Target(const request::passthrough::Engine& engine,
--- a/src/process/generation_demand.h
+++ b/src/process/generation_demand.h
@@ -37,7 +37,7 @@
  public:
   // `room` may be empty: engines have room for as many answers as slots.
   explicit GenerationDemand(GenerationDemandOptions options = {},
-                            request::passthrough::EngineRoom room = {});
+                            request::passthrough::EngineCapacity room = {});
   GenerationDemand(const GenerationDemand&) = delete;
   GenerationDemand& operator=(const GenerationDemand&) = delete;
 
@@ -60,7 +60,7 @@
                 base::Time now) const;
 
   const GenerationDemandOptions options_;
-  const request::passthrough::EngineRoom room_;
+  const request::passthrough::EngineCapacity room_;
   base::Time first_at_{};
   base::Time last_at_{};
   double answers_ = 0;
--- a/src/process/stage_orders.cc
+++ b/src/process/stage_orders.cc
@@ -44,7 +44,7 @@
     std::function<std::vector<base::ServiceName>()> services,
     std::function<bool()> idle,
     std::function<base::Duration(const base::ServiceName&)> backlog,
-    request::passthrough::EngineRoom room,
+    request::passthrough::EngineCapacity room,
     base::Clock clock,
     base::Metrics& metrics)
     : loop_(loop),
--- a/src/process/stage_orders.h
+++ b/src/process/stage_orders.h
@@ -98,7 +98,7 @@
               std::function<bool()> idle,
               // How long a prompt would wait to be read now, on average.
               std::function<base::Duration(const base::ServiceName&)> backlog,
-              request::passthrough::EngineRoom room,
+              request::passthrough::EngineCapacity room,
               base::Clock clock,
               base::Metrics& metrics);
   StageOrders(const StageOrders&) = delete;
@@ -123,7 +123,7 @@
   const std::function<std::vector<base::ServiceName>()> services_;
   const std::function<bool()> idle_;
   const std::function<base::Duration(const base::ServiceName&)> backlog_;
-  const request::passthrough::EngineRoom room_;
+  const request::passthrough::EngineCapacity room_;
   const base::Clock clock_;
   base::Metrics& metrics_;
   bool stopped_ = false;
--- a/src/request/passthrough/answer_admission.cc
+++ b/src/request/passthrough/answer_admission.cc
@@ -33,12 +33,13 @@
     return true;
   }
   Sizes& sizes = Learn(engine.entry.service, route, asked, now);
-  const double room = RoomFor(engine, sizes);
+  const double capacity = CapacityFor(engine, sizes);
   const bool large = IsLarge(sizes, asked);
   const double limit =
-      Favours(sizes, large) ? room : options_.shared_room * room;
+      Favours(sizes, large) ? capacity : options_.shared_capacity * capacity;
   // A full engine says so itself.
-  const bool admitted = room >= Slots(engine) || KnownLoad(engine, now) < limit;
+  const bool admitted =
+      capacity >= Slots(engine) || KnownLoad(engine, now) < limit;
   Share& share = large ? sizes.large : sizes.small;
   share.seen = options_.share_memory * share.seen + 1;
   share.admitted = options_.share_memory * share.admitted + (admitted ? 1 : 0);
@@ -82,18 +83,18 @@
   return large == large_behind;
 }
 
-double AnswerAdmission::Room(const Engine& engine, base::Time now) const {
-  double room = Slots(engine);
+double AnswerAdmission::Capacity(const Engine& engine, base::Time now) const {
+  double capacity = Slots(engine);
   const auto service = routes_.find(engine.entry.service);
   if (service == routes_.end()) {
-    return room;
+    return capacity;
   }
   for (const auto& [route, sizes] : service->second) {
     if (now - sizes.last_at <= options_.route_memory) {
-      room = std::min(room, RoomFor(engine, sizes));
+      capacity = std::min(capacity, CapacityFor(engine, sizes));
     }
   }
-  return room;
+  return capacity;
 }
 
 std::int64_t AnswerAdmission::LargeTokens(const Sizes& sizes) const noexcept {
@@ -106,8 +107,8 @@
   return sizes.most_tokens > 0 ? std::min(large, sizes.most_tokens) : large;
 }
 
-double AnswerAdmission::RoomFor(const Engine& engine,
-                                const Sizes& sizes) const {
+double AnswerAdmission::CapacityFor(const Engine& engine,
+                                    const Sizes& sizes) const {
   if (sizes.timeout <= base::Duration::zero()) {
     return Slots(engine);
   }
@@ -115,16 +116,16 @@
       options_.part_of_timeout * sizes.timeout);
   const std::int64_t large = LargeTokens(sizes);
   const auto most = times_.MostRequests(engine, large, within);
-  return most ? *most : PriorRoom(engine, large, within);
+  return most ? *most : DefaultCapacity(engine, large, within);
 }
 
-double AnswerAdmission::PriorRoom(const Engine& engine,
-                                  std::int64_t tokens,
-                                  base::Duration within) const noexcept {
+double AnswerAdmission::DefaultCapacity(const Engine& engine,
+                                        std::int64_t tokens,
+                                        base::Duration within) const noexcept {
   const double answer_ms =
       options_.prior_ms_per_token * static_cast<double>(tokens);
   const bool in_time = answer_ms <= base::ToFineMillis(within);
-  return (in_time ? 1 : options_.prior_room) * Slots(engine);
+  return (in_time ? 1 : options_.default_capacity) * Slots(engine);
 }
 
 }  // namespace lynxglade::request::passthrough
--- a/src/request/passthrough/answer_admission.h
+++ b/src/request/passthrough/answer_admission.h
@@ -29,7 +29,7 @@
   // milliseconds; and where a large answer would not end in time, an engine has
   // room for this part of its slots.
   double prior_ms_per_token = 2;
-  double prior_room = 0.6;
+  double default_capacity = 0.6;
   // A large answer is this many standard deviations of the logarithm of its
   // route's sizes above their mean: one in forty of a normal distribution is
   // larger.
@@ -42,7 +42,7 @@
   double larger_deviations = 0.5;
   // The part of an engine's room that those may take which are ahead of their
   // share.
-  double shared_room = 0.92;
+  double shared_capacity = 0.92;
   // What a request counts for in the shares after the next one.
   double share_memory = 0.95;
   // Requests of a route before their sizes are trusted; until then a large
@@ -81,7 +81,7 @@
 
   // Requests that the engine is to have at most for the sake of all routes that
   // were asked for lately.
-  double Room(const Engine& engine, base::Time now) const;
+  double Capacity(const Engine& engine, base::Time now) const;
 
  private:
   // Requests of late, and those of them that were admitted.
@@ -112,10 +112,10 @@
   // Whether the larger or the smaller ones may take the last of the room.
   bool Favours(const Sizes& sizes, bool large) const noexcept;
   std::int64_t LargeTokens(const Sizes& sizes) const noexcept;
-  double RoomFor(const Engine& engine, const Sizes& sizes) const;
-  double PriorRoom(const Engine& engine,
-                   std::int64_t tokens,
-                   base::Duration within) const noexcept;
+  double CapacityFor(const Engine& engine, const Sizes& sizes) const;
+  double DefaultCapacity(const Engine& engine,
+                         std::int64_t tokens,
+                         base::Duration within) const noexcept;
 
   const GenerationTimes& times_;
   const AnswerAdmissionOptions options_;
--- a/src/request/passthrough/engine_picker.cc
+++ b/src/request/passthrough/engine_picker.cc
@@ -30,14 +30,14 @@
                            PeerTokens peer_tokens,
                            ZoneCutOff cut_off,
                            PeersAvoid peers_avoid,
-                           EngineRoom room)
+                           EngineCapacity capacity)
     : options_(std::move(options)),
       prefill_times_(prefill_times),
       random_(std::move(random)),
       peer_tokens_(std::move(peer_tokens)),
       cut_off_(std::move(cut_off)),
       peers_avoid_(std::move(peers_avoid)),
-      room_(std::move(room)) {}
+      capacity_(std::move(capacity)) {}
 
 EnginePick EnginePicker::Pick(const std::vector<EngineHandle>& engines,
                               const EnginePickQuery& query) const {
@@ -215,7 +215,7 @@
   double best_load = std::numeric_limits<double>::infinity();
   for (const EngineHandle& engine : usable) {
     const double load = (KnownLoad(*engine, now) + base::UniformReal(random_)) /
-                            Room(*engine, now) +
+                            Capacity(*engine, now) +
                         ZoneMs(*engine) / 100;
     if (load < best_load) {
       best_load = load;
@@ -278,15 +278,15 @@
   return FromFineMillis(options_.running_ms * base::UniformReal(random_));
 }
 
-double EnginePicker::Room(const Engine& engine, base::Time now) const {
+double EnginePicker::Capacity(const Engine& engine, base::Time now) const {
   const double slots = std::max(engine.entry.slots, 1);
-  return room_ ? std::clamp(room_(engine, now), 1.0, slots) : slots;
+  return capacity_ ? std::clamp(capacity_(engine, now), 1.0, slots) : slots;
 }
 
 double EnginePicker::RunningMs(const Engine& engine, base::Time now) const {
-  const double crowding =
-      IsPrefill(engine) ? 1
-                        : std::max(engine.entry.slots, 1) / Room(engine, now);
+  const double crowding = IsPrefill(engine) ? 1
+                                            : std::max(engine.entry.slots, 1) /
+                                                  Capacity(engine, now);
   return options_.running_ms * KnownLoad(engine, now) * crowding;
 }
 
--- a/src/request/passthrough/engine_picker.h
+++ b/src/request/passthrough/engine_picker.h
@@ -118,7 +118,7 @@
                PeerTokens peer_tokens = {},
                ZoneCutOff cut_off = {},
                PeersAvoid peers_avoid = {},
-               EngineRoom room = {});
+               EngineCapacity capacity = {});
   EnginePicker(const EnginePicker&) = delete;
   EnginePicker& operator=(const EnginePicker&) = delete;
 
@@ -175,7 +175,7 @@
   // How many times as long reading takes at an engine of that stage.
   double StageFactor(const Engine& engine) const noexcept;
   double ZoneMs(const Engine& engine) const noexcept;
-  double Room(const Engine& engine, base::Time now) const;
+  double Capacity(const Engine& engine, base::Time now) const;
   // What the requests at an engine cost the next one. As much as if the part of
   // the room that they take were the part of the slots, so that slower engines
   // get fewer.
@@ -191,7 +191,7 @@
   const PeerTokens peer_tokens_;
   const ZoneCutOff cut_off_;
   const PeersAvoid peers_avoid_;
-  const EngineRoom room_;
+  const EngineCapacity capacity_;
 };
 
 }  // namespace lynxglade::request::passthrough
--- a/src/request/passthrough/engine_table.h
+++ b/src/request/passthrough/engine_table.h
@@ -112,7 +112,8 @@
 
 // Requests that an engine is to have at most; a hook of those who spread work
 // over engines.
-using EngineRoom = std::function<double(const Engine& engine, base::Time now)>;
+using EngineCapacity =
+    std::function<double(const Engine& engine, base::Time now)>;
 
 // Not thread-safe: lives on the event loop.
 class EngineTable {
--- a/tests/request/passthrough/answer_admission_test.cc
+++ b/tests/request/passthrough/answer_admission_test.cc
@@ -190,9 +190,9 @@
 // 8,946 tokens in 0.9 of 15 s are 1.51 ms a token: 30 requests.
 TEST(AnswerAdmission, TheRoomIsThatOfTheStrictestRouteOfLate) {
   KnownPace known;
-  EXPECT_NEAR(known.answers.Room(known.engine, kNow), 30, 1);
+  EXPECT_NEAR(known.answers.Capacity(known.engine, kNow), 30, 1);
   known.answers.Admit(known.engine, "verdicts", kVerdict, kNow + seconds(30));
-  EXPECT_EQ(known.answers.Room(known.engine, kNow + seconds(30)), 64);
+  EXPECT_EQ(known.answers.Capacity(known.engine, kNow + seconds(30)), 64);
 }
 
 // Guards against: an instance that has just started fills engines up to their
@@ -215,7 +215,7 @@
   Engine engine = MakeEngine(64);
   engine.in_flight = 63;
   EXPECT_TRUE(answers.Admit(engine, "verdicts", kVerdict, kNow));
-  EXPECT_EQ(answers.Room(engine, kNow), 64);
+  EXPECT_EQ(answers.Capacity(engine, kNow), 64);
 }
 
 // Guards against: short answers taking all the room, so that fewer than half as
@@ -260,7 +260,7 @@
                         kNow);
   }
   // 3,200 tokens at most.
-  EXPECT_EQ(known.answers.Room(known.engine, kNow), 64);
+  EXPECT_EQ(known.answers.Capacity(known.engine, kNow), 64);
 }
 
 }  // namespace
