--- a/src/request/passthrough/answer_admission.cc
+++ b/src/request/passthrough/answer_admission.cc
@@ -29,7 +29,7 @@
                             const std::string& route,
                             const AskedAnswer& asked,
                             base::Time now) {
-  if (asked.expected_tokens <= 0 && asked.most_tokens <= 0) {
+  if (asked.expected_tokens <= 0 && asked.max_tokens <= 0) {
     return true;
   }
   Sizes& sizes = Learn(engine.entry.service, route, asked, now);
@@ -57,7 +57,7 @@
     });
   }
   Sizes& sizes = routes[route];
-  sizes.most_tokens = asked.most_tokens;
+  sizes.max_tokens = asked.max_tokens;
   sizes.timeout = asked.timeout;
   sizes.last_at = now;
   if (asked.expected_tokens > 0) {
@@ -98,13 +98,13 @@
 }
 
 std::int64_t AnswerAdmission::LargeTokens(const Sizes& sizes) const noexcept {
-  if (sizes.requests < options_.least_requests && sizes.most_tokens > 0) {
-    return sizes.most_tokens;
+  if (sizes.requests < options_.least_requests && sizes.max_tokens > 0) {
+    return sizes.max_tokens;
   }
   const double log_tokens = sizes.mean_log + options_.large_deviations *
                                                  std::sqrt(sizes.variance_log);
   const std::int64_t large = std::llround(std::exp(log_tokens));
-  return sizes.most_tokens > 0 ? std::min(large, sizes.most_tokens) : large;
+  return sizes.max_tokens > 0 ? std::min(large, sizes.max_tokens) : large;
 }
 
 double AnswerAdmission::CapacityFor(const Engine& engine,
--- a/src/request/passthrough/answer_admission.h
+++ b/src/request/passthrough/answer_admission.h
@@ -59,7 +59,7 @@
 struct AskedAnswer {
   // Tokens; 0 for what the caller does not say.
   std::int64_t expected_tokens = 0;
-  std::int64_t most_tokens = 0;
+  std::int64_t max_tokens = 0;
   // Its route's; the engine stops then.
   base::Duration timeout{};
 };
@@ -96,7 +96,7 @@
     double requests = 0;
     double mean_log = 0;
     double variance_log = 0;
-    std::int64_t most_tokens = 0;
+    std::int64_t max_tokens = 0;
     base::Duration timeout{};
     base::Time last_at{};
     Share large;
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -118,7 +118,7 @@
   terms.target = pick.reader;
   terms.time_left = TimeLeft();
   terms.priority = Priority();
-  terms.read_only = true;
+  terms.prefill_only = true;
   terms.fetch_from = pick.fetch_from;
   NoteTry(*pick.reader);
   const int entry_changes = pick.reader->entry_changes;
@@ -129,15 +129,16 @@
   NoteReach(*pick.reader, exchange);
   bool rejected = false;
   if (state == ExchangeState::kHead || state == ExchangeState::kWhole) {
-    const AnswerFacts facts = parts_.protocol.read_answer(exchange.head());
+    const AnswerInfo facts = parts_.protocol.parse_answer(exchange.head());
     NoteLoad(*pick.reader, facts);
-    if (facts.other_target) {
+    if (facts.misdirected) {
       NoteMisdirected(*pick.reader, entry_changes, parts_.clock());
     }
     const std::string body = co_await exchange.Rest(kMaxSideAnswerBytes);
     const bool good = exchange.state() == ExchangeState::kWhole &&
                       exchange.head().result() == http::status::ok;
-    const auto handle = good ? parts_.protocol.read_handle(body) : std::nullopt;
+    const auto handle =
+        good ? parts_.protocol.parse_handle(body) : std::nullopt;
     if (handle) {
       source_ = KvSource{pick.reader, *handle};
     }
@@ -240,9 +241,9 @@
 Awaitable<AttemptEnd> RelayRun::TakeAnswer(Exchange& exchange,
                                            const EngineHandle& target,
                                            int entry_changes) {
-  const AnswerFacts facts = parts_.protocol.read_answer(exchange.head());
+  const AnswerInfo facts = parts_.protocol.parse_answer(exchange.head());
   NoteLoad(*target, facts);
-  if (facts.other_target) {
+  if (facts.misdirected) {
     NoteMisdirected(*target, entry_changes, parts_.clock());
   }
   const unsigned status = exchange.head().result_int();
@@ -252,10 +253,10 @@
     co_return Stopped() ? AttemptEnd::kStopped : AttemptEnd::kNotRun;
   }
   ++runs_;
-  if (facts.proved) {
+  if (facts.authenticated) {
     target->health.OnAccepted();
   }
-  if (status < kFirstFailure && !facts.proved) {
+  if (status < kFirstFailure && !facts.authenticated) {
     exchange.Cancel();
     co_return EndOfBroken(exchange, target);
   }
@@ -397,16 +398,16 @@
   }
 }
 
-void RelayRun::NoteRejection(Engine& runner, const AnswerFacts& facts) {
+void RelayRun::NoteRejection(Engine& runner, const AnswerInfo& facts) {
   ++rejections_;
-  if (facts.other_target) {
+  if (facts.misdirected) {
     runner.health.OnFailure(parts_.clock());
   } else if (!IsFull(runner)) {
     runner.health.OnRejection(source_.has_value(), parts_.clock());
   }
 }
 
-void RelayRun::NoteLoad(Engine& engine, const AnswerFacts& facts) {
+void RelayRun::NoteLoad(Engine& engine, const AnswerInfo& facts) {
   if (facts.load) {
     engine.reported = *facts.load;
     engine.reported_at = parts_.clock();
@@ -416,7 +417,7 @@
 OutgoingRequest RelayRun::Message(const SendTerms& terms) const {
   connection::event::RequestHead head = request_->head;
   connection::event::EraseHopHeaders(head);
-  parts_.protocol.address(head, terms);
+  parts_.protocol.rewrite_head(head, terms);
   OutgoingRequest message(std::move(head), request_->body);
   message.version(kHttp11);
   message.keep_alive(true);
--- a/src/request/passthrough/relay_report.cc
+++ b/src/request/passthrough/relay_report.cc
@@ -196,7 +196,7 @@
        {"by", ended_by_},
        {"prompt_tokens", terms_.prompt.TotalTokens()},
        {"expected_tokens", terms_.expected_tokens},
-       {"most_tokens", terms_.most_tokens},
+       {"most_tokens", terms_.max_tokens},
        {"events", events_.events()},
        {"first_bytes_ms", MillisOrNone(first_bytes_at_)},
        {"status", status_},
--- a/src/request/passthrough/relay_run.cc
+++ b/src/request/passthrough/relay_run.cc
@@ -77,13 +77,13 @@
     return EndReason::kNoRoute;
   }
   std::string reason;
-  auto terms = parts_.protocol.read_terms(head, &reason);
+  auto terms = parts_.protocol.parse_terms(head, &reason);
   if (!terms) {
     Log(LogLevel::kWarning, "request_malformed", {{"reason", reason}});
     return EndReason::kMalformedTerms;
   }
   terms_ = std::move(*terms);
-  SetDeadline(terms_.patience);
+  SetDeadline(terms_.timeout);
   const base::ServiceName* service =
       RouteTable::PickService(*route_, base::Hash64(terms_.request_id));
   if (!service) {
@@ -172,7 +172,7 @@
     return EndReason::kHopeless;
   }
   const AskedAnswer asked{.expected_tokens = terms_.expected_tokens,
-                          .most_tokens = terms_.most_tokens,
+                          .max_tokens = terms_.max_tokens,
                           .timeout = route_->timeout};
   if (!parts_.answers.Admit(*pick.runner, route_->name, asked,
                             parts_.clock())) {
--- a/src/request/passthrough/relay_run.h
+++ b/src/request/passthrough/relay_run.h
@@ -134,8 +134,8 @@
   // How far it got there.
   void NoteReach(const Engine& engine, const Exchange& exchange);
   // `runner` did not run the request.
-  void NoteRejection(Engine& runner, const AnswerFacts& facts);
-  void NoteLoad(Engine& engine, const AnswerFacts& facts);
+  void NoteRejection(Engine& runner, const AnswerInfo& facts);
+  void NoteLoad(Engine& engine, const AnswerInfo& facts);
   connection::event::OutgoingRequest Message(const SendTerms& terms) const;
   connection::event::AnswerFilter AnswerFilter() const;
   base::Duration Elapsed() const;
@@ -158,7 +158,7 @@
   std::shared_ptr<const RouteTable> table_;
   const Route* route_ = nullptr;
   base::ServiceName service_;
-  CallTerms terms_;
+  RequestTerms terms_;
   base::Time deadline_{};
   bool expired_ = false;
   // It will miss its goal, and gives way to those that can be in time.
--- a/src/request/passthrough/target_protocol.h
+++ b/src/request/passthrough/target_protocol.h
@@ -21,17 +21,17 @@
 namespace lynxglade::request::passthrough {
 
 // The terms in a caller's head.
-struct CallTerms {
+struct RequestTerms {
   // The caller's name for this request; a repeat by the caller has a new one.
   std::string request_id;
   // How long the caller will wait from now, if it says so.
-  std::optional<base::Duration> patience;
+  std::optional<base::Duration> timeout;
   Prompt prompt;
   // Output tokens that the caller expects, right at the median and often far
   // off; 0 if it does not say.
   std::int64_t expected_tokens = 0;
   // Output tokens that the caller takes at most; 0 if it does not say.
-  std::int64_t most_tokens = 0;
+  std::int64_t max_tokens = 0;
   // The caller goes on after this event of a broken stream; empty: from the
   // start.
   std::string last_event_id;
@@ -51,7 +51,7 @@
   // 0 is the most urgent.
   int priority = 0;
   // Only the prompt is read; the KV cache waits for another engine.
-  bool read_only = false;
+  bool prefill_only = false;
   std::optional<KvSource> source;
   // Fetch what is cached there of the prompt's parts first; null: nothing.
   EngineHandle fetch_from;
@@ -60,35 +60,36 @@
 };
 
 // What the head of a target's answer says.
-struct AnswerFacts {
+struct AnswerInfo {
   // kNotRun if the target says that it did not run the request.
   base::Outcome outcome = base::Outcome::kRan;
   // Another target has this address.
-  bool other_target = false;
+  bool misdirected = false;
   // It carries the target's proof of origin, and the body is as the target
   // made it.
-  bool proved = false;
+  bool authenticated = false;
   std::optional<ReportedLoad> load;
 };
 
 struct TargetProtocol {
   // Nothing, with a reason, if a head's terms cannot be read.
-  std::function<std::optional<CallTerms>(const connection::event::RequestHead&,
-                                         std::string* reason)>
-      read_terms;
+  std::function<std::optional<RequestTerms>(
+      const connection::event::RequestHead&,
+      std::string* reason)>
+      parse_terms;
   // Turns a copy of the caller's head into the target's: takes out what is
   // the system's to set, and sets it.
   std::function<void(connection::event::RequestHead&, const SendTerms&)>
-      address;
-  std::function<AnswerFacts(const connection::event::ResponseHead&)>
-      read_answer;
+      rewrite_head;
+  std::function<AnswerInfo(const connection::event::ResponseHead&)>
+      parse_answer;
   // Whether an answer belongs to the request with that id.
   std::function<bool(const connection::event::ResponseHead&,
                      std::string_view request_id,
                      bool fresh_connection)>
       is_answer_to;
   // The handle in the body of an answer to a read-only request.
-  std::function<std::optional<std::string>(std::string_view body)> read_handle;
+  std::function<std::optional<std::string>(std::string_view body)> parse_handle;
   // The request that frees KV cache that nobody will fetch.
   std::function<connection::event::OutgoingRequest(const KvSource&)>
       free_handle;
--- a/tests/request/passthrough/answer_admission_test.cc
+++ b/tests/request/passthrough/answer_admission_test.cc
@@ -43,7 +43,7 @@
   void Arrive() {
     const double tokens = 300 * std::exp(3.4 * base::UniformReal(random_));
     const AskedAnswer asked{.expected_tokens = std::llround(tokens),
-                            .most_tokens = 9'000,
+                            .max_tokens = 9'000,
                             .timeout = seconds(15)};
     const bool refused =
         (bounded_ && !admission_.Admit(engine_, kRoute, asked, kNow)) ||
@@ -132,10 +132,10 @@
 
 // Drafts of up to 9,000 tokens in 15 s, and verdicts of up to 250 in 2 s.
 const AskedAnswer kDraft{.expected_tokens = 2'600,
-                         .most_tokens = 8'946,
+                         .max_tokens = 8'946,
                          .timeout = seconds(15)};
 const AskedAnswer kVerdict{.expected_tokens = 60,
-                           .most_tokens = 252,
+                           .max_tokens = 252,
                            .timeout = seconds(2)};
 
 // What an instance knows once it has seen a few answers of 42 tokens an event,
@@ -235,7 +235,7 @@
     ++seen[large];
     if (known.answers.Admit(known.engine, "drafts",
                             {.expected_tokens = std::llround(tokens),
-                             .most_tokens = 9'000,
+                             .max_tokens = 9'000,
                              .timeout = seconds(15)},
                             kNow)) {
       ++admitted[large];
@@ -255,7 +255,7 @@
   for (int i = 0; i < 200; ++i) {
     known.answers.Admit(known.engine, "drafts",
                         {.expected_tokens = i % 2 == 0 ? 2'000 : 3'000,
-                         .most_tokens = 1'000'000,
+                         .max_tokens = 1'000'000,
                          .timeout = seconds(15)},
                         kNow);
   }
--- a/tests/request/passthrough/long_answers_test.cc
+++ b/tests/request/passthrough/long_answers_test.cc
@@ -40,7 +40,7 @@
   bool Admits(const Engine& engine, const Answer& answer, base::Time now) {
     return answers_.Admit(engine, kRoute,
                           {.expected_tokens = answer.expected_tokens,
-                           .most_tokens = kMostTokens,
+                           .max_tokens = kMostTokens,
                            .timeout = kTimeout},
                           now);
   }
