--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -154,7 +154,7 @@
             return peer_reads.PrefillTokens(engine.entry.id, priority, now);
           },
           [this](const base::ZoneId& zone, base::Time now) {
-            return zones.CutOff(zone, now);
+            return zones.IsUnreachable(zone, now);
           },
           [this](const request::passthrough::Engine& engine, base::Time now) {
             return peer_avoidance.Avoided(engine.entry.id, now);
--- a/src/request/passthrough/engine_picker.h
+++ b/src/request/passthrough/engine_picker.h
@@ -101,11 +101,12 @@
     std::int64_t(const Engine& engine, int priority, base::Time now)>;
 
 // Whether no target of a zone can be reached.
-using ZoneCutOff =
+using ZoneUnreachable =
     std::function<bool(const base::ZoneId& zone, base::Time now)>;
 
 // Whether other instances have found that a target fails.
-using PeersAvoid = std::function<bool(const Engine& engine, base::Time now)>;
+using PeersAvoidEngine =
+    std::function<bool(const Engine& engine, base::Time now)>;
 
 // Not thread-safe: lives on the event loop.
 class EnginePicker {
@@ -116,8 +117,8 @@
                const PrefillTimes& prefill_times,
                base::RandomSource random,
                PeerTokens peer_tokens = {},
-               ZoneCutOff cut_off = {},
-               PeersAvoid peers_avoid = {},
+               ZoneUnreachable cut_off = {},
+               PeersAvoidEngine peers_avoid = {},
                EngineCapacity capacity = {});
   EnginePicker(const EnginePicker&) = delete;
   EnginePicker& operator=(const EnginePicker&) = delete;
@@ -189,8 +190,8 @@
   const PrefillTimes& prefill_times_;
   const base::RandomSource random_;
   const PeerTokens peer_tokens_;
-  const ZoneCutOff cut_off_;
-  const PeersAvoid peers_avoid_;
+  const ZoneUnreachable cut_off_;
+  const PeersAvoidEngine peers_avoid_;
   const EngineCapacity capacity_;
 };
 
--- a/src/request/passthrough/engine_table.cc
+++ b/src/request/passthrough/engine_table.cc
@@ -17,7 +17,7 @@
   return "plain";
 }
 
-void NoteMisdirected(Engine& engine,
+void MarkMisdirected(Engine& engine,
                      int entry_changes,
                      base::Time now) noexcept {
   // Longer than an instance is cut off from the store as a rule; one request in
@@ -52,7 +52,7 @@
   Index();
 }
 
-void EngineTable::Refuse(const base::TargetId& id) {
+void EngineTable::RemoveInvalid(const base::TargetId& id) {
   missing_.erase(id);
   Drop(id);
   Index();
@@ -85,9 +85,9 @@
   }
   if (!engine) {
     engine = std::make_shared<Engine>();
-    engine->staged_at = joined;
+    engine->stage_since = joined;
   } else if (engine->entry.stage != entry.stage) {
-    engine->staged_at = joined;
+    engine->stage_since = joined;
   }
   if (engine->entry != entry) {
     engine->entry = entry;
--- a/src/request/passthrough/engine_table.h
+++ b/src/request/passthrough/engine_table.h
@@ -71,7 +71,7 @@
   EngineEntry entry;
   // When it joined or last changed its stage, as seen here; long ago for what
   // was there when this instance began.
-  base::Time staged_at{};
+  base::Time stage_since{};
   // Requests of this instance at the target.
   int in_flight = 0;
   // By priority, 0 first: an engine reads the prompts of a more urgent request
@@ -99,7 +99,7 @@
 // address is now, each further request would count against its service's
 // retries: where addresses were reused in a zone without the store, 315
 // arrivals of another service came in ten seconds.
-void NoteMisdirected(Engine& engine,
+void MarkMisdirected(Engine& engine,
                      int entry_changes,
                      base::Time now) noexcept;
 
@@ -132,7 +132,7 @@
   void Remove(const base::TargetId& id, base::Time now);
   // What lies under the target's key names no target to use. No grace: the key
   // is there, and its target would have written something else.
-  void Refuse(const base::TargetId& id);
+  void RemoveInvalid(const base::TargetId& id);
   // The store's whole list; what is not in it is treated as by Remove().
   void Replace(const std::vector<EngineEntry>& entries, base::Time now);
   // The store answers again after a failure.
--- a/src/request/passthrough/prefix_placement.cc
+++ b/src/request/passthrough/prefix_placement.cc
@@ -37,7 +37,7 @@
   std::vector<EngineHandle> settled;
   std::ranges::copy_if(
       engines, std::back_inserter(settled), [&](const EngineHandle& it) {
-        return it->entry.stage == stage && it->staged_at + settling <= now &&
+        return it->entry.stage == stage && it->stage_since + settling <= now &&
                !it->health.Avoided(now);
       });
   places.holder = Highest(settled, *shared);
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -132,7 +132,7 @@
     const AnswerInfo facts = parts_.protocol.parse_answer(exchange.head());
     NoteLoad(*pick.reader, facts);
     if (facts.misdirected) {
-      NoteMisdirected(*pick.reader, entry_changes, parts_.clock());
+      MarkMisdirected(*pick.reader, entry_changes, parts_.clock());
     }
     const std::string body = co_await exchange.Rest(kMaxSideAnswerBytes);
     const bool good = exchange.state() == ExchangeState::kWhole &&
@@ -244,7 +244,7 @@
   const AnswerInfo facts = parts_.protocol.parse_answer(exchange.head());
   NoteLoad(*target, facts);
   if (facts.misdirected) {
-    NoteMisdirected(*target, entry_changes, parts_.clock());
+    MarkMisdirected(*target, entry_changes, parts_.clock());
   }
   const unsigned status = exchange.head().result_int();
   if (facts.outcome == base::Outcome::kNotRun) {
--- a/src/request/passthrough/zone_health.cc
+++ b/src/request/passthrough/zone_health.cc
@@ -27,7 +27,7 @@
   }
 }
 
-bool ZoneHealth::CutOff(const base::ZoneId& zone, base::Time now) const {
+bool ZoneHealth::IsUnreachable(const base::ZoneId& zone, base::Time now) const {
   const auto it = zones_.find(zone);
   return it != zones_.end() && Doubted(it->second) && now < it->second.next_try;
 }
--- a/src/request/passthrough/zone_health.h
+++ b/src/request/passthrough/zone_health.h
@@ -43,7 +43,7 @@
   void OnTry(const base::ZoneId& zone, base::Time now);
 
   // Whether targets of other zones are to be preferred.
-  bool CutOff(const base::ZoneId& zone, base::Time now) const;
+  bool IsUnreachable(const base::ZoneId& zone, base::Time now) const;
 
  private:
   struct Zone {
--- a/tests/request/passthrough/engine_table_test.cc
+++ b/tests/request/passthrough/engine_table_test.cc
@@ -75,7 +75,7 @@
   EXPECT_TRUE(after->reads.empty());
   EXPECT_EQ(after->reported.running, 0);
   EXPECT_FALSE(after->health.Avoided(kNow));
-  EXPECT_EQ(after->staged_at, kNow);
+  EXPECT_EQ(after->stage_since, kNow);
   // Requests in flight hold the life that they were sent to.
   EXPECT_TRUE(before->entry.draining);
   EXPECT_EQ(before->in_flight, 3);
@@ -99,7 +99,7 @@
   EngineTable table(kGrace);
   table.Put(Entry("a"), kNow);
   const EngineHandle engine = table.Find(base::TargetId("a"));
-  NoteMisdirected(*engine, engine->entry_changes, kNow);
+  MarkMisdirected(*engine, engine->entry_changes, kNow);
   EXPECT_GT(engine->misdirected_until, kNow);
   // The list is read again and says the same.
   table.Replace({Entry("a")}, kNow);
@@ -110,7 +110,7 @@
   table.Put(moved, kNow);
   EXPECT_LE(engine->misdirected_until, kNow);
   // An answer to what was sent before the change says nothing.
-  NoteMisdirected(*engine, before, kNow);
+  MarkMisdirected(*engine, before, kNow);
   EXPECT_LE(engine->misdirected_until, kNow);
 }
 
@@ -131,11 +131,11 @@
   table.Put(Entry("a"), kNow);
   table.Put(Entry("b"), kNow);
   table.OnStoreReturned(kNow);
-  table.Refuse(base::TargetId("a"));
+  table.RemoveInvalid(base::TargetId("a"));
   EXPECT_EQ(table.Find(base::TargetId("a")), nullptr);
   ASSERT_EQ(table.OfService(kService).size(), 1U);
   EXPECT_EQ(table.OfService(kService)[0]->entry.id.str(), "b");
-  table.Refuse(base::TargetId("unknown"));
+  table.RemoveInvalid(base::TargetId("unknown"));
   EXPECT_EQ(table.size(), 1U);
 }
 
--- a/tests/request/passthrough/prefix_placement_test.cc
+++ b/tests/request/passthrough/prefix_placement_test.cc
@@ -72,10 +72,10 @@
     const EngineHandle before = Find(engines, album).home;
     auto joined = engines;
     joined.push_back(MakeEngine(9));
-    joined.back()->staged_at = kNow - seconds(1);
+    joined.back()->stage_since = kNow - seconds(1);
     const PrefixPlacement places = Find(joined, album);
     EXPECT_EQ(places.holder, before);
-    joined.back()->staged_at = kNow - kSettling;
+    joined.back()->stage_since = kNow - kSettling;
     EXPECT_EQ(Find(joined, album).holder, Find(joined, album).home);
   }
 }
@@ -107,7 +107,7 @@
   for (const EngineHandle& engine : engines) {
     engine->entry.draining = *rc::gen::inRange(0, 4) == 0;
     if (*rc::gen::inRange(0, 4) == 0) {
-      engine->staged_at = kNow - seconds(1);
+      engine->stage_since = kNow - seconds(1);
     }
     if (*rc::gen::inRange(0, 6) == 0) {
       engine->health.OnFailure(kNow);
@@ -121,7 +121,7 @@
   if (places.home) {
     RC_ASSERT(std::ranges::count(usable, places.home) == 1);
     RC_ASSERT((places.holder == places.home ||
-               places.holder->staged_at == base::Time()));
+               places.holder->stage_since == base::Time()));
   }
   std::ranges::reverse(engines);
   const PrefixPlacement other = Find(engines, album);
--- a/tests/request/passthrough/zone_health_test.cc
+++ b/tests/request/passthrough/zone_health_test.cc
@@ -18,7 +18,7 @@
 }
 
 // Three different targets of the zone fail.
-void CutOff(ZoneHealth& zones) {
+void IsUnreachable(ZoneHealth& zones) {
   for (int i = 0; i < 3; ++i) {
     zones.OnUnreachable(kZone, Target(i), kNow);
   }
@@ -31,10 +31,10 @@
   ZoneHealth zones;
   zones.OnUnreachable(kZone, Target(0), kNow);
   zones.OnUnreachable(kZone, Target(1), kNow);
-  EXPECT_FALSE(zones.CutOff(kZone, kNow));
+  EXPECT_FALSE(zones.IsUnreachable(kZone, kNow));
   zones.OnUnreachable(kZone, Target(2), kNow);
-  EXPECT_TRUE(zones.CutOff(kZone, kNow));
-  EXPECT_FALSE(zones.CutOff(base::ZoneId("b"), kNow));
+  EXPECT_TRUE(zones.IsUnreachable(kZone, kNow));
+  EXPECT_FALSE(zones.IsUnreachable(base::ZoneId("b"), kNow));
 }
 
 TEST(ZoneHealth, OneTargetSaysNothingOfTheOthers) {
@@ -42,16 +42,16 @@
   for (int i = 0; i < 10; ++i) {
     zones.OnUnreachable(kZone, Target(0), kNow);
   }
-  EXPECT_FALSE(zones.CutOff(kZone, kNow));
+  EXPECT_FALSE(zones.IsUnreachable(kZone, kNow));
 }
 
 TEST(ZoneHealth, ATargetThatAnswersEndsIt) {
   ZoneHealth zones;
-  CutOff(zones);
+  IsUnreachable(zones);
   zones.OnReached(kZone);
-  EXPECT_FALSE(zones.CutOff(kZone, kNow));
+  EXPECT_FALSE(zones.IsUnreachable(kZone, kNow));
   zones.OnUnreachable(kZone, Target(3), kNow);
-  EXPECT_FALSE(zones.CutOff(kZone, kNow));
+  EXPECT_FALSE(zones.IsUnreachable(kZone, kNow));
 }
 
 TEST(ZoneHealth, FailuresLongAgoDoNotCount) {
@@ -59,18 +59,18 @@
   zones.OnUnreachable(kZone, Target(0), kNow);
   zones.OnUnreachable(kZone, Target(1), kNow);
   zones.OnUnreachable(kZone, Target(2), kNow + milliseconds(2001));
-  EXPECT_FALSE(zones.CutOff(kZone, kNow + milliseconds(2001)));
+  EXPECT_FALSE(zones.IsUnreachable(kZone, kNow + milliseconds(2001)));
 }
 
 TEST(ZoneHealth, OneRequestAtATimeTriesTheZone) {
   ZoneHealth zones;
-  CutOff(zones);
+  IsUnreachable(zones);
   const base::Time later = kNow + milliseconds(500);
-  EXPECT_FALSE(zones.CutOff(kZone, later));
+  EXPECT_FALSE(zones.IsUnreachable(kZone, later));
   zones.OnTry(kZone, later);
-  EXPECT_TRUE(zones.CutOff(kZone, later));
-  EXPECT_TRUE(zones.CutOff(kZone, later + milliseconds(499)));
-  EXPECT_FALSE(zones.CutOff(kZone, later + milliseconds(500)));
+  EXPECT_TRUE(zones.IsUnreachable(kZone, later));
+  EXPECT_TRUE(zones.IsUnreachable(kZone, later + milliseconds(499)));
+  EXPECT_FALSE(zones.IsUnreachable(kZone, later + milliseconds(500)));
 }
 
 // Whatever happens, a zone is tried again within the time between tries.
@@ -83,7 +83,7 @@
     switch (*rc::gen::inRange(0, 6)) {
       case 0:
         zones.OnReached(kZone);
-        RC_ASSERT(!zones.CutOff(kZone, now));
+        RC_ASSERT(!zones.IsUnreachable(kZone, now));
         break;
       case 1:
         zones.OnTry(kZone, now);
@@ -92,7 +92,7 @@
         zones.OnUnreachable(kZone, Target(*rc::gen::inRange(0, 5)), now);
     }
   }
-  RC_ASSERT(!zones.CutOff(kZone, now + ZoneHealthOptions().try_every));
+  RC_ASSERT(!zones.IsUnreachable(kZone, now + ZoneHealthOptions().try_every));
 }
 
 }  // namespace
