--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -114,7 +114,7 @@
   request::passthrough::AnswerAdmission answers{generation_times};
   const request::passthrough::EngineCapacity room =
       [this](const request::passthrough::Engine& engine, base::Time now) {
-        return answers.Room(engine, now);
+        return answers.Capacity(engine, now);
       };
   request::passthrough::EnginePicker choice;
   request::passthrough::SharedRetryBudget allowance;
--- a/src/main/entry_views.cc
+++ b/src/main/entry_views.cc
@@ -88,7 +88,7 @@
   const auto entry = platform::ReadTargetEntry(item.key, item.value, &fault);
   if (!entry) {
     NoteRefused(item, fault);
-    engines_.Refuse(id);
+    engines_.RemoveInvalid(id);
     return;
   }
   refused_.erase(item.key);
@@ -123,8 +123,9 @@
     }
   }
   engines_.Replace(entries, clock_());
-  std::ranges::for_each(
-      unusable, [this](const base::TargetId& id) { engines_.Refuse(id); });
+  std::ranges::for_each(unusable, [this](const base::TargetId& id) {
+    engines_.RemoveInvalid(id);
+  });
   targets_listed_ = true;
   Log(LogLevel::kInfo, "targets_listed",
       {{"targets", entries.size()}, {"refused", unusable.size()}});
