--- a/src/request/passthrough/engine_picker.cc
+++ b/src/request/passthrough/engine_picker.cc
@@ -28,20 +28,20 @@
                            const PrefillTimes& prefill_times,
                            base::RandomSource random,
                            PeerTokens peer_tokens,
-                           ZoneUnreachable cut_off,
-                           PeersAvoidEngine peers_avoid,
+                           ZoneUnreachable zone_unreachable,
+                           PeersAvoidEngine peers_avoid_engine,
                            EngineCapacity capacity)
     : options_(std::move(options)),
       prefill_times_(prefill_times),
       random_(std::move(random)),
       peer_tokens_(std::move(peer_tokens)),
-      cut_off_(std::move(cut_off)),
-      peers_avoid_(std::move(peers_avoid)),
+      zone_unreachable_(std::move(zone_unreachable)),
+      peers_avoid_engine_(std::move(peers_avoid_engine)),
       capacity_(std::move(capacity)) {}
 
 EnginePick EnginePicker::Pick(const std::vector<EngineHandle>& engines,
                               const EnginePickQuery& query) const {
-  const std::vector<EngineHandle> usable = Usable(engines, query);
+  const std::vector<EngineHandle> usable = UsableEngines(engines, query);
   if (usable.empty()) {
     return {};
   }
@@ -53,38 +53,40 @@
 
 base::Duration EnginePicker::Backlog(const std::vector<EngineHandle>& engines,
                                      base::Time now) const {
-  int readers = 0;
+  int prefill_engines = 0;
   double ms = 0;
   for (const EngineHandle& engine : engines) {
     if (IsPrefill(*engine) && !engine->entry.draining) {
-      ++readers;
-      ms += static_cast<double>(CountReads(*engine, 0, now).total()) /
+      ++prefill_engines;
+      ms += static_cast<double>(CountPrefills(*engine, 0, now).total()) /
             prefill_times_.TokensPerMs(*engine);
     }
   }
-  return readers == 0 ? base::Duration::max() : FromFineMillis(ms / readers);
+  return prefill_engines == 0 ? base::Duration::max()
+                              : FromFineMillis(ms / prefill_engines);
 }
 
-bool EnginePicker::Disturbs(const EnginePick& pick) const noexcept {
-  return !pick.reader && pick.prefill_tokens > options_.most_read_at_decoder;
+bool EnginePicker::PrefillStallsDecode(const EnginePick& pick) const noexcept {
+  return !pick.prefill_engine &&
+         pick.prefill_tokens > options_.max_decode_prefill_tokens;
 }
 
 EngineHandle EnginePicker::PickDecoder(const std::vector<EngineHandle>& engines,
-                                       const Engine& reader,
+                                       const Engine& prefill_engine,
                                        const EnginePickQuery& query) const {
   std::vector<EngineHandle> near;
-  std::vector<EngineHandle> any;
-  for (const EngineHandle& engine : Usable(engines, query)) {
+  std::vector<EngineHandle> all;
+  for (const EngineHandle& engine : UsableEngines(engines, query)) {
     if (IsPrefill(*engine)) {
       continue;
     }
-    any.push_back(engine);
+    all.push_back(engine);
     // A move between availability zones takes twice as long.
-    if (engine->entry.zone == reader.entry.zone) {
+    if (engine->entry.zone == prefill_engine.entry.zone) {
       near.push_back(engine);
     }
   }
-  return LeastLoaded(near.empty() ? any : near, query.now);
+  return LeastLoaded(near.empty() ? all : near, query.now);
 }
 
 EnginePick EnginePicker::PickPlain(const std::vector<EngineHandle>& usable,
@@ -101,114 +103,116 @@
   std::vector<EngineHandle> decoders;
   std::ranges::copy_if(usable, std::back_inserter(decoders),
                        [](const EngineHandle& it) { return !IsPrefill(*it); });
-  const EngineHandle least = LeastLoaded(decoders, now);
-  if (!least) {
+  const EngineHandle least_loaded = LeastLoaded(decoders, now);
+  if (!least_loaded) {
     return {};
   }
-  const double least_ms = RunningMs(*least, now) + ZoneMs(*least);
-  std::vector<EngineHandle> readers;
-  std::ranges::copy_if(usable, std::back_inserter(readers),
+  const double least_loaded_ms =
+      LoadMs(*least_loaded, now) + CrossZoneMs(*least_loaded);
+  std::vector<EngineHandle> prefill_engines;
+  std::ranges::copy_if(usable, std::back_inserter(prefill_engines),
                        [](const EngineHandle& it) { return IsPrefill(*it); });
   const PrefixPlacement places =
-      FindPrefixPlacement(readers.empty() ? decoders : readers, engines,
-                          query.prompt, options_.settling, now);
-  if (!query.pairs) {
-    readers.clear();
+      FindPrefixPlacement(prefill_engines.empty() ? decoders : prefill_engines,
+                          engines, query.prompt, options_.settle_time, now);
+  if (!query.allow_separate_prefill) {
+    prefill_engines.clear();
   }
   EnginePick best;
   best.expected = base::Duration::max();
   for (const EngineHandle& engine : decoders) {
-    EnginePick pick =
-        Reading(engine, readers.empty() ? places : PrefixPlacement(), query);
-    pick.expected += AlikeSpread();
-    if (pick.expected < best.expected && (!Disturbs(pick) || readers.empty())) {
+    EnginePick pick = EstimatePrefill(
+        engine, prefill_engines.empty() ? places : PrefixPlacement(), query);
+    pick.expected += TieBreakJitter();
+    if (pick.expected < best.expected &&
+        (!PrefillStallsDecode(pick) || prefill_engines.empty())) {
       pick.runner = engine;
       best = pick;
     }
   }
-  for (const EngineHandle& engine : readers) {
-    EnginePick pick = Reading(engine, places, query);
+  for (const EngineHandle& engine : prefill_engines) {
+    EnginePick pick = EstimatePrefill(engine, places, query);
     pick.expected += FromFineMillis(
-        prefill_times_.HandoverMs(engine->entry.service) + least_ms);
+        prefill_times_.HandoverMs(engine->entry.service) + least_loaded_ms);
     if (pick.expected < best.expected) {
-      pick.runner = least;
-      pick.reader = engine;
+      pick.runner = least_loaded;
+      pick.prefill_engine = engine;
       best = pick;
     }
   }
   return best;
 }
 
-EnginePick EnginePicker::Reading(const EngineHandle& engine,
-                                 const PrefixPlacement& places,
-                                 const EnginePickQuery& query) const {
+EnginePick EnginePicker::EstimatePrefill(const EngineHandle& engine,
+                                         const PrefixPlacement& places,
+                                         const EnginePickQuery& query) const {
   const Prompt& prompt = query.prompt;
-  const ReadsAhead ahead = CountReads(*engine, query.priority, query.now);
+  const PrefillsAhead ahead = CountPrefills(*engine, query.priority, query.now);
   const double wait_ms = WaitMs(*engine, ahead, query.priority, query.now);
   EnginePick pick;
-  pick.alone = ahead.total() == 0;
+  pick.no_other_prefills = ahead.total() == 0;
   pick.prefill_tokens = places.home ? prompt.OwnTokens() : prompt.TotalTokens();
-  double read_ms = PrefillMs(*engine, pick.prefill_tokens);
+  double prefill_ms = PrefillMs(*engine, pick.prefill_tokens);
   if (places.holder && engine != places.holder) {
     pick.fetch_from = places.holder;
-    read_ms += prefill_times_.FetchMs(engine->entry.service);
+    prefill_ms += prefill_times_.FetchMs(engine->entry.service);
   }
   if (places.home && engine != places.home) {
     const std::int64_t shared = prompt.TotalTokens() - prompt.OwnTokens();
-    read_ms +=
-        std::max(options_.away_from_home * PrefillMs(*engine, shared),
-                 options_.away_ms_per_token * static_cast<double>(shared));
+    prefill_ms += std::max(
+        options_.remote_prefill_penalty * PrefillMs(*engine, shared),
+        options_.remote_prefill_ms_per_token * static_cast<double>(shared));
   }
-  pick.read_time = FromFineMillis(read_ms);
+  pick.prefill_time = FromFineMillis(prefill_ms);
   pick.wait = FromFineMillis(wait_ms);
-  pick.expected = FromFineMillis(wait_ms + read_ms + ZoneMs(*engine) +
-                                 RunningMs(*engine, query.now));
+  pick.expected = FromFineMillis(wait_ms + prefill_ms + CrossZoneMs(*engine) +
+                                 LoadMs(*engine, query.now));
   return pick;
 }
 
 // What waits behind this request does not count, but for the prompt that is
 // being read: its reading ends first.
 double EnginePicker::WaitMs(const Engine& engine,
-                            const ReadsAhead& ahead,
+                            const PrefillsAhead& ahead,
                             int priority,
                             base::Time now) const {
   double longest = 0;
-  for (const auto& [other, queue] : engine.reads) {
+  for (const auto& [other, queue] : engine.prefills) {
     if (other > priority) {
       break;
     }
     const double overdue =
         queue.due.empty() ? 0 : ToFineMillis(now - *queue.due.begin());
-    const double met = ToFineMillis(queue.waited) *
-                       std::exp(-ToFineMillis(now - queue.waited_at) /
-                                ToFineMillis(options_.wait_life));
+    const double met = ToFineMillis(queue.last_wait) *
+                       std::exp(-ToFineMillis(now - queue.last_wait_at) /
+                                ToFineMillis(options_.observed_wait_decay));
     longest = std::max({longest, overdue, met});
   }
-  const double begun =
+  const double current =
       std::min(static_cast<double>(ahead.less_urgent),
                prefill_times_.MeanRemainingTokens(engine.entry.service));
-  const double tokens = static_cast<double>(ahead.before) + begun;
+  const double tokens = static_cast<double>(ahead.before) + current;
   return std::max(longest, tokens / prefill_times_.TokensPerMs(engine) *
                                StageFactor(engine));
 }
 
-EnginePicker::ReadsAhead EnginePicker::CountReads(const Engine& engine,
-                                                  int priority,
-                                                  base::Time now) const {
-  ReadsAhead ahead;
+EnginePicker::PrefillsAhead EnginePicker::CountPrefills(const Engine& engine,
+                                                        int priority,
+                                                        base::Time now) const {
+  PrefillsAhead ahead;
   if (peer_tokens_) {
     constexpr int kAll = std::numeric_limits<int>::max();
     ahead.before = peer_tokens_(engine, priority, now);
     ahead.less_urgent = peer_tokens_(engine, kAll, now) - ahead.before;
   }
-  for (const auto& [other, queue] : engine.reads) {
+  for (const auto& [other, queue] : engine.prefills) {
     (other > priority ? ahead.less_urgent : ahead.before) +=
         queue.prefill_tokens;
   }
   return ahead;
 }
 
-// As in AlikeSpread(), in requests.
+// As in TieBreakJitter(), in requests.
 EngineHandle EnginePicker::LeastLoaded(const std::vector<EngineHandle>& usable,
                                        base::Time now) const {
   EngineHandle best;
@@ -216,7 +220,7 @@
   for (const EngineHandle& engine : usable) {
     const double load = (KnownLoad(*engine, now) + base::UniformReal(random_)) /
                             Capacity(*engine, now) +
-                        ZoneMs(*engine) / 100;
+                        CrossZoneMs(*engine) / 100;
     if (load < best_load) {
       best_load = load;
       best = engine;
@@ -227,40 +231,41 @@
 
 // Targets of zones that cannot be reached are left out while others remain, and
 // so are those that failed lately, here or at other instances.
-std::vector<EngineHandle> EnginePicker::Usable(
+std::vector<EngineHandle> EnginePicker::UsableEngines(
     const std::vector<EngineHandle>& engines,
     const EnginePickQuery& query) const {
   // An entry without a stage among engines that have one is not an engine's.
   const bool staged =
       !query.prompt.empty() && std::ranges::any_of(engines, IsStaged);
-  std::vector<EngineHandle> open;
+  std::vector<EngineHandle> available;
   std::ranges::copy_if(
-      engines, std::back_inserter(open), [&](const EngineHandle& it) {
+      engines, std::back_inserter(available), [&](const EngineHandle& it) {
         return !it->entry.draining && (!staged || IsStaged(it)) &&
                it->misdirected_until <= query.now &&
-               it->in_flight < query.most_in_flight &&
+               it->in_flight < query.max_in_flight &&
                std::ranges::find(query.tried, it->entry.id) ==
                    query.tried.end();
       });
-  std::vector<EngineHandle> sound;
-  std::ranges::copy_if(open, std::back_inserter(sound),
-                       [&](const EngineHandle& it) {
-                         return !it->health.Avoided(query.now) &&
-                                !(peers_avoid_ && peers_avoid_(*it, query.now));
-                       });
-  std::vector<EngineHandle> reached;
+  std::vector<EngineHandle> healthy;
   std::ranges::copy_if(
-      sound, std::back_inserter(reached), [&](const EngineHandle& it) {
-        return !cut_off_ || !cut_off_(it->entry.zone, query.now);
+      available, std::back_inserter(healthy), [&](const EngineHandle& it) {
+        return !it->health.Avoided(query.now) &&
+               !(peers_avoid_engine_ && peers_avoid_engine_(*it, query.now));
       });
+  std::vector<EngineHandle> reachable;
+  std::ranges::copy_if(healthy, std::back_inserter(reachable),
+                       [&](const EngineHandle& it) {
+                         return !zone_unreachable_ ||
+                                !zone_unreachable_(it->entry.zone, query.now);
+                       });
   const auto has_runner = [](const std::vector<EngineHandle>& some) {
     return std::ranges::any_of(
         some, [](const EngineHandle& it) { return !IsPrefill(*it); });
   };
-  if (has_runner(reached)) {
-    return reached;
+  if (has_runner(reachable)) {
+    return reachable;
   }
-  return has_runner(sound) ? sound : open;
+  return has_runner(healthy) ? healthy : available;
 }
 
 double EnginePicker::PrefillMs(const Engine& engine,
@@ -271,11 +276,11 @@
 }
 
 double EnginePicker::StageFactor(const Engine& engine) const noexcept {
-  return IsPrefill(engine) ? 1 : options_.decode_read_factor;
+  return IsPrefill(engine) ? 1 : options_.decode_prefill_factor;
 }
 
-base::Duration EnginePicker::AlikeSpread() const {
-  return FromFineMillis(options_.running_ms * base::UniformReal(random_));
+base::Duration EnginePicker::TieBreakJitter() const {
+  return FromFineMillis(options_.ms_per_request * base::UniformReal(random_));
 }
 
 double EnginePicker::Capacity(const Engine& engine, base::Time now) const {
@@ -283,15 +288,15 @@
   return capacity_ ? std::clamp(capacity_(engine, now), 1.0, slots) : slots;
 }
 
-double EnginePicker::RunningMs(const Engine& engine, base::Time now) const {
+double EnginePicker::LoadMs(const Engine& engine, base::Time now) const {
   const double crowding = IsPrefill(engine) ? 1
                                             : std::max(engine.entry.slots, 1) /
                                                   Capacity(engine, now);
-  return options_.running_ms * KnownLoad(engine, now) * crowding;
+  return options_.ms_per_request * KnownLoad(engine, now) * crowding;
 }
 
-double EnginePicker::ZoneMs(const Engine& engine) const noexcept {
-  return engine.entry.zone == options_.zone ? 0 : options_.other_zone_ms;
+double EnginePicker::CrossZoneMs(const Engine& engine) const noexcept {
+  return engine.entry.zone == options_.zone ? 0 : options_.cross_zone_ms;
 }
 
 }  // namespace lynxglade::request::passthrough
--- a/src/request/passthrough/engine_table.h
+++ b/src/request/passthrough/engine_table.h
@@ -61,8 +61,8 @@
   // When each read under way would end if nothing else were to be read first.
   std::multiset<base::Time> due;
   // How long the last read waited for others, and when it ended.
-  base::Duration waited{};
-  base::Time waited_at{};
+  base::Duration last_wait{};
+  base::Time last_wait_at{};
 };
 
 // One target with this instance's own sends. Handles are shared: a request in
@@ -76,7 +76,7 @@
   int in_flight = 0;
   // By priority, 0 first: an engine reads the prompts of a more urgent request
   // before those of others.
-  std::map<int, PrefillQueue> reads;
+  std::map<int, PrefillQueue> prefills;
   // The newest report, and how many requests were sent since.
   ReportedLoad reported;
   base::Time reported_at{};
--- a/src/request/passthrough/in_flight_request.h
+++ b/src/request/passthrough/in_flight_request.h
@@ -15,26 +15,26 @@
 
 class InFlightRequest {
  public:
-  // `prefill_tokens` are to be read there, which takes `read_time` if nothing
-  // else is; none for what has no prompt to read.
+  // `prefill_tokens` are to be read there, which takes `prefill_time` if
+  // nothing else is; none for what has no prompt to read.
   InFlightRequest(EngineHandle engine,
                   int priority,
                   std::int64_t prefill_tokens,
-                  base::Duration read_time,
+                  base::Duration prefill_time,
                   base::Time now)
       : engine_(std::move(engine)),
         priority_(priority),
-        unread_(prefill_tokens) {
+        prefill_tokens_(prefill_tokens) {
     ++engine_->in_flight;
-    if (unread_ > 0) {
-      PrefillQueue& queue = engine_->reads[priority_];
-      queue.prefill_tokens += unread_;
-      due_ = now + read_time;
+    if (prefill_tokens_ > 0) {
+      PrefillQueue& queue = engine_->prefills[priority_];
+      queue.prefill_tokens += prefill_tokens_;
+      due_ = now + prefill_time;
       queue.due.insert(*due_);
     }
   }
   ~InFlightRequest() {
-    Forget();
+    RemovePrefill();
     --engine_->in_flight;
   }
   InFlightRequest(const InFlightRequest&) = delete;
@@ -43,18 +43,18 @@
   // The target has read the prompt.
   void OnPrefillDone(base::Time now) {
     if (due_) {
-      PrefillQueue& queue = engine_->reads[priority_];
-      queue.waited = std::max(now - *due_, base::Duration::zero());
-      queue.waited_at = now;
+      PrefillQueue& queue = engine_->prefills[priority_];
+      queue.last_wait = std::max(now - *due_, base::Duration::zero());
+      queue.last_wait_at = now;
     }
-    Forget();
+    RemovePrefill();
   }
 
  private:
-  void Forget() {
+  void RemovePrefill() {
     if (due_) {
-      PrefillQueue& queue = engine_->reads[priority_];
-      queue.prefill_tokens -= unread_;
+      PrefillQueue& queue = engine_->prefills[priority_];
+      queue.prefill_tokens -= prefill_tokens_;
       queue.due.erase(queue.due.find(*due_));
       due_.reset();
     }
@@ -62,7 +62,7 @@
 
   const EngineHandle engine_;
   const int priority_;
-  const std::int64_t unread_;
+  const std::int64_t prefill_tokens_;
   std::optional<base::Time> due_;
 };
 
--- a/src/request/passthrough/peer_prefills.cc
+++ b/src/request/passthrough/peer_prefills.cc
@@ -12,27 +12,27 @@
 }
 
 std::vector<PeerPrefill> OwnPrefills(const EngineTable& engines) {
-  std::vector<PeerPrefill> reads;
-  engines.ForEach([&reads](const Engine& engine) {
-    for (const auto& [priority, queue] : engine.reads) {
+  std::vector<PeerPrefill> prefills;
+  engines.ForEach([&prefills](const Engine& engine) {
+    for (const auto& [priority, queue] : engine.prefills) {
       if (queue.prefill_tokens > 0) {
-        reads.push_back(
+        prefills.push_back(
             {KeyOf(engine.entry.id), priority, queue.prefill_tokens});
       }
     }
   });
-  return reads;
+  return prefills;
 }
 
 PeerPrefills::PeerPrefills(PeerPrefillsOptions options) : options_(options) {}
 
 void PeerPrefills::Put(const base::InstanceId& peer,
-                       const std::vector<PeerPrefill>& reads,
+                       const std::vector<PeerPrefill>& prefills,
                        base::Time now) {
   for (auto& [engine, by_peer] : reads_) {
     by_peer.erase(peer);
   }
-  for (const PeerPrefill& read : reads) {
+  for (const PeerPrefill& read : prefills) {
     reads_[read.engine].emplace(peer,
                                 Entry{read.priority, read.prefill_tokens, now});
   }
--- a/src/request/passthrough/peer_prefills.h
+++ b/src/request/passthrough/peer_prefills.h
@@ -46,7 +46,7 @@
 
   // All that `peer` has engines read now.
   void Put(const base::InstanceId& peer,
-           const std::vector<PeerPrefill>& reads,
+           const std::vector<PeerPrefill>& prefills,
            base::Time now);
   // Instances for each one that reports here, this one left out: above 1 where
   // not all report to all.
--- a/src/request/passthrough/prefill_times.cc
+++ b/src/request/passthrough/prefill_times.cc
@@ -35,13 +35,13 @@
   engine.slowness =
       std::clamp(engine.slowness, 1 / kMostSlowness, kMostSlowness);
   const double level = ms / engine.slowness;
-  service.read_ms.Fade(options_.memory);
+  service.prefill_ms.Fade(options_.memory);
   service.tokens_squared *= options_.memory;
   Add(service, size, level);
 }
 
 void PrefillTimes::Add(Service& service, double tokens, double ms) noexcept {
-  service.read_ms.Add(tokens, ms, 1 / tokens);
+  service.prefill_ms.Add(tokens, ms, 1 / tokens);
   service.tokens_squared += tokens * tokens;
 }
 
@@ -70,7 +70,7 @@
 
 double PrefillTimes::TokensPerMs(const Engine& engine) const {
   const Service& service = Of(engine.entry.service);
-  const double mean = service.tokens() / service.reads();
+  const double mean = service.tokens() / service.prefills();
   return mean / (engine.slowness * Fit(service).At(mean));
 }
 
@@ -108,7 +108,7 @@
 }
 
 Line PrefillTimes::Fit(const Service& service) noexcept {
-  return service.read_ms.Fit(1 / kMostTokensPerMs);
+  return service.prefill_ms.Fit(1 / kMostTokensPerMs);
 }
 
 double PrefillTimes::Believed(double ms, double expected) const noexcept {
--- a/src/request/passthrough/prefill_times.h
+++ b/src/request/passthrough/prefill_times.h
@@ -71,14 +71,14 @@
   struct Service {
     // Milliseconds by tokens. Errors grow with a read's size, so each read is
     // weighted by one over its tokens.
-    LineFit read_ms;
+    LineFit prefill_ms;
     double tokens_squared = 0;
     double fetch_ms = 0;
     double handover_ms = 0;
 
     // The weights make these sums plain ones.
-    double reads() const noexcept { return read_ms.sum_x(); }
-    double tokens() const noexcept { return read_ms.sum_xx(); }
+    double prefills() const noexcept { return prefill_ms.sum_x(); }
+    double tokens() const noexcept { return prefill_ms.sum_xx(); }
   };
 
   Service MakeService() const;
--- a/src/request/passthrough/prefix_placement.cc
+++ b/src/request/passthrough/prefix_placement.cc
@@ -25,7 +25,7 @@
 PrefixPlacement FindPrefixPlacement(const std::vector<EngineHandle>& usable,
                                     const std::vector<EngineHandle>& engines,
                                     const Prompt& prompt,
-                                    base::Duration settling,
+                                    base::Duration settle_time,
                                     base::Time now) {
   const PromptPart* shared = prompt.Shared();
   if (!shared || usable.empty()) {
@@ -37,8 +37,8 @@
   std::vector<EngineHandle> settled;
   std::ranges::copy_if(
       engines, std::back_inserter(settled), [&](const EngineHandle& it) {
-        return it->entry.stage == stage && it->stage_since + settling <= now &&
-               !it->health.Avoided(now);
+        return it->entry.stage == stage &&
+               it->stage_since + settle_time <= now && !it->health.Avoided(now);
       });
   places.holder = Highest(settled, *shared);
   if (!places.holder) {
--- a/src/request/passthrough/prefix_placement.h
+++ b/src/request/passthrough/prefix_placement.h
@@ -30,7 +30,7 @@
 PrefixPlacement FindPrefixPlacement(const std::vector<EngineHandle>& usable,
                                     const std::vector<EngineHandle>& engines,
                                     const Prompt& prompt,
-                                    base::Duration settling,
+                                    base::Duration settle_time,
                                     base::Time now);
 
 }  // namespace lynxglade::request::passthrough
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -106,33 +106,33 @@
 }
 
 Awaitable<bool> RelayRun::SendRead(const EnginePick& pick, bool* may_count) {
-  const auto endpoint = EndpointOf(*pick.reader);
+  const auto endpoint = EndpointOf(*pick.prefill_engine);
   if (!endpoint) {
     ++failed_reads_;
     co_return false;
   }
   const base::Time begun = parts_.clock();
-  InFlightRequest use(pick.reader, Priority(), pick.prefill_tokens,
-                      pick.read_time, begun);
+  InFlightRequest use(pick.prefill_engine, Priority(), pick.prefill_tokens,
+                      pick.prefill_time, begun);
   SendTerms terms;
-  terms.target = pick.reader;
+  terms.target = pick.prefill_engine;
   terms.time_left = TimeLeft();
   terms.priority = Priority();
   terms.prefill_only = true;
   terms.fetch_from = pick.fetch_from;
-  NoteTry(*pick.reader);
-  const int entry_changes = pick.reader->entry_changes;
+  NoteTry(*pick.prefill_engine);
+  const int entry_changes = pick.prefill_engine->entry_changes;
   Exchange exchange(parts_.channels);
   current_ = &exchange;
   const ExchangeState state = co_await exchange.Start(
       *endpoint, Message(terms), AnswerFilter(), /*careful=*/false);
-  NoteReach(*pick.reader, exchange);
+  NoteReach(*pick.prefill_engine, exchange);
   bool rejected = false;
   if (state == ExchangeState::kHead || state == ExchangeState::kWhole) {
     const AnswerInfo facts = parts_.protocol.parse_answer(exchange.head());
-    NoteLoad(*pick.reader, facts);
+    NoteLoad(*pick.prefill_engine, facts);
     if (facts.misdirected) {
-      MarkMisdirected(*pick.reader, entry_changes, parts_.clock());
+      MarkMisdirected(*pick.prefill_engine, entry_changes, parts_.clock());
     }
     const std::string body = co_await exchange.Rest(kMaxSideAnswerBytes);
     const bool good = exchange.state() == ExchangeState::kWhole &&
@@ -140,7 +140,7 @@
     const auto handle =
         good ? parts_.protocol.parse_handle(body) : std::nullopt;
     if (handle) {
-      source_ = KvSource{pick.reader, *handle};
+      source_ = KvSource{pick.prefill_engine, *handle};
     }
     rejected = !handle;
   }
@@ -148,7 +148,7 @@
   if (source_) {
     use.OnPrefillDone(parts_.clock());
     RecordPrefill(pick, parts_.clock() - begun);
-    pick.reader->health.OnAccepted();
+    pick.prefill_engine->health.OnAccepted();
     ++accepted_reads_;
     prompt_read_at_ = Elapsed();
     co_return true;
@@ -156,13 +156,13 @@
   // An engine that could not be reached has read nothing in vain.
   failed_reads_ += state == ExchangeState::kNotSent ? 0 : 1;
   if (!Stopped()) {
-    pick.reader->health.OnFailure(parts_.clock());
+    pick.prefill_engine->health.OnFailure(parts_.clock());
     parts_.metrics.GetCounter("lynxglade_prompt_reads_failed_total").Add();
   }
   *may_count = rejected || (exchange.sent() && !exchange.unacknowledged());
   base::Log(base::LogLevel::kInfo, "reading_failed",
             {{"request", terms_.request_id},
-             {"reader", pick.reader->entry.id.str()},
+             {"reader", pick.prefill_engine->entry.id.str()},
              {"rejected", rejected},
              {"status",
               rejected ? static_cast<std::int64_t>(exchange.head().result_int())
@@ -174,14 +174,15 @@
 }
 
 void RelayRun::RecordPrefill(const EnginePick& pick, base::Duration took) {
-  if (!pick.alone) {
+  if (!pick.no_other_prefills) {
     return;
   }
   if (pick.fetch_from) {
-    parts_.prefill_times.RecordPrefillAfterFetch(*pick.reader,
+    parts_.prefill_times.RecordPrefillAfterFetch(*pick.prefill_engine,
                                                  pick.prefill_tokens, took);
   } else {
-    parts_.prefill_times.RecordPrefill(*pick.reader, pick.prefill_tokens, took);
+    parts_.prefill_times.RecordPrefill(*pick.prefill_engine,
+                                       pick.prefill_tokens, took);
   }
 }
 
@@ -208,15 +209,15 @@
   if (!endpoint) {
     co_return AttemptEnd::kNotRun;
   }
-  const bool reads = !source_;
-  InFlightRequest use(target, Priority(), reads ? pick.prefill_tokens : 0,
-                      pick.read_time, parts_.clock());
+  const bool prefills = !source_;
+  InFlightRequest use(target, Priority(), prefills ? pick.prefill_tokens : 0,
+                      pick.prefill_time, parts_.clock());
   SendTerms terms;
   terms.target = target;
   terms.time_left = TimeLeft();
   terms.priority = Priority();
   terms.source = source_;
-  terms.fetch_from = reads ? pick.fetch_from : nullptr;
+  terms.fetch_from = prefills ? pick.fetch_from : nullptr;
   terms.last_event_id =
       events_.last_id().empty() ? terms_.last_event_id : events_.last_id();
   NoteTry(*target);
--- a/src/request/passthrough/relay_report.cc
+++ b/src/request/passthrough/relay_report.cc
@@ -162,7 +162,8 @@
       {{"request", terms_.request_id},
        {"route", route_->name},
        {"target", tried_.empty() ? runner.entry.id.str() : tried_.back().str()},
-       {"reader", pick.reader ? pick.reader->entry.id.str() : std::string()},
+       {"reader", pick.prefill_engine ? pick.prefill_engine->entry.id.str()
+                                      : std::string()},
        {"fetch_from",
         pick.fetch_from ? pick.fetch_from->entry.id.str() : std::string()},
        {"shared_part",
@@ -170,7 +171,7 @@
        {"unread_tokens", pick.prefill_tokens},
        {"late", late_},
        {"wait_ms", base::ToMillis(pick.wait)},
-       {"read_ms", base::ToMillis(pick.read_time)},
+       {"read_ms", base::ToMillis(pick.prefill_time)},
        {"expected_ms", base::ToMillis(pick.expected)},
        {"in_flight", runner.in_flight},
        {"targets_age_ms", base::ToMillis(parts_.view_age())},
--- a/src/request/passthrough/relay_run.cc
+++ b/src/request/passthrough/relay_run.cc
@@ -122,7 +122,8 @@
     if (!pick.runner) {
       break;
     }
-    if (reads_denied_ && runs_ == 0 && parts_.choice.Disturbs(pick)) {
+    if (reads_denied_ && runs_ == 0 &&
+        parts_.choice.PrefillStallsDecode(pick)) {
       // Read by the engine that runs it, it would make streams of others fail.
       co_await Refuse(EndReason::kAllowance);
       co_return;
@@ -199,19 +200,20 @@
       .prompt = terms_.prompt,
       .priority = Priority(),
       .tried = tried_,
-      .most_in_flight = MostInFlight(),
-      .pairs = failed_reads_ <= kMaxFailedReads && runs_ == 0 && !reads_denied_,
+      .max_in_flight = MaxInFlight(),
+      .allow_separate_prefill =
+          failed_reads_ <= kMaxFailedReads && runs_ == 0 && !reads_denied_,
       .now = parts_.clock()};
   if (!source_) {
     return parts_.choice.Pick(engines, query);
   }
   EnginePick pick;
   pick.runner = parts_.choice.PickDecoder(engines, *source_->engine, query);
-  pick.reader = source_->engine;
+  pick.prefill_engine = source_->engine;
   return pick;
 }
 
-int RelayRun::MostInFlight() const {
+int RelayRun::MaxInFlight() const {
   // Idle connections count at the target, too, and counts of instances lag.
   constexpr int kLeast = 4;
   const ServiceTerms* service = table_->FindService(service_);
@@ -224,9 +226,9 @@
 
 Awaitable<std::optional<ReservedArrivals>> RelayRun::Pay(const EnginePick& pick,
                                                          AttemptEnd after) {
-  const bool reads = pick.reader && !source_;
+  const bool prefills = pick.prefill_engine && !source_;
   const int arrivals = (runs_ + rejections_ > 0 ? 1 : 0) +
-                       (reads && accepted_reads_ > 0 ? 1 : 0);
+                       (prefills && accepted_reads_ > 0 ? 1 : 0);
   if (arrivals == 0) {
     co_return parts_.allowance.TryReserve(service_, 0, ArrivalPurpose::kRetry,
                                           parts_.instances(), parts_.clock());
@@ -270,7 +272,7 @@
 }
 
 Awaitable<AttemptEnd> RelayRun::Attempt(EnginePick pick) {
-  if (pick.reader && !source_) {
+  if (pick.prefill_engine && !source_) {
     const bool read = co_await ReadPrompt(pick);
     if (Stopped()) {
       co_return AttemptEnd::kStopped;
--- a/src/request/passthrough/relay_run.h
+++ b/src/request/passthrough/relay_run.h
@@ -77,7 +77,7 @@
   Awaitable<void> RunAttempts();
   EnginePick Pick();
   // This instance's part of the connections that a target takes.
-  int MostInFlight() const;
+  int MaxInFlight() const;
   // The first attempt's engines; decides whether the request is late.
   EnginePick PickFirst();
   // Why the first attempt is better not made, if so.
--- a/tests/platform/relay_test.cc
+++ b/tests/platform/relay_test.cc
@@ -343,15 +343,15 @@
     });
   }
   EXPECT_TRUE(Call(Request("/stream/x", kPromptLines)).ends_with("0\r\n\r\n"));
-  int reads = 0;
+  int prefills = 0;
   int freed = 0;
   for (int i = 0; i < 2; ++i) {
     for (const std::string& request : targets_[i]->requests()) {
-      reads += request.starts_with("POST") ? 1 : 0;
+      prefills += request.starts_with("POST") ? 1 : 0;
       freed += request.starts_with("DELETE /kv-handle/k1 ") ? 1 : 0;
     }
   }
-  EXPECT_EQ(reads, 2);
+  EXPECT_EQ(prefills, 2);
   EXPECT_EQ(freed, 1);
 }
 
@@ -424,7 +424,7 @@
   }
   // Busier than those, but not for longer than the caller stays.
   for (const char* id : {"t0", "t1", "t2"}) {
-    engines_.Find(base::TargetId(id))->reads[0].prefill_tokens = 30'000;
+    engines_.Find(base::TargetId(id))->prefills[0].prefill_tokens = 30'000;
   }
   EXPECT_TRUE(Call(Request("/stream/x", kPromptLines)).ends_with("0\r\n\r\n"));
   ASSERT_EQ(runner.requests().size(), 1U);
--- a/tests/process/read_sharing_test.cc
+++ b/tests/process/read_sharing_test.cc
@@ -22,16 +22,16 @@
 const base::TargetId kEngine("e1");
 
 RC_GTEST_PROP(ReadReport, WhatIsWrittenIsRead, ()) {
-  std::vector<PeerPrefill> reads;
+  std::vector<PeerPrefill> prefills;
   const int n = *rc::gen::inRange(0, 50);
   for (int i = 0; i < n; ++i) {
-    reads.push_back({*rc::gen::arbitrary<std::uint32_t>(),
-                     *rc::gen::inRange(0, 10),
-                     *rc::gen::inRange<std::int64_t>(0, 100'000'000)});
+    prefills.push_back({*rc::gen::arbitrary<std::uint32_t>(),
+                        *rc::gen::inRange(0, 10),
+                        *rc::gen::inRange<std::int64_t>(0, 100'000'000)});
   }
-  const auto read = DecodeReads(EncodeReads(reads));
+  const auto read = DecodeReads(EncodeReads(prefills));
   RC_ASSERT(read.has_value());
-  RC_ASSERT(*read == reads);
+  RC_ASSERT(*read == prefills);
 }
 
 RC_GTEST_PROP(ReadReport, AnyBytesAreTakenOrRefused, ()) {
@@ -41,8 +41,8 @@
     bytes[*rc::gen::inRange<std::size_t>(0, bytes.size())] =
         static_cast<char>(*rc::gen::inRange(0, 256));
   }
-  const auto reads = DecodeReads(bytes);
-  RC_ASSERT((!reads || reads->size() <= 200U));
+  const auto prefills = DecodeReads(bytes);
+  RC_ASSERT((!prefills || prefills->size() <= 200U));
 }
 
 TEST(ReadReport, OtherVersionsAreRefused) {
@@ -110,10 +110,10 @@
   Meet({&a, &b});
   a.sharing.Start();
   b.sharing.Start();
-  a.engines.Find(kEngine)->reads[1].prefill_tokens = 700;
+  a.engines.Find(kEngine)->prefills[1].prefill_tokens = 700;
   RunUntil(loop_, [&] { return b.Heard() == 700; });
   EXPECT_EQ(a.Heard(), 0);
-  a.engines.Find(kEngine)->reads[1].prefill_tokens = 0;
+  a.engines.Find(kEngine)->prefills[1].prefill_tokens = 0;
   RunUntil(loop_, [&] { return b.Heard() == 0; });
 }
 
--- a/tests/request/passthrough/engine_picker_test.cc
+++ b/tests/request/passthrough/engine_picker_test.cc
@@ -71,8 +71,8 @@
   EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(4, 2);
   const EnginePick pick = Ask(choice, fleet, Album("x"));
-  ASSERT_NE(pick.reader, nullptr);
-  EXPECT_EQ(pick.reader->entry.stage, EngineStage::kPrefill);
+  ASSERT_NE(pick.prefill_engine, nullptr);
+  EXPECT_EQ(pick.prefill_engine->entry.stage, EngineStage::kPrefill);
   EXPECT_EQ(pick.runner->entry.stage, EngineStage::kDecode);
 }
 
@@ -83,12 +83,12 @@
   const auto fleet = Fleet(2, 6);
   for (const EngineHandle& engine : fleet) {
     if (engine->entry.stage == EngineStage::kPrefill) {
-      engine->reads[kPriority].prefill_tokens = 400'000;
+      engine->prefills[kPriority].prefill_tokens = 400'000;
     }
   }
   for (int i = 0; i < 200; ++i) {
     const EnginePick pick = Ask(choice, fleet, Album(std::to_string(i)));
-    EXPECT_NE(pick.reader, nullptr);
+    EXPECT_NE(pick.prefill_engine, nullptr);
   }
 }
 
@@ -122,7 +122,7 @@
     const EnginePick pick = choice.Pick(fleet, {.prompt = Album("x"),
                                                 .priority = kPriority,
                                                 .tried = {},
-                                                .pairs = false,
+                                                .allow_separate_prefill = false,
                                                 .now = kNow});
     ++taken[pick.runner->entry.id];
   }
@@ -137,14 +137,14 @@
 TEST(EnginePicker, WhatPeersHaveReadCounts) {
   const auto fleet = Fleet(4, 2);
   EnginePicker blind = MakeChoice();
-  const EngineHandle home = Ask(blind, fleet, Album("x")).reader;
+  const EngineHandle home = Ask(blind, fleet, Album("x")).prefill_engine;
   EnginePicker choice({.zone = base::ZoneId("a")}, prefill_times,
                       base::SeededRandom(1),
                       [&home](const Engine& engine, int, base::Time) {
                         return &engine == home.get() ? 100'000 : 0;
                       });
   const EnginePick pick = Ask(choice, fleet, Album("x"));
-  EXPECT_NE(pick.reader, home);
+  EXPECT_NE(pick.prefill_engine, home);
   EXPECT_EQ(pick.fetch_from, home);
   EXPECT_LT(pick.wait, milliseconds(1));
 }
@@ -156,11 +156,12 @@
   const auto fleet = Fleet(2, 1);
   const Prompt question{{{"shop", 350}, {"own", 1'110}}};
   const EngineHandle home =
-      Ask(choice, fleet, question, kNow, {}, /*priority=*/0).reader;
+      Ask(choice, fleet, question, kNow, {}, /*priority=*/0).prefill_engine;
   ASSERT_NE(home, nullptr);
-  home->reads[kPriority].prefill_tokens = 20'000;
-  EXPECT_NE(Ask(choice, fleet, question, kNow, {}, /*priority=*/0).reader,
-            home);
+  home->prefills[kPriority].prefill_tokens = 20'000;
+  EXPECT_NE(
+      Ask(choice, fleet, question, kNow, {}, /*priority=*/0).prefill_engine,
+      home);
 }
 
 TEST(EnginePicker, AZoneThatIsCutOffIsLeftWhileOthersRemain) {
@@ -174,7 +175,7 @@
                       });
   for (int i = 0; i < 50; ++i) {
     const EnginePick pick = Ask(choice, fleet, Album(std::to_string(i)));
-    EXPECT_EQ(pick.reader, fleet[1]);
+    EXPECT_EQ(pick.prefill_engine, fleet[1]);
     EXPECT_EQ(pick.runner, fleet[3]);
   }
   // Better than nothing.
@@ -188,7 +189,7 @@
   const auto fleet = Fleet(0, 3);
   const EnginePick pick = Ask(choice, fleet, Album("x"));
   ASSERT_NE(pick.runner, nullptr);
-  EXPECT_EQ(pick.reader, nullptr);
+  EXPECT_EQ(pick.prefill_engine, nullptr);
 }
 
 TEST(EnginePicker, WithoutDecodeEnginesNothingRuns) {
@@ -220,8 +221,8 @@
   const auto part = *rc::gen::nonEmpty<std::string>();
   EnginePicker one = MakeChoice(1);
   EnginePicker two = MakeChoice(2);
-  RC_ASSERT(Ask(one, fleet, Album(part)).reader ==
-            Ask(two, fleet, Album(part)).reader);
+  RC_ASSERT(Ask(one, fleet, Album(part)).prefill_engine ==
+            Ask(two, fleet, Album(part)).prefill_engine);
 }
 
 // The loss of an engine moves only the parts that lived there.
@@ -229,11 +230,11 @@
   auto fleet = Fleet(*rc::gen::inRange(2, 12), 2);
   const auto part = *rc::gen::nonEmpty<std::string>();
   EnginePicker choice = MakeChoice();
-  const EngineHandle before = Ask(choice, fleet, Album(part)).reader;
+  const EngineHandle before = Ask(choice, fleet, Album(part)).prefill_engine;
   const auto left = *rc::gen::inRange<std::size_t>(0, fleet.size() - 2);
   RC_PRE(fleet[left] != before);
   fleet[left]->entry.draining = true;
-  RC_ASSERT(Ask(choice, fleet, Album(part)).reader == before);
+  RC_ASSERT(Ask(choice, fleet, Album(part)).prefill_engine == before);
 }
 
 TEST(EnginePicker, WhatOthersFindToFailIsLeftWhileOthersRemain) {
@@ -246,8 +247,8 @@
                       });
   for (int i = 0; i < 20; ++i) {
     const EnginePick pick = Ask(choice, fleet, Album(std::to_string(i)));
-    ASSERT_NE(pick.reader, nullptr);
-    EXPECT_EQ(pick.reader->entry.id.str(), "p1");
+    ASSERT_NE(pick.prefill_engine, nullptr);
+    EXPECT_EQ(pick.prefill_engine->entry.id.str(), "p1");
   }
   // The only one that can run it is used all the same.
   avoided.insert("d0");
@@ -260,7 +261,8 @@
   std::map<EngineHandle, int> parts;
   constexpr int kParts = 164;
   for (int i = 0; i < kParts; ++i) {
-    ++parts[Ask(choice, fleet, Album("part" + std::to_string(i))).reader];
+    ++parts[Ask(choice, fleet, Album("part" + std::to_string(i)))
+                .prefill_engine];
   }
   EXPECT_EQ(parts.size(), 12U);
   const auto most = std::ranges::max_element(
@@ -276,10 +278,10 @@
   const EnginePick calm = Ask(choice, fleet, Album("x"));
   EXPECT_EQ(calm.fetch_from, nullptr);
   EXPECT_EQ(calm.prefill_tokens, 3'720);
-  calm.reader->reads[kPriority].prefill_tokens = 90'000;
+  calm.prefill_engine->prefills[kPriority].prefill_tokens = 90'000;
   const EnginePick busy = Ask(choice, fleet, Album("x"));
-  EXPECT_NE(busy.reader, calm.reader);
-  EXPECT_EQ(busy.fetch_from, calm.reader);
+  EXPECT_NE(busy.prefill_engine, calm.prefill_engine);
+  EXPECT_EQ(busy.fetch_from, calm.prefill_engine);
 }
 
 // The load this answers: a retry, or a request whose cache was lost, is read by
@@ -287,11 +289,13 @@
 TEST(EnginePicker, ARunnerThatReadsFetchesTheSharedPart) {
   EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(4, 2);
-  const EngineHandle home = Ask(choice, fleet, Album("x")).reader;
+  const EngineHandle home = Ask(choice, fleet, Album("x")).prefill_engine;
   const Prompt album = Album("x");
-  const EnginePick pick = choice.Pick(
-      fleet, {.prompt = album, .tried = {}, .pairs = false, .now = kNow});
-  EXPECT_EQ(pick.reader, nullptr);
+  const EnginePick pick = choice.Pick(fleet, {.prompt = album,
+                                              .tried = {},
+                                              .allow_separate_prefill = false,
+                                              .now = kNow});
+  EXPECT_EQ(pick.prefill_engine, nullptr);
   EXPECT_EQ(pick.fetch_from, home);
   EXPECT_EQ(pick.prefill_tokens, 3'720);
 }
@@ -302,9 +306,9 @@
 TEST(EnginePicker, AHomeThatIsALittleBusierKeepsItsParts) {
   EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(4, 2);
-  const EngineHandle home = Ask(choice, fleet, Album("x")).reader;
-  home->reads[kPriority].prefill_tokens = 13'300;
-  EXPECT_EQ(Ask(choice, fleet, Album("x")).reader, home);
+  const EngineHandle home = Ask(choice, fleet, Album("x")).prefill_engine;
+  home->prefills[kPriority].prefill_tokens = 13'300;
+  EXPECT_EQ(Ask(choice, fleet, Album("x")).prefill_engine, home);
 }
 
 // Reads of other instances show in the wait that this instance's own met, for
@@ -312,21 +316,21 @@
 TEST(EnginePicker, WaitsThatReadsMetCountForAMoment) {
   EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(4, 2);
-  const EngineHandle home = Ask(choice, fleet, Album("x")).reader;
-  home->reads[kPriority].waited = std::chrono::seconds(2);
-  home->reads[kPriority].waited_at = kNow;
-  EXPECT_NE(Ask(choice, fleet, Album("x")).reader, home);
-  EXPECT_EQ(
-      Ask(choice, fleet, Album("x"), kNow + std::chrono::seconds(2)).reader,
-      home);
+  const EngineHandle home = Ask(choice, fleet, Album("x")).prefill_engine;
+  home->prefills[kPriority].last_wait = std::chrono::seconds(2);
+  home->prefills[kPriority].last_wait_at = kNow;
+  EXPECT_NE(Ask(choice, fleet, Album("x")).prefill_engine, home);
+  EXPECT_EQ(Ask(choice, fleet, Album("x"), kNow + std::chrono::seconds(2))
+                .prefill_engine,
+            home);
 }
 
 TEST(EnginePicker, AnOverdueReadSaysThatItsEngineIsBusy) {
   EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(4, 2);
-  const EngineHandle home = Ask(choice, fleet, Album("x")).reader;
-  home->reads[kPriority].due.insert(kNow - std::chrono::seconds(2));
-  EXPECT_NE(Ask(choice, fleet, Album("x")).reader, home);
+  const EngineHandle home = Ask(choice, fleet, Album("x")).prefill_engine;
+  home->prefills[kPriority].due.insert(kNow - std::chrono::seconds(2));
+  EXPECT_NE(Ask(choice, fleet, Album("x")).prefill_engine, home);
 }
 
 // An engine reads urgent prompts first: what waits behind a request does not
@@ -334,9 +338,9 @@
 TEST(EnginePicker, OnlyPromptsAsUrgentCountAsAhead) {
   EnginePicker choice = MakeChoice();
   const auto fleet = Fleet(1, 1);
-  PrefillQueue& queue = fleet[0]->reads[1];
-  queue.waited = milliseconds(700);
-  queue.waited_at = kNow;
+  PrefillQueue& queue = fleet[0]->prefills[1];
+  queue.last_wait = milliseconds(700);
+  queue.last_wait_at = kNow;
   EXPECT_EQ(Ask(choice, fleet, Album("x"), kNow, {}, 0).wait,
             base::Duration(0));
   EXPECT_EQ(Ask(choice, fleet, Album("x"), kNow, {}, 1).wait,
@@ -350,14 +354,14 @@
   {
     InFlightRequest use(engine, kPriority, 1'000, milliseconds(20), kNow);
     EXPECT_EQ(engine->in_flight, 1);
-    EXPECT_EQ(engine->reads[kPriority].prefill_tokens, 1'000);
-    EXPECT_EQ(engine->reads[kPriority].due.size(), 1U);
+    EXPECT_EQ(engine->prefills[kPriority].prefill_tokens, 1'000);
+    EXPECT_EQ(engine->prefills[kPriority].due.size(), 1U);
     use.OnPrefillDone(kNow + milliseconds(50));
-    EXPECT_EQ(engine->reads[kPriority].prefill_tokens, 0);
-    EXPECT_EQ(engine->reads[kPriority].waited, milliseconds(30));
+    EXPECT_EQ(engine->prefills[kPriority].prefill_tokens, 0);
+    EXPECT_EQ(engine->prefills[kPriority].last_wait, milliseconds(30));
   }
   EXPECT_EQ(engine->in_flight, 0);
-  EXPECT_TRUE(engine->reads[kPriority].due.empty());
+  EXPECT_TRUE(engine->prefills[kPriority].due.empty());
 }
 
 // The engine that generates what the first of the fleet has read.
@@ -377,7 +381,7 @@
   const Prompt plain;
   fleet[0]->in_flight = 4;
   const EnginePickQuery query{
-      .prompt = plain, .tried = {}, .most_in_flight = 4, .now = kNow};
+      .prompt = plain, .tried = {}, .max_in_flight = 4, .now = kNow};
   EXPECT_EQ(choice.Pick(fleet, query).runner, fleet[1]);
   fleet[1]->in_flight = 4;
   EXPECT_EQ(choice.Pick(fleet, query).runner, nullptr);
--- a/tests/request/passthrough/engine_table_test.cc
+++ b/tests/request/passthrough/engine_table_test.cc
@@ -65,14 +65,14 @@
   table.Put(Born("a", 1000), kNow - std::chrono::minutes(1));
   const EngineHandle before = table.Find(base::TargetId("a"));
   before->in_flight = 3;
-  before->reads[0].prefill_tokens = 5000;
+  before->prefills[0].prefill_tokens = 5000;
   before->reported = {.running = 9, .waiting = 2, .slots = 64};
   before->health.OnFailure(kNow);
   table.Put(Born("a", 2000), kNow);
   const EngineHandle after = table.Find(base::TargetId("a"));
   ASSERT_NE(after, before);
   EXPECT_EQ(after->in_flight, 0);
-  EXPECT_TRUE(after->reads.empty());
+  EXPECT_TRUE(after->prefills.empty());
   EXPECT_EQ(after->reported.running, 0);
   EXPECT_FALSE(after->health.Avoided(kNow));
   EXPECT_EQ(after->stage_since, kNow);
--- a/tests/request/passthrough/generation_times_test.cc
+++ b/tests/request/passthrough/generation_times_test.cc
@@ -38,10 +38,10 @@
     for (int i = 0; i < events; ++i) {
       const int requests = 1 + static_cast<int>(59 * base::UniformReal(random));
       const double noise = 0.95 + 0.1 * base::UniformReal(random);
-      const bool waited = base::UniformReal(random) < 0.05;
+      const bool last_wait = base::UniformReal(random) < 0.05;
       const double ms = slowness * (base_ms + slope_ms * requests) * noise;
       times.LearnEvent(engine, requests,
-                       base::FromFineMillis(waited ? 4 * ms : ms));
+                       base::FromFineMillis(last_wait ? 4 * ms : ms));
     }
   }
   // Estimates are off by a factor of two either way, and right in the middle.
--- a/tests/request/passthrough/latency_admission_test.cc
+++ b/tests/request/passthrough/latency_admission_test.cc
@@ -113,17 +113,17 @@
 Tally Swing(Policy policy) {
   constexpr int kBurst = 133;
   constexpr int kCalm = 64;
-  Reader reader(policy);
+  Reader prefill_engine(policy);
   base::Duration now{};
   for (int round = 0; round < 3; ++round) {
     for (int i = 0; i < kBurst; ++i) {
-      reader.Arrive(now += milliseconds(2'000) / kBurst);
+      prefill_engine.Arrive(now += milliseconds(2'000) / kBurst);
     }
     for (int i = 0; i < kCalm; ++i) {
-      reader.Arrive(now += milliseconds(4'000) / kCalm);
+      prefill_engine.Arrive(now += milliseconds(4'000) / kCalm);
     }
   }
-  return reader.Finish();
+  return prefill_engine.Finish();
 }
 
 // The load this answers: of 7,148 prompts of a calm day 953 were refused, all
@@ -144,15 +144,15 @@
 // long as the waits foreseen are true, but for those overtaken by prompts that
 // came later and can be in time.
 RC_GTEST_PROP(GoalAdmission, NobodyIsKeptInVainByMoreThanAFew, ()) {
-  Reader reader(Policy::kGiveWay);
+  Reader prefill_engine(Policy::kGiveWay);
   base::Duration now{};
   const int n = 600;
   const auto gaps = *rc::gen::container<std::vector<int>>(
       static_cast<std::size_t>(n), rc::gen::inRange(5, 35));
   for (const int gap : gaps) {
-    reader.Arrive(now += milliseconds(gap));
+    prefill_engine.Arrive(now += milliseconds(gap));
   }
-  const Tally tally = reader.Finish();
+  const Tally tally = prefill_engine.Finish();
   RC_ASSERT(tally.in_vain <= n / 20);
 }
 
--- a/tests/request/passthrough/peer_prefills_test.cc
+++ b/tests/request/passthrough/peer_prefills_test.cc
@@ -23,35 +23,35 @@
 }
 
 TEST(PeerPrefills, CountsWhatIsAsUrgentOrMore) {
-  PeerPrefills reads;
-  reads.Put(kPeer, {Read(kEngine, 0, 100), Read(kEngine, 2, 3'000)}, kNow);
-  reads.Put(kOther, {Read(kEngine, 1, 20)}, kNow);
-  EXPECT_EQ(reads.PrefillTokens(kEngine, 0, kNow), 100);
-  EXPECT_EQ(reads.PrefillTokens(kEngine, 1, kNow), 120);
-  EXPECT_EQ(reads.PrefillTokens(kEngine, 2, kNow), 3'120);
-  EXPECT_EQ(reads.PrefillTokens(base::TargetId("e2"), 2, kNow), 0);
+  PeerPrefills prefills;
+  prefills.Put(kPeer, {Read(kEngine, 0, 100), Read(kEngine, 2, 3'000)}, kNow);
+  prefills.Put(kOther, {Read(kEngine, 1, 20)}, kNow);
+  EXPECT_EQ(prefills.PrefillTokens(kEngine, 0, kNow), 100);
+  EXPECT_EQ(prefills.PrefillTokens(kEngine, 1, kNow), 120);
+  EXPECT_EQ(prefills.PrefillTokens(kEngine, 2, kNow), 3'120);
+  EXPECT_EQ(prefills.PrefillTokens(base::TargetId("e2"), 2, kNow), 0);
 }
 
 TEST(PeerPrefills, AReportReplacesTheOneBefore) {
-  PeerPrefills reads;
-  reads.Put(kPeer, {Read(kEngine, 0, 100)}, kNow);
-  reads.Put(kPeer, {}, kNow);
-  EXPECT_EQ(reads.PrefillTokens(kEngine, 9, kNow), 0);
+  PeerPrefills prefills;
+  prefills.Put(kPeer, {Read(kEngine, 0, 100)}, kNow);
+  prefills.Put(kPeer, {}, kNow);
+  EXPECT_EQ(prefills.PrefillTokens(kEngine, 9, kNow), 0);
 }
 
 // An instance that is cut off or was killed says nothing of its end.
 TEST(PeerPrefills, WhatIsNotSaidAgainIsForgotten) {
-  PeerPrefills reads;
-  reads.Put(kPeer, {Read(kEngine, 0, 100)}, kNow);
-  EXPECT_EQ(reads.PrefillTokens(kEngine, 0, kNow + milliseconds(500)), 100);
-  EXPECT_EQ(reads.PrefillTokens(kEngine, 0, kNow + milliseconds(501)), 0);
+  PeerPrefills prefills;
+  prefills.Put(kPeer, {Read(kEngine, 0, 100)}, kNow);
+  EXPECT_EQ(prefills.PrefillTokens(kEngine, 0, kNow + milliseconds(500)), 100);
+  EXPECT_EQ(prefills.PrefillTokens(kEngine, 0, kNow + milliseconds(501)), 0);
 }
 
 TEST(PeerPrefills, InstancesThatDoNotReportAreTakenToBeLikeThoseThatDo) {
-  PeerPrefills reads;
-  reads.SetScale(2.5);
-  reads.Put(kPeer, {Read(kEngine, 0, 100)}, kNow);
-  EXPECT_EQ(reads.PrefillTokens(kEngine, 0, kNow), 250);
+  PeerPrefills prefills;
+  prefills.SetScale(2.5);
+  prefills.Put(kPeer, {Read(kEngine, 0, 100)}, kNow);
+  EXPECT_EQ(prefills.PrefillTokens(kEngine, 0, kNow), 250);
 }
 
 TEST(PeerPrefills, OwnReadsAreThoseUnderWay) {
@@ -61,19 +61,19 @@
     entry.id = base::TargetId(id);
     engines.Put(entry, kNow);
   }
-  engines.Find(kEngine)->reads[1].prefill_tokens = 70;
-  engines.Find(base::TargetId("e2"))->reads[0].prefill_tokens = 0;
-  const auto reads = OwnPrefills(engines);
-  ASSERT_EQ(reads.size(), 1U);
-  EXPECT_EQ(reads[0].engine, KeyOf(kEngine));
-  EXPECT_EQ(reads[0].priority, 1);
-  EXPECT_EQ(reads[0].prefill_tokens, 70);
+  engines.Find(kEngine)->prefills[1].prefill_tokens = 70;
+  engines.Find(base::TargetId("e2"))->prefills[0].prefill_tokens = 0;
+  const auto prefills = OwnPrefills(engines);
+  ASSERT_EQ(prefills.size(), 1U);
+  EXPECT_EQ(prefills[0].engine, KeyOf(kEngine));
+  EXPECT_EQ(prefills[0].priority, 1);
+  EXPECT_EQ(prefills[0].prefill_tokens, 70);
 }
 
 // Whatever the order of reports, the newest of each peer counts, and nothing
 // of a peer that fell silent.
 RC_GTEST_PROP(PeerPrefills, TheNewestOfEachPeerCounts, ()) {
-  PeerPrefills reads;
+  PeerPrefills prefills;
   base::Time now = kNow;
   std::map<std::string, std::pair<std::int64_t, base::Time>> last;
   const int n = *rc::gen::inRange(0, 60);
@@ -82,14 +82,14 @@
     const std::string peer =
         *rc::gen::elementOf(std::vector<std::string>{"a", "b", "c"});
     const std::int64_t tokens = *rc::gen::inRange(0, 1000);
-    reads.Put(base::InstanceId(peer), {Read(kEngine, 0, tokens)}, now);
+    prefills.Put(base::InstanceId(peer), {Read(kEngine, 0, tokens)}, now);
     last[peer] = {tokens, now};
   }
   std::int64_t sum = 0;
   for (const auto& [peer, row] : last) {
     sum += now - row.second <= PeerPrefillsOptions().lifetime ? row.first : 0;
   }
-  RC_ASSERT(reads.PrefillTokens(kEngine, 0, now) == sum);
+  RC_ASSERT(prefills.PrefillTokens(kEngine, 0, now) == sum);
 }
 
 }  // namespace
--- a/tests/request/passthrough/prefill_times_test.cc
+++ b/tests/request/passthrough/prefill_times_test.cc
@@ -79,8 +79,8 @@
   PrefillTimes times;
   Engine engine = MakeEngine("e");
   const TrueEngine real = DrawnEngine();
-  Reads reads(*rc::gen::inRange(1, 1'000'000));
-  reads.Read(times, engine, real, 150);
+  Reads prefills(*rc::gen::inRange(1, 1'000'000));
+  prefills.Read(times, engine, real, 150);
   RC_ASSERT(WorstError(times, engine, real) < 0.6);
   RC_ASSERT(times.TokensPerMs(engine) < 2 * real.tokens_per_ms);
 }
@@ -89,10 +89,10 @@
   PrefillTimes times;
   Engine engine = MakeEngine("e");
   TrueEngine real = DrawnEngine();
-  Reads reads(*rc::gen::inRange(1, 1'000'000));
-  reads.Read(times, engine, real, 100);
+  Reads prefills(*rc::gen::inRange(1, 1'000'000));
+  prefills.Read(times, engine, real, 100);
   real.slowness *= *rc::gen::element(0.25, 4.0);
-  reads.Read(times, engine, real, 150);
+  prefills.Read(times, engine, real, 150);
   RC_ASSERT(WorstError(times, engine, real) < 0.7);
 }
 
@@ -105,10 +105,10 @@
   const TrueEngine real_fast{.base_ms = 3, .tokens_per_ms = 200};
   const TrueEngine real_slow{
       .base_ms = 3, .tokens_per_ms = 200, .slowness = 1.3};
-  Reads reads(7);
+  Reads prefills(7);
   for (int i = 0; i < 100; ++i) {
-    reads.Read(times, fast, real_fast, 1);
-    reads.Read(times, slow, real_slow, 1);
+    prefills.Read(times, fast, real_fast, 1);
+    prefills.Read(times, slow, real_slow, 1);
   }
   EXPECT_NEAR(slow.slowness / fast.slowness, 1.3, 0.15);
   const Engine unseen = MakeEngine("unseen");
@@ -149,9 +149,9 @@
 TEST(PrefillTimes, OneSurpriseChangesLittle) {
   PrefillTimes times;
   Engine engine = MakeEngine("e");
-  Reads reads(3);
+  Reads prefills(3);
   const TrueEngine real{.base_ms = 2, .tokens_per_ms = 100};
-  reads.Read(times, engine, real, 100);
+  prefills.Read(times, engine, real, 100);
   const double before = times.PrefillMs(engine, 3'000);
   times.RecordPrefill(engine, 3'000, std::chrono::seconds(10));
   EXPECT_LT(times.PrefillMs(engine, 3'000), 1.5 * before);
