--- a/src/request/passthrough/answer_admission.cc
+++ b/src/request/passthrough/answer_admission.cc
@@ -62,7 +62,8 @@
   sizes.last_at = now;
   if (asked.expected_tokens > 0) {
     sizes.requests += 1;
-    const double step = std::max(options_.size_step, 1 / sizes.requests);
+    const double step =
+        std::max(options_.size_learning_rate, 1 / sizes.requests);
     const double off = LogTokens(asked) - sizes.mean_log;
     sizes.mean_log += step * off;
     sizes.variance_log = (1 - step) * (sizes.variance_log + step * off * off);
@@ -115,7 +116,7 @@
   const auto within = std::chrono::duration_cast<base::Duration>(
       options_.part_of_timeout * sizes.timeout);
   const std::int64_t large = LargeTokens(sizes);
-  const auto most = times_.MostRequests(engine, large, within);
+  const auto most = times_.MaxRequests(engine, large, within);
   return most ? *most : DefaultCapacity(engine, large, within);
 }
 
--- a/src/request/passthrough/answer_admission.h
+++ b/src/request/passthrough/answer_admission.h
@@ -50,7 +50,7 @@
   double least_requests = 20;
   // Of the difference to what is believed of a route's sizes, the part that one
   // more request changes it by.
-  double size_step = 0.02;
+  double size_learning_rate = 0.02;
   // A route without a request for so long limits no engine.
   base::Duration route_memory = std::chrono::seconds(10);
 };
--- a/src/request/passthrough/generation_times.cc
+++ b/src/request/passthrough/generation_times.cc
@@ -8,55 +8,56 @@
 namespace {
 
 // Of an engine's difference to the others, what each of its events forgets.
-constexpr double kPullToUsual = 0.0005;
+constexpr double kSlownessDecay = 0.0005;
 // Engines of one service differ by less.
-constexpr double kMostSlowness = 10;
+constexpr double kMaxSlowness = 10;
 // More requests never make an engine faster.
-constexpr double kLeastSlopeMs = 1e-6;
+constexpr double kMinSlopeMs = 1e-6;
 
 }  // namespace
 
 GenerationTimes::GenerationTimes(GenerationTimesOptions options)
     : options_(options) {}
 
-void GenerationTimes::LearnEvent(Engine& engine,
-                                 int requests,
-                                 base::Duration took) {
+void GenerationTimes::RecordEvent(Engine& engine,
+                                  int requests,
+                                  base::Duration took) {
   LineFit& fit = services_[engine.entry.service].event_ms;
   const double n = std::max(requests, 1);
   double& slowness = engine.generation_slowness;
   double ms = base::ToFineMillis(took);
-  if (fit.weight() >= options_.least_events) {
-    const double usual = fit.Fit(kLeastSlopeMs).At(n);
-    ms = std::min(ms, options_.most_surprise * usual * slowness);
-    slowness += options_.engine_step * (ms / usual - slowness) +
-                kPullToUsual * (1 - slowness);
-    slowness = std::clamp(slowness, 1 / kMostSlowness, kMostSlowness);
+  if (fit.weight() >= options_.min_events) {
+    const double usual = fit.Fit(kMinSlopeMs).At(n);
+    ms = std::min(ms, options_.max_outlier_ratio * usual * slowness);
+    slowness += options_.engine_learning_rate * (ms / usual - slowness) +
+                kSlownessDecay * (1 - slowness);
+    slowness = std::clamp(slowness, 1 / kMaxSlowness, kMaxSlowness);
   }
-  fit.Fade(options_.memory);
+  fit.Decay(options_.decay);
   fit.Add(n, ms / slowness, 1);
 }
 
-void GenerationTimes::LearnSize(const base::ServiceName& name,
-                                std::int64_t tokens,
-                                int events) {
-  if (tokens <= 0 || events < options_.least_sized_events) {
+void GenerationTimes::RecordAnswerSize(const base::ServiceName& name,
+                                       std::int64_t tokens,
+                                       int events) {
+  if (tokens <= 0 || events < options_.min_events_per_answer) {
     return;
   }
   Service& service = services_[name];
   ++service.answers;
-  const double step = std::max(options_.size_step, 1.0 / service.answers);
+  const double step =
+      std::max(options_.size_learning_rate, 1.0 / service.answers);
   const double seen = std::log(static_cast<double>(tokens) / events);
   service.log_tokens_per_event += step * (seen - service.log_tokens_per_event);
 }
 
-std::optional<int> GenerationTimes::MostRequests(const Engine& engine,
-                                                 std::int64_t tokens,
-                                                 base::Duration within) const {
+std::optional<int> GenerationTimes::MaxRequests(const Engine& engine,
+                                                std::int64_t tokens,
+                                                base::Duration within) const {
   const auto it = services_.find(engine.entry.service);
   if (tokens <= 0 || it == services_.end() ||
-      it->second.event_ms.weight() < options_.least_events ||
-      it->second.answers < options_.least_answers) {
+      it->second.event_ms.weight() < options_.min_events ||
+      it->second.answers < options_.min_answers) {
     return std::nullopt;
   }
   const Service& service = it->second;
@@ -64,7 +65,7 @@
       static_cast<double>(tokens) / std::exp(service.log_tokens_per_event);
   const double most_event_ms =
       base::ToFineMillis(within) / events / engine.generation_slowness;
-  const Line line = service.event_ms.Fit(kLeastSlopeMs);
+  const Line line = service.event_ms.Fit(kMinSlopeMs);
   const double n = (most_event_ms - line.base) / line.slope;
   const double slots = std::max(engine.entry.slots, 1);
   return static_cast<int>(std::clamp(n, 1.0, slots));
--- a/src/request/passthrough/generation_times.h
+++ b/src/request/passthrough/generation_times.h
@@ -21,19 +21,19 @@
 
 struct GenerationTimesOptions {
   // What an event counts for after the next one.
-  double memory = 0.999;
+  double decay = 0.999;
   // Events and whole answers that are seen before anything is foreseen.
-  double least_events = 100;
-  int least_answers = 3;
+  double min_events = 100;
+  int min_answers = 3;
   // Answers of fewer events say too little of the tokens in an event.
-  int least_sized_events = 8;
+  int min_events_per_answer = 8;
   // Of the difference to what is believed of an engine, the part that one more
   // event changes it by; and of the tokens in an event, one more answer.
-  double engine_step = 0.03;
-  double size_step = 0.02;
+  double engine_learning_rate = 0.03;
+  double size_learning_rate = 0.02;
   // An event that took more than so many times what was expected met something
   // else, and counts as if it had taken so many times.
-  double most_surprise = 2;
+  double max_outlier_ratio = 2;
 };
 
 // Not thread-safe: lives on the event loop.
@@ -45,17 +45,17 @@
 
   // An event of an answer came `took` after the one before, from an engine that
   // had so many requests.
-  void LearnEvent(Engine& engine, int requests, base::Duration took);
+  void RecordEvent(Engine& engine, int requests, base::Duration took);
   // A whole answer came in so many events; its caller had expected `tokens`.
-  void LearnSize(const base::ServiceName& service,
-                 std::int64_t tokens,
-                 int events);
+  void RecordAnswerSize(const base::ServiceName& service,
+                        std::int64_t tokens,
+                        int events);
 
   // Requests with which the engine generates `tokens` in `within`: 1 at least,
   // its slots at most. Nothing while too little was seen.
-  std::optional<int> MostRequests(const Engine& engine,
-                                  std::int64_t tokens,
-                                  base::Duration within) const;
+  std::optional<int> MaxRequests(const Engine& engine,
+                                 std::int64_t tokens,
+                                 base::Duration within) const;
 
  private:
   struct Service {
--- a/src/request/passthrough/line_fit.h
+++ b/src/request/passthrough/line_fit.h
@@ -15,9 +15,9 @@
 class LineFit {
  public:
   // All points so far count for `part` of what they did.
-  void Fade(double part) noexcept {
+  void Decay(double factor) noexcept {
     for (double* sum : {&weight_, &x_, &xx_, &y_, &xy_}) {
-      *sum *= part;
+      *sum *= factor;
     }
   }
 
@@ -35,19 +35,19 @@
   double sum_xx() const noexcept { return xx_; }
 
   // Points at one x give no slope, and noise may give a line that starts below
-  // nothing: then y is taken to grow with x alone. `least_slope` bounds the
+  // nothing: then y is taken to grow with x alone. `min_slope` bounds the
   // slope from below. There must be a point.
-  Line Fit(double least_slope) const noexcept {
-    constexpr double kLeastSpread = 0.01;
+  Line Fit(double min_slope) const noexcept {
+    constexpr double kMinVariance = 0.01;
     const double x = x_ / weight_;
     const double y = y_ / weight_;
-    const double spread = xx_ / weight_ - x * x;
-    const double common = xy_ / weight_ - x * y;
-    const double proportional = std::max(y / x, least_slope);
-    if (spread < kLeastSpread * x * x) {
+    const double variance = xx_ / weight_ - x * x;
+    const double covariance = xy_ / weight_ - x * y;
+    const double proportional = std::max(y / x, min_slope);
+    if (variance < kMinVariance * x * x) {
       return {0, proportional};
     }
-    const double slope = std::max(common / spread, least_slope);
+    const double slope = std::max(covariance / variance, min_slope);
     const double base = y - slope * x;
     return base < 0 ? Line{0, proportional} : Line{base, slope};
   }
--- a/src/request/passthrough/prefill_times.cc
+++ b/src/request/passthrough/prefill_times.cc
@@ -9,38 +9,42 @@
 
 // The reads that the figures of the start stand for, of several sizes, so that
 // they give a line.
-constexpr std::array kPriorSizes{500.0, 2'000.0, 10'000.0};
+constexpr std::array kInitialSampleTokens{500.0, 2'000.0, 10'000.0};
 // A line that would read faster than this was fitted to noise.
-constexpr double kMostTokensPerMs = 5'000;
+constexpr double kMaxTokensPerMs = 5'000;
 // Engines of one service differ by less.
-constexpr double kMostSlowness = 10;
-// Of an engine's difference to the others, what each of its reads forgets.
-constexpr double kPullToUsual = 0.01;
+constexpr double kMaxSlowness = 10;
+// ServiceFor an engine's difference to the others, what each of its reads
+// forgets.
+constexpr double kSlownessDecay = 0.01;
 
 }  // namespace
 
 PrefillTimes::PrefillTimes(PrefillTimesOptions options)
-    : options_(options), unseen_(MakeService()) {}
+    : options_(options), default_service_(MakeService()) {}
 
 void PrefillTimes::RecordPrefill(Engine& engine,
                                  std::int64_t tokens,
                                  base::Duration took) {
-  Service& service = Of(engine.entry.service);
+  Service& service = ServiceFor(engine.entry.service);
   const double size = std::max(static_cast<double>(tokens), 1.0);
-  const double usual = Fit(service).At(size);
-  const double ms = Believed(base::ToFineMillis(took), usual * engine.slowness);
+  const double expected = Fit(service).At(size);
+  const double ms =
+      ClampOutlier(base::ToFineMillis(took), expected * engine.slowness);
   // The pull towards 1 keeps the engines' common level out of their slowness.
-  engine.slowness += options_.step * (ms / usual - engine.slowness) +
-                     kPullToUsual * (1 - engine.slowness);
-  engine.slowness =
-      std::clamp(engine.slowness, 1 / kMostSlowness, kMostSlowness);
+  engine.slowness +=
+      options_.learning_rate * (ms / expected - engine.slowness) +
+      kSlownessDecay * (1 - engine.slowness);
+  engine.slowness = std::clamp(engine.slowness, 1 / kMaxSlowness, kMaxSlowness);
   const double level = ms / engine.slowness;
-  service.prefill_ms.Fade(options_.memory);
-  service.tokens_squared *= options_.memory;
-  Add(service, size, level);
+  service.prefill_ms.Decay(options_.decay);
+  service.tokens_squared *= options_.decay;
+  AddSample(service, size, level);
 }
 
-void PrefillTimes::Add(Service& service, double tokens, double ms) noexcept {
+void PrefillTimes::AddSample(Service& service,
+                             double tokens,
+                             double ms) noexcept {
   service.prefill_ms.Add(tokens, ms, 1 / tokens);
   service.tokens_squared += tokens * tokens;
 }
@@ -48,71 +52,72 @@
 void PrefillTimes::RecordPrefillAfterFetch(const Engine& engine,
                                            std::int64_t tokens,
                                            base::Duration took) {
-  Service& service = Of(engine.entry.service);
+  Service& service = ServiceFor(engine.entry.service);
   const double rest =
       std::max(base::ToFineMillis(took) - PrefillMs(engine, tokens), 0.0);
-  service.fetch_ms +=
-      options_.step * (Believed(rest, service.fetch_ms) - service.fetch_ms);
+  service.fetch_ms += options_.learning_rate *
+                      (ClampOutlier(rest, service.fetch_ms) - service.fetch_ms);
 }
 
 void PrefillTimes::RecordHandover(const base::ServiceName& name,
                                   base::Duration took) {
-  Service& service = Of(name);
-  const double ms = Believed(base::ToFineMillis(took), service.handover_ms);
-  service.handover_ms += options_.step * (ms - service.handover_ms);
+  Service& service = ServiceFor(name);
+  const double ms = ClampOutlier(base::ToFineMillis(took), service.handover_ms);
+  service.handover_ms += options_.learning_rate * (ms - service.handover_ms);
 }
 
 double PrefillTimes::PrefillMs(const Engine& engine,
                                std::int64_t tokens) const {
   return engine.slowness *
-         Fit(Of(engine.entry.service)).At(static_cast<double>(tokens));
+         Fit(ServiceFor(engine.entry.service)).At(static_cast<double>(tokens));
 }
 
 double PrefillTimes::TokensPerMs(const Engine& engine) const {
-  const Service& service = Of(engine.entry.service);
+  const Service& service = ServiceFor(engine.entry.service);
   const double mean = service.tokens() / service.prefills();
   return mean / (engine.slowness * Fit(service).At(mean));
 }
 
 double PrefillTimes::MeanRemainingTokens(const base::ServiceName& name) const {
-  const Service& service = Of(name);
+  const Service& service = ServiceFor(name);
   return service.tokens_squared / std::max(service.tokens(), 1.0) / 2;
 }
 
 double PrefillTimes::FetchMs(const base::ServiceName& service) const {
-  return Of(service).fetch_ms;
+  return ServiceFor(service).fetch_ms;
 }
 
 double PrefillTimes::HandoverMs(const base::ServiceName& service) const {
-  return Of(service).handover_ms;
+  return ServiceFor(service).handover_ms;
 }
 
 PrefillTimes::Service PrefillTimes::MakeService() const {
   Service service;
-  for (const double size : kPriorSizes) {
-    Add(service, size, size / options_.prior_tokens_per_ms);
+  for (const double size : kInitialSampleTokens) {
+    AddSample(service, size, size / options_.initial_tokens_per_ms);
   }
-  service.fetch_ms = options_.prior_fetch_ms;
-  service.handover_ms = options_.prior_handover_ms;
+  service.fetch_ms = options_.initial_fetch_ms;
+  service.handover_ms = options_.initial_handover_ms;
   return service;
 }
 
-const PrefillTimes::Service& PrefillTimes::Of(
+const PrefillTimes::Service& PrefillTimes::ServiceFor(
     const base::ServiceName& service) const {
   const auto it = services_.find(service);
-  return it == services_.end() ? unseen_ : it->second;
+  return it == services_.end() ? default_service_ : it->second;
 }
 
-PrefillTimes::Service& PrefillTimes::Of(const base::ServiceName& service) {
-  return services_.try_emplace(service, unseen_).first->second;
+PrefillTimes::Service& PrefillTimes::ServiceFor(
+    const base::ServiceName& service) {
+  return services_.try_emplace(service, default_service_).first->second;
 }
 
 Line PrefillTimes::Fit(const Service& service) noexcept {
-  return service.prefill_ms.Fit(1 / kMostTokensPerMs);
+  return service.prefill_ms.Fit(1 / kMaxTokensPerMs);
 }
 
-double PrefillTimes::Believed(double ms, double expected) const noexcept {
-  return std::min(ms, options_.most_surprise * std::max(expected, 1.0));
+double PrefillTimes::ClampOutlier(double ms, double expected) const noexcept {
+  return std::min(ms, options_.max_outlier_ratio * std::max(expected, 1.0));
 }
 
 }  // namespace lynxglade::request::passthrough
--- a/src/request/passthrough/prefill_times.h
+++ b/src/request/passthrough/prefill_times.h
@@ -21,20 +21,20 @@
 struct PrefillTimesOptions {
   // Before anything is seen. Engines of the users' sheets read 38 to 220
   // tokens in a millisecond.
-  double prior_tokens_per_ms = 45;
+  double initial_tokens_per_ms = 45;
   // Set-up and transfer of 245 MB at 370 Gbit/s.
-  double prior_fetch_ms = 12;
+  double initial_fetch_ms = 12;
   // The extra call, the set-up, the transfer and a first step.
-  double prior_handover_ms = 20;
+  double initial_handover_ms = 20;
   // What a read counts for after the next one: 1 / (1 - memory) reads, 33,
   // are remembered, less than two seconds' of a busy instance.
-  double memory = 0.97;
+  double decay = 0.97;
   // A read that took more than so many times what was expected met something
   // that was not known of, and counts as if it had taken so many times.
-  double most_surprise = 2;
-  // Of the difference to what is believed, the part that one more read, fetch
-  // or hand-over changes it by.
-  double step = 0.1;
+  double max_outlier_ratio = 2;
+  // ServiceFor the difference to what is believed, the part that one more read,
+  // fetch or hand-over changes it by.
+  double learning_rate = 0.1;
 };
 
 // Not thread-safe: lives on the event loop.
@@ -82,15 +82,15 @@
   };
 
   Service MakeService() const;
-  static void Add(Service& service, double tokens, double ms) noexcept;
-  const Service& Of(const base::ServiceName& service) const;
-  Service& Of(const base::ServiceName& service);
+  static void AddSample(Service& service, double tokens, double ms) noexcept;
+  const Service& ServiceFor(const base::ServiceName& service) const;
+  Service& ServiceFor(const base::ServiceName& service);
   static Line Fit(const Service& service) noexcept;
   // `ms`, or as much as may be believed of it.
-  double Believed(double ms, double expected) const noexcept;
+  double ClampOutlier(double ms, double expected) const noexcept;
 
   const PrefillTimesOptions options_;
-  const Service unseen_;
+  const Service default_service_;
   std::map<base::ServiceName, Service> services_;
 };
 
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -329,8 +329,8 @@
   }
   status_ = exchange.head().result_int();
   if (runs_ == 1 && terms_.last_event_id.empty()) {
-    parts_.generation_times.LearnSize(service_, terms_.expected_tokens,
-                                      events_.events());
+    parts_.generation_times.RecordAnswerSize(service_, terms_.expected_tokens,
+                                             events_.events());
   }
   co_await reply_.End();
   co_return AttemptEnd::kFinished;
@@ -359,8 +359,8 @@
 void RelayRun::LearnPace(Engine& target, int events, base::Duration took) {
   const base::Time now = parts_.clock();
   if (events > 0 && HasFreshReport(target, now)) {
-    parts_.generation_times.LearnEvent(target, KnownLoad(target, now),
-                                       took / events);
+    parts_.generation_times.RecordEvent(target, KnownLoad(target, now),
+                                        took / events);
   }
 }
 
--- a/tests/request/passthrough/answer_admission_test.cc
+++ b/tests/request/passthrough/answer_admission_test.cc
@@ -58,8 +58,8 @@
     for (milliseconds t{0}; t < time; t += milliseconds(1)) {
       const double step_ms = 0.72 + 0.025 * engine_.in_flight;
       if (!answers_.empty() && t % kEvent == milliseconds(0)) {
-        times_.LearnEvent(engine_, engine_.in_flight,
-                          base::FromFineMillis(kTokensPerEvent * step_ms));
+        times_.RecordEvent(engine_, engine_.in_flight,
+                           base::FromFineMillis(kTokensPerEvent * step_ms));
       }
       for (Answer& answer : answers_) {
         answer.tokens -= 1 / step_ms;
@@ -91,7 +91,8 @@
       return false;
     }
     (answer.is_long ? served_long_ : served_) += whole ? 1 : 0;
-    times_.LearnSize(kService, kTokensPerEvent * kSizedEvents, kSizedEvents);
+    times_.RecordAnswerSize(kService, kTokensPerEvent * kSizedEvents,
+                            kSizedEvents);
     --engine_.in_flight;
     return true;
   }
@@ -144,11 +145,11 @@
   KnownPace() {
     for (int i = 0; i < 2'000; ++i) {
       const int requests = i % 2 == 0 ? 30 : 60;
-      times.LearnEvent(engine, requests,
-                       base::FromFineMillis(42 * (0.75 + 0.025 * requests)));
+      times.RecordEvent(engine, requests,
+                        base::FromFineMillis(42 * (0.75 + 0.025 * requests)));
     }
     for (int i = 0; i < 5; ++i) {
-      times.LearnSize(kService, 42 * 50, 50);
+      times.RecordAnswerSize(kService, 42 * 50, 50);
     }
     answers.Admit(engine, "drafts", kDraft, kNow);
     answers.Admit(engine, "verdicts", kVerdict, kNow);
--- a/tests/request/passthrough/generation_times_test.cc
+++ b/tests/request/passthrough/generation_times_test.cc
@@ -40,8 +40,8 @@
       const double noise = 0.95 + 0.1 * base::UniformReal(random);
       const bool last_wait = base::UniformReal(random) < 0.05;
       const double ms = slowness * (base_ms + slope_ms * requests) * noise;
-      times.LearnEvent(engine, requests,
-                       base::FromFineMillis(last_wait ? 4 * ms : ms));
+      times.RecordEvent(engine, requests,
+                        base::FromFineMillis(last_wait ? 4 * ms : ms));
     }
   }
   // Estimates are off by a factor of two either way, and right in the middle.
@@ -49,7 +49,7 @@
     for (int i = 0; i < answers; ++i) {
       const int events = 10 + static_cast<int>(90 * base::UniformReal(random));
       const double off = std::exp2(2 * base::UniformReal(random) - 1);
-      times.LearnSize(kService, std::llround(40 * events * off), events);
+      times.RecordAnswerSize(kService, std::llround(40 * events * off), events);
     }
   }
 };
@@ -58,11 +58,11 @@
   GenerationTimes times;
   Engine engine = MakeEngine("a");
   const TrueService real{30, 1, base::SeededRandom(1)};
-  EXPECT_FALSE(times.MostRequests(engine, 4'000, seconds(15)));
+  EXPECT_FALSE(times.MaxRequests(engine, 4'000, seconds(15)));
   real.Generate(times, engine, 1, 500);
-  EXPECT_FALSE(times.MostRequests(engine, 4'000, seconds(15)));
+  EXPECT_FALSE(times.MaxRequests(engine, 4'000, seconds(15)));
   real.End(times, 5);
-  EXPECT_TRUE(times.MostRequests(engine, 4'000, seconds(15)));
+  EXPECT_TRUE(times.MaxRequests(engine, 4'000, seconds(15)));
 }
 
 // Answers of a few events say too little of their tokens.
@@ -72,9 +72,9 @@
   const TrueService real{30, 1, base::SeededRandom(1)};
   real.Generate(times, engine, 1, 500);
   for (int i = 0; i < 100; ++i) {
-    times.LearnSize(kService, 200, 1);
+    times.RecordAnswerSize(kService, 200, 1);
   }
-  EXPECT_FALSE(times.MostRequests(engine, 4'000, seconds(15)));
+  EXPECT_FALSE(times.MaxRequests(engine, 4'000, seconds(15)));
 }
 
 // Whatever the pace, the requests found are about those with which the answer
@@ -90,7 +90,7 @@
   const int requests = *rc::gen::inRange(10, 50);
   const double answer_ms = 100 * (real.base_ms + real.slope_ms * requests);
   const auto found =
-      times.MostRequests(engine, 100 * 40, base::FromFineMillis(answer_ms));
+      times.MaxRequests(engine, 100 * 40, base::FromFineMillis(answer_ms));
   RC_ASSERT(found.has_value());
   const double found_ms = 100 * (real.base_ms + real.slope_ms * *found);
   RC_ASSERT(found_ms > 0.7 * answer_ms);
@@ -111,8 +111,8 @@
   real.End(times, 50);
   // An event may take 65 ms: with 35 requests at the fast one, 20 at the other.
   const auto within = base::FromFineMillis(100 * 65);
-  const int at_fast = times.MostRequests(fast, 4'000, within).value_or(0);
-  const int at_slow = times.MostRequests(slow, 4'000, within).value_or(0);
+  const int at_fast = times.MaxRequests(fast, 4'000, within).value_or(0);
+  const int at_slow = times.MaxRequests(slow, 4'000, within).value_or(0);
   EXPECT_NEAR(at_fast, 35, 8);
   EXPECT_NEAR(at_slow, 20, 8);
   EXPECT_GT(at_fast, at_slow + 7);
--- a/tests/request/passthrough/long_answers_test.cc
+++ b/tests/request/passthrough/long_answers_test.cc
@@ -45,11 +45,11 @@
                           now);
   }
   void OnEvent(Engine& engine, base::Duration took, base::Time now) {
-    times_.LearnEvent(engine, KnownLoad(engine, now), took);
+    times_.RecordEvent(engine, KnownLoad(engine, now), took);
   }
   void OnEnd(const Answer& answer) {
-    times_.LearnSize(kService, answer.expected_tokens,
-                     static_cast<int>(answer.made / kTokensPerEvent));
+    times_.RecordAnswerSize(kService, answer.expected_tokens,
+                            static_cast<int>(answer.made / kTokensPerEvent));
   }
 
  private:
--- a/tests/request/passthrough/prefill_times_test.cc
+++ b/tests/request/passthrough/prefill_times_test.cc
@@ -142,7 +142,7 @@
   EXPECT_NEAR(times.FetchMs(kService), 3, 0.5);
   EXPECT_NEAR(times.HandoverMs(kService), 9, 0.5);
   const base::ServiceName other("other");
-  EXPECT_EQ(times.HandoverMs(other), PrefillTimesOptions().prior_handover_ms);
+  EXPECT_EQ(times.HandoverMs(other), PrefillTimesOptions().initial_handover_ms);
 }
 
 // One read that hangs for seconds is no measure of the others.
