--- a/src/request/passthrough/answer_admission.cc
+++ b/src/request/passthrough/answer_admission.cc
@@ -9,13 +9,13 @@
 namespace {
 
 // Bounds what is kept where routes come and go.
-constexpr base::Duration kForgottenAfter = std::chrono::minutes(5);
+constexpr base::Duration kSizesTtl = std::chrono::minutes(5);
 
 double Slots(const Engine& engine) noexcept {
   return std::max(engine.entry.slots, 1);
 }
 
-double LogTokens(const AskedAnswer& asked) noexcept {
+double LogTokens(const RequestedAnswer& asked) noexcept {
   return std::log(static_cast<double>(asked.expected_tokens));
 }
 
@@ -27,36 +27,38 @@
 
 bool AnswerAdmission::Admit(const Engine& engine,
                             const std::string& route,
-                            const AskedAnswer& asked,
+                            const RequestedAnswer& asked,
                             base::Time now) {
   if (asked.expected_tokens <= 0 && asked.max_tokens <= 0) {
     return true;
   }
-  Sizes& sizes = Learn(engine.entry.service, route, asked, now);
+  RouteSizes& sizes = RecordRequest(engine.entry.service, route, asked, now);
   const double capacity = CapacityFor(engine, sizes);
   const bool large = IsLarge(sizes, asked);
-  const double limit =
-      Favours(sizes, large) ? capacity : options_.shared_capacity * capacity;
+  const double limit = MayUseFullCapacity(sizes, large)
+                           ? capacity
+                           : options_.shared_capacity_fraction * capacity;
   // A full engine says so itself.
   const bool admitted =
       capacity >= Slots(engine) || KnownLoad(engine, now) < limit;
   Share& share = large ? sizes.large : sizes.small;
-  share.seen = options_.share_memory * share.seen + 1;
-  share.admitted = options_.share_memory * share.admitted + (admitted ? 1 : 0);
+  share.seen = options_.share_decay * share.seen + 1;
+  share.admitted = options_.share_decay * share.admitted + (admitted ? 1 : 0);
   return admitted;
 }
 
-AnswerAdmission::Sizes& AnswerAdmission::Learn(const base::ServiceName& service,
-                                               const std::string& route,
-                                               const AskedAnswer& asked,
-                                               base::Time now) {
+AnswerAdmission::RouteSizes& AnswerAdmission::RecordRequest(
+    const base::ServiceName& service,
+    const std::string& route,
+    const RequestedAnswer& asked,
+    base::Time now) {
   auto& routes = routes_[service];
   if (!routes.contains(route)) {
     std::erase_if(routes, [&](const auto& it) {
-      return now - it.second.last_at > kForgottenAfter;
+      return now - it.second.last_at > kSizesTtl;
     });
   }
-  Sizes& sizes = routes[route];
+  RouteSizes& sizes = routes[route];
   sizes.max_tokens = asked.max_tokens;
   sizes.timeout = asked.timeout;
   sizes.last_at = now;
@@ -71,16 +73,17 @@
   return sizes;
 }
 
-bool AnswerAdmission::IsLarge(const Sizes& sizes,
-                              const AskedAnswer& asked) const noexcept {
+bool AnswerAdmission::IsLarge(const RouteSizes& sizes,
+                              const RequestedAnswer& asked) const noexcept {
   return asked.expected_tokens > 0 &&
          LogTokens(asked) > sizes.mean_log + options_.larger_deviations *
                                                  std::sqrt(sizes.variance_log);
 }
 
-bool AnswerAdmission::Favours(const Sizes& sizes, bool large) const noexcept {
+bool AnswerAdmission::MayUseFullCapacity(const RouteSizes& sizes,
+                                         bool large) const noexcept {
   const bool large_behind =
-      sizes.large.Part() < options_.large_share * sizes.small.Part();
+      sizes.large.Rate() < options_.large_admission_ratio * sizes.small.Rate();
   return large == large_behind;
 }
 
@@ -91,15 +94,16 @@
     return capacity;
   }
   for (const auto& [route, sizes] : service->second) {
-    if (now - sizes.last_at <= options_.route_memory) {
+    if (now - sizes.last_at <= options_.route_ttl) {
       capacity = std::min(capacity, CapacityFor(engine, sizes));
     }
   }
   return capacity;
 }
 
-std::int64_t AnswerAdmission::LargeTokens(const Sizes& sizes) const noexcept {
-  if (sizes.requests < options_.least_requests && sizes.max_tokens > 0) {
+std::int64_t AnswerAdmission::LargeTokens(
+    const RouteSizes& sizes) const noexcept {
+  if (sizes.requests < options_.min_requests && sizes.max_tokens > 0) {
     return sizes.max_tokens;
   }
   const double log_tokens = sizes.mean_log + options_.large_deviations *
@@ -109,12 +113,12 @@
 }
 
 double AnswerAdmission::CapacityFor(const Engine& engine,
-                                    const Sizes& sizes) const {
+                                    const RouteSizes& sizes) const {
   if (sizes.timeout <= base::Duration::zero()) {
     return Slots(engine);
   }
   const auto within = std::chrono::duration_cast<base::Duration>(
-      options_.part_of_timeout * sizes.timeout);
+      options_.timeout_fraction * sizes.timeout);
   const std::int64_t large = LargeTokens(sizes);
   const auto most = times_.MaxRequests(engine, large, within);
   return most ? *most : DefaultCapacity(engine, large, within);
@@ -124,9 +128,9 @@
                                         std::int64_t tokens,
                                         base::Duration within) const noexcept {
   const double answer_ms =
-      options_.prior_ms_per_token * static_cast<double>(tokens);
+      options_.default_ms_per_token * static_cast<double>(tokens);
   const bool in_time = answer_ms <= base::ToFineMillis(within);
-  return (in_time ? 1 : options_.default_capacity) * Slots(engine);
+  return (in_time ? 1 : options_.default_capacity_fraction) * Slots(engine);
 }
 
 }  // namespace lynxglade::request::passthrough
--- a/src/request/passthrough/relay_run.cc
+++ b/src/request/passthrough/relay_run.cc
@@ -172,9 +172,9 @@
                            options_.admission)) {
     return EndReason::kHopeless;
   }
-  const AskedAnswer asked{.expected_tokens = terms_.expected_tokens,
-                          .max_tokens = terms_.max_tokens,
-                          .timeout = route_->timeout};
+  const RequestedAnswer asked{.expected_tokens = terms_.expected_tokens,
+                              .max_tokens = terms_.max_tokens,
+                              .timeout = route_->timeout};
   if (!parts_.answers.Admit(*pick.runner, route_->name, asked,
                             parts_.clock())) {
     return EndReason::kFilled;
--- a/tests/request/passthrough/answer_admission_test.cc
+++ b/tests/request/passthrough/answer_admission_test.cc
@@ -42,9 +42,9 @@
   // Answers of 300 to 9,000 tokens, 15 s each at most.
   void Arrive() {
     const double tokens = 300 * std::exp(3.4 * base::UniformReal(random_));
-    const AskedAnswer asked{.expected_tokens = std::llround(tokens),
-                            .max_tokens = 9'000,
-                            .timeout = seconds(15)};
+    const RequestedAnswer asked{.expected_tokens = std::llround(tokens),
+                                .max_tokens = 9'000,
+                                .timeout = seconds(15)};
     const bool refused =
         (bounded_ && !admission_.Admit(engine_, kRoute, asked, kNow)) ||
         engine_.in_flight >= engine_.entry.slots;
@@ -132,12 +132,12 @@
 }
 
 // Drafts of up to 9,000 tokens in 15 s, and verdicts of up to 250 in 2 s.
-const AskedAnswer kDraft{.expected_tokens = 2'600,
-                         .max_tokens = 8'946,
-                         .timeout = seconds(15)};
-const AskedAnswer kVerdict{.expected_tokens = 60,
-                           .max_tokens = 252,
-                           .timeout = seconds(2)};
+const RequestedAnswer kDraft{.expected_tokens = 2'600,
+                             .max_tokens = 8'946,
+                             .timeout = seconds(15)};
+const RequestedAnswer kVerdict{.expected_tokens = 60,
+                               .max_tokens = 252,
+                               .timeout = seconds(2)};
 
 // What an instance knows once it has seen a few answers of 42 tokens an event,
 // 1.5 ms a token with 30 requests and 2.25 ms with 60.
