--- a/src/request/passthrough/engine_health.cc
+++ b/src/request/passthrough/engine_health.cc
@@ -9,15 +9,15 @@
 
 void EngineHealth::OnTry(base::Time now) noexcept {
   if (failures_in_a_row_ > 0 && !Avoided(now)) {
-    avoid_until_ = now + options_.avoid_first;
+    avoid_until_ = now + options_.initial_avoidance;
   }
 }
 
 void EngineHealth::OnFailure(base::Time now) noexcept {
-  constexpr int kMostDoublings = 8;
-  const int doublings = std::min(failures_in_a_row_++, kMostDoublings);
-  avoid_until_ = now + std::min(options_.avoid_first * (1 << doublings),
-                                options_.avoid_most);
+  constexpr int kMaxDoublings = 8;
+  const int doublings = std::min(failures_in_a_row_++, kMaxDoublings);
+  avoid_until_ = now + std::min(options_.initial_avoidance * (1 << doublings),
+                                options_.max_avoidance);
 }
 
 void EngineHealth::OnRejection(bool fetches, base::Time now) noexcept {
@@ -34,7 +34,7 @@
 }
 
 bool EngineHealth::RejectsAll() const noexcept {
-  return rejections_in_a_row_ >= options_.most_rejected_fetches;
+  return rejections_in_a_row_ >= options_.max_rejected_fetches;
 }
 
 }  // namespace lynxglade::request::passthrough
--- a/src/request/passthrough/engine_health.h
+++ b/src/request/passthrough/engine_health.h
@@ -12,11 +12,11 @@
 
 struct EngineHealthOptions {
   // After the first failure; twice as long for each further one in a row.
-  base::Duration avoid_first = std::chrono::milliseconds(500);
-  base::Duration avoid_most = std::chrono::seconds(4);
+  base::Duration initial_avoidance = std::chrono::milliseconds(500);
+  base::Duration max_avoidance = std::chrono::seconds(4);
   // Rejections in a row, of requests that came with KV cache to fetch, before
   // the target is taken to reject everything. One may be the cache's fault.
-  int most_rejected_fetches = 2;
+  int max_rejected_fetches = 2;
 };
 
 // Not thread-safe: lives on the event loop.
--- a/src/request/passthrough/engine_table.cc
+++ b/src/request/passthrough/engine_table.cc
@@ -22,15 +22,15 @@
                      base::Time now) noexcept {
   // Longer than an instance is cut off from the store as a rule; one request in
   // that time is no harm.
-  constexpr base::Duration kLeftAlone = std::chrono::seconds(10);
+  constexpr base::Duration kMisdirectedBackoff = std::chrono::seconds(10);
   if (engine.entry_changes == entry_changes) {
-    engine.misdirected_until = now + kLeftAlone;
+    engine.misdirected_until = now + kMisdirectedBackoff;
   }
 }
 
 bool HasFreshReport(const Engine& engine, base::Time now) noexcept {
-  constexpr base::Duration kReportLifetime = std::chrono::seconds(1);
-  return now - engine.reported_at <= kReportLifetime;
+  constexpr base::Duration kReportTtl = std::chrono::seconds(1);
+  return now - engine.reported_at <= kReportTtl;
 }
 
 int KnownLoad(const Engine& engine, base::Time now) noexcept {
@@ -43,19 +43,19 @@
 EngineTable::EngineTable(base::Duration grace) : grace_(grace) {}
 
 void EngineTable::Put(const EngineEntry& entry, base::Time now) {
-  Keep(entry, now);
-  Index();
+  Upsert(entry, now);
+  RebuildIndex();
 }
 
 void EngineTable::Remove(const base::TargetId& id, base::Time now) {
-  Lose(id, now);
-  Index();
+  MarkMissing(id, now);
+  RebuildIndex();
 }
 
 void EngineTable::RemoveInvalid(const base::TargetId& id) {
   missing_.erase(id);
   Drop(id);
-  Index();
+  RebuildIndex();
 }
 
 void EngineTable::Replace(const std::vector<EngineEntry>& entries,
@@ -64,7 +64,7 @@
   std::set<base::TargetId> listed;
   for (const EngineEntry& entry : entries) {
     listed.insert(entry.id);
-    Keep(entry, joined);
+    Upsert(entry, joined);
   }
   std::vector<base::TargetId> gone;
   for (const auto& [id, engine] : engines_) {
@@ -72,11 +72,12 @@
       gone.push_back(id);
     }
   }
-  std::ranges::for_each(gone, [&](const base::TargetId& id) { Lose(id, now); });
-  Index();
+  std::ranges::for_each(
+      gone, [&](const base::TargetId& id) { MarkMissing(id, now); });
+  RebuildIndex();
 }
 
-void EngineTable::Keep(const EngineEntry& entry, base::Time joined) {
+void EngineTable::Upsert(const EngineEntry& entry, base::Time joined) {
   missing_.erase(entry.id);
   EngineHandle& engine = engines_[entry.id];
   if (engine && engine->entry.born != entry.born) {
@@ -96,12 +97,12 @@
   }
 }
 
-void EngineTable::Lose(const base::TargetId& id, base::Time now) {
+void EngineTable::MarkMissing(const base::TargetId& id, base::Time now) {
   if (!engines_.contains(id)) {
     return;
   }
-  const base::Time grace_end = returned_at_ + grace_;
-  if (returned_at_ != base::Time{} && now < grace_end) {
+  const base::Time grace_end = store_returned_at_ + grace_;
+  if (store_returned_at_ != base::Time{} && now < grace_end) {
     missing_.emplace(id, grace_end);
     return;
   }
@@ -109,7 +110,7 @@
 }
 
 void EngineTable::OnStoreReturned(base::Time now) noexcept {
-  returned_at_ = now;
+  store_returned_at_ = now;
 }
 
 void EngineTable::Expire(base::Time now) {
@@ -122,7 +123,7 @@
     return true;
   });
   if (engines_.size() != before) {
-    Index();
+    RebuildIndex();
   }
 }
 
@@ -155,7 +156,7 @@
   engines_.erase(it);
 }
 
-void EngineTable::Index() {
+void EngineTable::RebuildIndex() {
   by_service_.clear();
   for (const auto& [id, engine] : engines_) {
     by_service_[engine->entry.service].push_back(engine);
--- a/src/request/passthrough/engine_table.h
+++ b/src/request/passthrough/engine_table.h
@@ -150,14 +150,14 @@
   std::size_t size() const noexcept { return engines_.size(); }
 
  private:
-  // The steps of Put() and Remove(); Index() has to follow.
-  void Keep(const EngineEntry& entry, base::Time joined);
-  void Lose(const base::TargetId& id, base::Time now);
+  // The steps of Put() and Remove(); RebuildIndex() has to follow.
+  void Upsert(const EngineEntry& entry, base::Time joined);
+  void MarkMissing(const base::TargetId& id, base::Time now);
   void Drop(const base::TargetId& id);
-  void Index();
+  void RebuildIndex();
 
   const base::Duration grace_;
-  base::Time returned_at_{};
+  base::Time store_returned_at_{};
   std::map<base::TargetId, EngineHandle> engines_;
   // Entries that vanished within the grace, and when they are dropped.
   std::map<base::TargetId, base::Time> missing_;
--- a/src/request/passthrough/event_splitter.cc
+++ b/src/request/passthrough/event_splitter.cc
@@ -20,18 +20,18 @@
 }  // namespace
 
 std::string EventSplitter::Feed(std::string_view bytes) {
-  tail_.append(bytes);
-  const std::size_t end = EndOfLastEvent(tail_);
+  partial_.append(bytes);
+  const std::size_t end = EndOfLastEvent(partial_);
   if (end == std::string_view::npos) {
     return {};
   }
-  std::string whole = tail_.substr(0, end);
-  tail_.erase(0, end);
-  NoteIds(whole);
+  std::string whole = partial_.substr(0, end);
+  partial_.erase(0, end);
+  RecordIds(whole);
   return whole;
 }
 
-void EventSplitter::NoteIds(std::string_view events) {
+void EventSplitter::RecordIds(std::string_view events) {
   constexpr std::string_view kField = "id:";
   while (!events.empty()) {
     const std::size_t end = events.find('\n');
--- a/src/request/passthrough/event_splitter.h
+++ b/src/request/passthrough/event_splitter.h
@@ -14,19 +14,19 @@
   // Takes the next bytes; returns the whole events that they complete.
   std::string Feed(std::string_view bytes);
   // Forgets a torn event, before another engine goes on.
-  void DropTail() noexcept { tail_.clear(); }
+  void DiscardPartial() noexcept { partial_.clear(); }
 
   // The bytes of an event that has not ended.
-  const std::string& tail() const noexcept { return tail_; }
+  const std::string& partial() const noexcept { return partial_; }
   // The id of the last whole event; empty if none had one.
   const std::string& last_id() const noexcept { return last_id_; }
   // Whole events with an id so far.
   int events() const noexcept { return events_; }
 
  private:
-  void NoteIds(std::string_view events);
+  void RecordIds(std::string_view events);
 
-  std::string tail_;
+  std::string partial_;
   std::string last_id_;
   int events_ = 0;
 };
--- a/src/request/passthrough/peer_avoidance.cc
+++ b/src/request/passthrough/peer_avoidance.cc
@@ -23,26 +23,28 @@
                         const std::vector<AvoidedEngine>& avoided,
                         base::Time now) {
   for (const AvoidedEngine& it : avoided) {
-    until_[it.engine][peer] = now + std::min(it.left, options_.most);
+    avoided_until_[it.engine][peer] =
+        now + std::min(it.left, options_.max_duration);
   }
-  for (auto& [engine, by_peer] : until_) {
+  for (auto& [engine, by_peer] : avoided_until_) {
     std::erase_if(by_peer, [now](const auto& it) { return it.second <= now; });
   }
-  std::erase_if(until_, [](const auto& it) { return it.second.empty(); });
+  std::erase_if(avoided_until_,
+                [](const auto& it) { return it.second.empty(); });
 }
 
 bool PeerAvoidance::Avoided(const base::TargetId& engine,
                             base::Time now) const {
-  if (until_.empty()) {
+  if (avoided_until_.empty()) {
     return false;
   }
-  const auto it = until_.find(KeyOf(engine));
-  if (it == until_.end()) {
+  const auto it = avoided_until_.find(KeyOf(engine));
+  if (it == avoided_until_.end()) {
     return false;
   }
   const auto observers = std::ranges::count_if(
       it->second, [now](const auto& peer) { return peer.second > now; });
-  return static_cast<std::size_t>(observers) >= options_.least_observers;
+  return static_cast<std::size_t>(observers) >= options_.min_observers;
 }
 
 }  // namespace lynxglade::request::passthrough
--- a/src/request/passthrough/peer_avoidance.h
+++ b/src/request/passthrough/peer_avoidance.h
@@ -28,10 +28,10 @@
 
 struct PeerAvoidanceOptions {
   // Other instances that must avoid a target.
-  std::size_t least_observers = 2;
+  std::size_t min_observers = 2;
   // What one says counts for so long at most, as a target that is back is to be
   // used.
-  base::Duration most = std::chrono::milliseconds(1000);
+  base::Duration max_duration = std::chrono::milliseconds(1000);
 };
 
 // What this instance avoids by its own requests, for the others.
@@ -55,7 +55,7 @@
  private:
   const PeerAvoidanceOptions options_;
   // Until when, by engine and instance.
-  std::map<EngineKey, std::map<base::InstanceId, base::Time>> until_;
+  std::map<EngineKey, std::map<base::InstanceId, base::Time>> avoided_until_;
 };
 
 }  // namespace lynxglade::request::passthrough
--- a/src/request/passthrough/peer_prefills.cc
+++ b/src/request/passthrough/peer_prefills.cc
@@ -49,7 +49,7 @@
   std::int64_t sum = 0;
   for (const auto& [peer, entry] : it->second) {
     if (entry.priority <= priority &&
-        now - entry.heard_at <= options_.lifetime) {
+        now - entry.received_at <= options_.report_ttl) {
       sum += entry.prefill_tokens;
     }
   }
--- a/src/request/passthrough/peer_prefills.h
+++ b/src/request/passthrough/peer_prefills.h
@@ -31,7 +31,7 @@
 
 struct PeerPrefillsOptions {
   // What an instance said counts for so long: four of its reports may be lost.
-  base::Duration lifetime = std::chrono::milliseconds(500);
+  base::Duration report_ttl = std::chrono::milliseconds(500);
 };
 
 // What this instance has engines read, for the others.
@@ -61,7 +61,7 @@
   struct Entry {
     int priority = 0;
     std::int64_t prefill_tokens = 0;
-    base::Time heard_at{};
+    base::Time received_at{};
   };
   using ByPeer = std::multimap<base::InstanceId, Entry>;
 
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -318,11 +318,11 @@
     co_return AttemptEnd::kFinished;
   }
   if (exchange.state() != ExchangeState::kWhole) {
-    events_.DropTail();
+    events_.DiscardPartial();
     co_return EndOfBroken(exchange, target);
   }
-  if (events && !events_.tail().empty()) {
-    co_await PassPiece(exchange, *target, 0, events_.tail());
+  if (events && !events_.partial().empty()) {
+    co_await PassPiece(exchange, *target, 0, events_.partial());
   }
   if (!reply_.begun()) {
     reply_.Begin(HeadForCaller(exchange.head()));
--- a/src/request/passthrough/zone_health.h
+++ b/src/request/passthrough/zone_health.h
@@ -19,11 +19,11 @@
 struct ZoneHealthOptions {
   // Different targets in a row. Fewer would take a few crashed engines for a
   // cut: of 90, the users lose up to 23 at once.
-  std::size_t targets = 3;
+  std::size_t min_unreachable_targets = 3;
   // Failures longer ago say nothing any more.
-  base::Duration memory = std::chrono::milliseconds(2000);
+  base::Duration failure_ttl = std::chrono::milliseconds(2000);
   // Between requests that try a zone that is cut off.
-  base::Duration try_every = std::chrono::milliseconds(500);
+  base::Duration probe_interval = std::chrono::milliseconds(500);
 };
 
 // Not thread-safe: lives on the event loop.
@@ -51,12 +51,12 @@
     std::set<base::TargetId> unreachable;
     base::Time last_failure{};
     // No request before then.
-    base::Time next_try{};
+    base::Time next_probe{};
   };
 
   // Whether enough targets in a row speak against the zone.
-  bool Doubted(const Zone& zone) const noexcept {
-    return zone.unreachable.size() >= options_.targets;
+  bool IsSuspect(const Zone& zone) const noexcept {
+    return zone.unreachable.size() >= options_.min_unreachable_targets;
   }
 
   const ZoneHealthOptions options_;
--- a/tests/process/avoidance_sharing_test.cc
+++ b/tests/process/avoidance_sharing_test.cc
@@ -76,7 +76,7 @@
     EngineTable engines;
     // One observer is enough here: there is no other.
     PeerAvoidance avoidance{
-        {.least_observers = 1, .most = std::chrono::hours(1)}};
+        {.min_observers = 1, .max_duration = std::chrono::hours(1)}};
     AvoidanceSharing sharing;
   };
 
--- a/tests/request/passthrough/engine_health_test.cc
+++ b/tests/request/passthrough/engine_health_test.cc
@@ -82,7 +82,7 @@
         RC_ASSERT(!health.Avoided(now));
     }
   }
-  RC_ASSERT(!health.Avoided(now + EngineHealthOptions().avoid_most));
+  RC_ASSERT(!health.Avoided(now + EngineHealthOptions().max_avoidance));
 }
 
 }  // namespace
--- a/tests/request/passthrough/event_splitter_test.cc
+++ b/tests/request/passthrough/event_splitter_test.cc
@@ -12,7 +12,7 @@
   EventSplitter events;
   EXPECT_EQ(events.Feed("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
   EXPECT_EQ(events.last_id(), "1");
-  EXPECT_EQ(events.tail(), "id: 2\nda");
+  EXPECT_EQ(events.partial(), "id: 2\nda");
   EXPECT_EQ(events.Feed("ta: b\n\n"), "id: 2\ndata: b\n\n");
   EXPECT_EQ(events.last_id(), "2");
   EXPECT_EQ(events.events(), 2);
@@ -21,7 +21,7 @@
 TEST(EventSplitter, AnotherEngineGoesOnAfterTheLastWholeEvent) {
   EventSplitter events;
   events.Feed("id: 1\ndata: a\n\nid: 2\ndata");
-  events.DropTail();
+  events.DiscardPartial();
   EXPECT_EQ(events.Feed("id: 2\ndata: b\n\n"), "id: 2\ndata: b\n\n");
 }
 
--- a/tests/request/passthrough/peer_prefills_test.cc
+++ b/tests/request/passthrough/peer_prefills_test.cc
@@ -87,7 +87,7 @@
   }
   std::int64_t sum = 0;
   for (const auto& [peer, row] : last) {
-    sum += now - row.second <= PeerPrefillsOptions().lifetime ? row.first : 0;
+    sum += now - row.second <= PeerPrefillsOptions().report_ttl ? row.first : 0;
   }
   RC_ASSERT(prefills.PrefillTokens(kEngine, 0, now) == sum);
 }
--- a/tests/request/passthrough/zone_health_test.cc
+++ b/tests/request/passthrough/zone_health_test.cc
@@ -92,7 +92,8 @@
         zones.OnUnreachable(kZone, Target(*rc::gen::inRange(0, 5)), now);
     }
   }
-  RC_ASSERT(!zones.IsUnreachable(kZone, now + ZoneHealthOptions().try_every));
+  RC_ASSERT(
+      !zones.IsUnreachable(kZone, now + ZoneHealthOptions().probe_interval));
 }
 
 }  // namespace
