--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -225,7 +225,7 @@
   Exchange exchange(parts_.channels);
   current_ = &exchange;
   const ExchangeState state = co_await exchange.Start(
-      *endpoint, Message(terms), AnswerFilter(), !route_->MayRepeat());
+      *endpoint, Message(terms), AnswerFilter(), !route_->CanRetry());
   NoteReach(*target, exchange);
   use.OnPrefillDone(parts_.clock());
   AttemptEnd end = AttemptEnd::kNotRun;
--- a/src/request/passthrough/relay_run.cc
+++ b/src/request/passthrough/relay_run.cc
@@ -186,7 +186,7 @@
   if (route_->kind != RouteKind::kStream) {
     return TimeLeft();
   }
-  return std::min(TimeLeft(), route_->PausePatience() - Elapsed());
+  return std::min(TimeLeft(), route_->EventTimeout() - Elapsed());
 }
 
 int RelayRun::Priority() const noexcept {
@@ -311,7 +311,7 @@
   if (end == AttemptEnd::kTorn && !route_->resumable) {
     return false;
   }
-  return route_->MayRepeat() && runs_ < route_->max_attempts;
+  return route_->CanRetry() && runs_ < route_->max_attempts;
 }
 
 Awaitable<void> RelayRun::Finish(AttemptEnd end) {
--- a/src/request/passthrough/route_table.cc
+++ b/src/request/passthrough/route_table.cc
@@ -23,12 +23,12 @@
 
 // The users' protocol page: two seconds, four times the goal or eight times the
 // pause, whichever is longest.
-base::Duration Route::PausePatience() const noexcept {
+base::Duration Route::EventTimeout() const noexcept {
   constexpr base::Duration kLeast = std::chrono::seconds(2);
   return std::max({kLeast, 4 * target_latency, 8 * pause_target});
 }
 
-bool Route::MayRepeat() const noexcept {
+bool Route::CanRetry() const noexcept {
   return kind == RouteKind::kIdempotent ||
          (kind == RouteKind::kStream && resumable);
 }
--- a/src/request/passthrough/route_table.h
+++ b/src/request/passthrough/route_table.h
@@ -51,9 +51,9 @@
 
   // How long a stream's caller waits for an event, the first included, before
   // it leaves.
-  base::Duration PausePatience() const noexcept;
+  base::Duration EventTimeout() const noexcept;
   // Whether a request of unknown outcome may be sent to another engine.
-  bool MayRepeat() const noexcept;
+  bool CanRetry() const noexcept;
 };
 
 // What a caller may send, and how long it may take.
--- a/tests/request/passthrough/latency_admission_test.cc
+++ b/tests/request/passthrough/latency_admission_test.cc
@@ -174,11 +174,11 @@
 // A stream's caller leaves after a silence, long before its whole time is up.
 TEST(GoalAdmission, AStreamsCallerWaitsAsLongForTheFirstEventAsForOthers) {
   Route route;
-  EXPECT_EQ(route.PausePatience(), seconds(2));
+  EXPECT_EQ(route.EventTimeout(), seconds(2));
   route.target_latency = milliseconds(800);
-  EXPECT_EQ(route.PausePatience(), milliseconds(3'200));
+  EXPECT_EQ(route.EventTimeout(), milliseconds(3'200));
   route.pause_target = milliseconds(600);
-  EXPECT_EQ(route.PausePatience(), milliseconds(4'800));
+  EXPECT_EQ(route.EventTimeout(), milliseconds(4'800));
 }
 
 }  // namespace
--- a/tests/request/passthrough/route_table_test.cc
+++ b/tests/request/passthrough/route_table_test.cc
@@ -53,15 +53,15 @@
 TEST(RouteTable, WhatMayBeRepeatedFollowsFromTheKind) {
   Route route;
   route.kind = RouteKind::kIdempotent;
-  EXPECT_TRUE(route.MayRepeat());
+  EXPECT_TRUE(route.CanRetry());
   route.kind = RouteKind::kNonIdempotent;
-  EXPECT_FALSE(route.MayRepeat());
+  EXPECT_FALSE(route.CanRetry());
   route.resumable = true;
-  EXPECT_FALSE(route.MayRepeat());
+  EXPECT_FALSE(route.CanRetry());
   route.kind = RouteKind::kStream;
-  EXPECT_TRUE(route.MayRepeat());
+  EXPECT_TRUE(route.CanRetry());
   route.resumable = false;
-  EXPECT_FALSE(route.MayRepeat());
+  EXPECT_FALSE(route.CanRetry());
 }
 
 TEST(RouteTable, WithoutWeightThereIsNoService) {
