--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -91,7 +91,7 @@
   Awaitable<void> WaitForStop();
   Awaitable<void> Drain();
   void Spawn(Awaitable<void> task);
-  request::passthrough::RelayParts MakeRelayParts();
+  request::passthrough::RelayDependencies MakeRelayParts();
   // What instances tell each other, at this address.
   void JoinPeers(const process::Endpoint& endpoint);
   process::PrefixFollowerHooks OwnKeysHooks();
@@ -286,7 +286,7 @@
   };
 }
 
-request::passthrough::RelayParts EntryDaemon::Details::MakeRelayParts() {
+request::passthrough::RelayDependencies EntryDaemon::Details::MakeRelayParts() {
   return {.loop = loop,
           .channels = channels,
           .engines = views.engines(),
--- a/src/request/passthrough/relay.cc
+++ b/src/request/passthrough/relay.cc
@@ -6,7 +6,7 @@
 
 namespace lynxglade::request::passthrough {
 
-Relay::Relay(RelayParts parts, RelayOptions options)
+Relay::Relay(RelayDependencies parts, RelayOptions options)
     : parts_(std::move(parts)), options_(options) {}
 
 connection::event::Awaitable<void> Relay::Serve(
--- a/src/request/passthrough/relay.h
+++ b/src/request/passthrough/relay.h
@@ -40,22 +40,22 @@
   // and back takes 4 ms at most between availability zones, and 17 KB of a
   // prompt 7 ms at 20 Mbit/s. Held until they are answered, 656 readings a
   // second of up to two seconds take more than the allowance of 295 instances.
-  base::Duration rejected_within = std::chrono::milliseconds(50);
+  base::Duration rejection_window = std::chrono::milliseconds(50);
   // What cannot be paid for waits so long for what is held to be released, and
   // for other instances to lend (a few ms away); tried again that often. Then a
   // retry is denied; a prompt that cannot be read apart is refused, or read by
   // the engine that runs it if it is short.
-  base::Duration loan_patience = std::chrono::milliseconds(500);
-  base::Duration loan_retry = std::chrono::milliseconds(10);
+  base::Duration budget_timeout = std::chrono::milliseconds(500);
+  base::Duration budget_poll_interval = std::chrono::milliseconds(10);
   // Targets that a request may find unreachable before it is refused. They cost
   // no one but its caller, 300 ms each at most.
   int max_unreachable = 4;
   LatencyAdmissionOptions admission;
   // An answer that is no stream is held until it is whole, so that a torn one
   // never reaches the caller; beyond this size it is passed on piece by piece.
-  std::size_t max_held_bytes = std::size_t{256} * 1024;
+  std::size_t max_buffered_bytes = std::size_t{256} * 1024;
   // Before it is worth sending a request again.
-  base::Duration least_time_left = std::chrono::milliseconds(30);
+  base::Duration min_time_left = std::chrono::milliseconds(30);
   // What refused callers are told to wait: this, or a part of the time that
   // they have left if that is longer, plus up to as much again, so that they do
   // not come back together. Bursts last for seconds, and most callers come back
@@ -63,11 +63,11 @@
   base::Duration retry_after = std::chrono::milliseconds(300);
   double retry_after_of_time_left = 0.1;
   // Where the configuration names no timeout and the caller no patience.
-  base::Duration default_patience = std::chrono::seconds(30);
+  base::Duration default_timeout = std::chrono::seconds(30);
 };
 
 // The parts of the process that a request uses; they outlive the relay.
-struct RelayParts {
+struct RelayDependencies {
   connection::event::asio::io_context& loop;
   connection::event::ChannelPool& channels;
   EngineTable& engines;
@@ -94,7 +94,7 @@
 // Not thread-safe: lives on the event loop.
 class Relay {
  public:
-  explicit Relay(RelayParts parts, RelayOptions options = {});
+  explicit Relay(RelayDependencies parts, RelayOptions options = {});
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
@@ -104,7 +104,7 @@
       connection::event::CallerReply& reply);
 
  private:
-  RelayParts parts_;
+  RelayDependencies parts_;
   const RelayOptions options_;
 };
 
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -86,7 +86,7 @@
     co_return false;
   }
   connection::event::asio::steady_timer timer(parts_.loop,
-                                              options_.rejected_within);
+                                              options_.rejection_window);
   timer.async_wait([this, held, alive = alive_](const ErrorCode& ec) {
     if (!ec && *alive && *held) {
       parts_.allowance.Release(service_, **held, parts_.clock());
@@ -276,7 +276,7 @@
                                          const EngineHandle& target) {
   std::string body;
   while (exchange.state() == ExchangeState::kHead &&
-         body.size() <= options_.max_held_bytes) {
+         body.size() <= options_.max_buffered_bytes) {
     body.append(co_await exchange.Next());
   }
   if (exchange.state() == ExchangeState::kHead) {
--- a/src/request/passthrough/relay_run.cc
+++ b/src/request/passthrough/relay_run.cc
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-RelayRun::RelayRun(RelayParts& parts,
+RelayRun::RelayRun(RelayDependencies& parts,
                    const RelayOptions& options,
                    std::shared_ptr<connection::event::CallerRequest> request,
                    connection::event::CallerReply& reply)
@@ -94,7 +94,7 @@
 }
 
 void RelayRun::SetDeadline(std::optional<base::Duration> patience) {
-  base::Duration wait = patience.value_or(options_.default_patience);
+  base::Duration wait = patience.value_or(options_.default_timeout);
   if (route_->timeout > base::Duration::zero()) {
     wait = std::min(wait, route_->timeout);
   }
@@ -257,7 +257,7 @@
 
 Awaitable<bool> RelayRun::PayOrWait(
     const std::function<bool(base::Time now)>& pay) {
-  const base::Time last = parts_.clock() + options_.loan_patience;
+  const base::Time last = parts_.clock() + options_.budget_timeout;
   while (!Stopped()) {
     const base::Time now = parts_.clock();
     if (pay(now)) {
@@ -266,7 +266,7 @@
     if (now >= last) {
       break;
     }
-    co_await SleepFor(parts_.loop, options_.loan_retry);
+    co_await SleepFor(parts_.loop, options_.budget_poll_interval);
   }
   co_return false;
 }
@@ -300,7 +300,7 @@
 
 bool RelayRun::MayGoOn(AttemptEnd end) const {
   if (end == AttemptEnd::kStopped || Stopped() ||
-      TimeLeft() < options_.least_time_left) {
+      TimeLeft() < options_.min_time_left) {
     return false;
   }
   if (end == AttemptEnd::kNotRun) {
--- a/src/request/passthrough/relay_run.h
+++ b/src/request/passthrough/relay_run.h
@@ -54,7 +54,7 @@
 
 class RelayRun {
  public:
-  RelayRun(RelayParts& parts,
+  RelayRun(RelayDependencies& parts,
            const RelayOptions& options,
            std::shared_ptr<connection::event::CallerRequest> request,
            connection::event::CallerReply& reply);
@@ -146,7 +146,7 @@
   void LogAttempt(const EnginePick& pick, AttemptEnd end) const;
   void LogEnd() const;
 
-  RelayParts& parts_;
+  RelayDependencies& parts_;
   const RelayOptions& options_;
   std::shared_ptr<connection::event::CallerRequest> request_;
   connection::event::CallerReply& reply_;
--- a/tests/platform/first_reads_test.cc
+++ b/tests/platform/first_reads_test.cc
@@ -68,7 +68,7 @@
 };
 
 TEST_F(UsedUpShareTest, AFirstReadingWaitsForALoan) {
-  options_.loan_patience = std::chrono::seconds(20);
+  options_.budget_timeout = std::chrono::seconds(20);
   const ScriptedServer& reader = AddTarget(Read, EngineStage::kPrefill);
   AddTarget([](const std::string& request) {
     return Stream(request, 1, 2, Then::kKeep);
@@ -83,7 +83,7 @@
 }
 
 TEST_F(UsedUpShareTest, ARetryWaitsForALoan) {
-  options_.loan_patience = std::chrono::seconds(20);
+  options_.budget_timeout = std::chrono::seconds(20);
   bool rejected = false;
   const auto once = [&rejected](const std::string& request) {
     return std::exchange(rejected, true) ? Ok(request) : NotRun(request);
@@ -98,7 +98,7 @@
 // The load this answers: engines that crash in series use the fleet's retries
 // up; long prompts read by engines that generate then made streams fail.
 TEST_F(UsedUpShareTest, WithoutALoanALongPromptIsRefused) {
-  options_.loan_patience = base::Duration::zero();
+  options_.budget_timeout = base::Duration::zero();
   const ScriptedServer& reader = AddTarget(Read, EngineStage::kPrefill);
   const ScriptedServer& runner = AddTarget([](const std::string& request) {
     return Stream(request, 1, 2, Then::kKeep);
@@ -112,7 +112,7 @@
 }
 
 TEST_F(UsedUpShareTest, WithoutALoanAShortPromptIsReadByTheRunner) {
-  options_.loan_patience = base::Duration::zero();
+  options_.budget_timeout = base::Duration::zero();
   const ScriptedServer& reader = AddTarget(Read, EngineStage::kPrefill);
   const ScriptedServer& runner = AddTarget([](const std::string& request) {
     return Stream(request, 1, 2, Then::kKeep);
--- a/tests/platform/relay_fixture.cc
+++ b/tests/platform/relay_fixture.cc
@@ -131,7 +131,7 @@
 
 void RelayTest::StartRelay() {
   relay_ = std::make_unique<request::passthrough::Relay>(
-      request::passthrough::RelayParts{
+      request::passthrough::RelayDependencies{
           .loop = loop_,
           .channels = channels_,
           .engines = engines_,
