--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -31,7 +31,7 @@
 constexpr unsigned kFirstServerFailure = 500;
 // An answer of a target to a call that frees KV cache, or to a read-only call.
 constexpr std::size_t kMaxSideAnswerBytes = std::size_t{64} * 1024;
-constexpr base::Duration kFreePatience = std::chrono::milliseconds(500);
+constexpr base::Duration kReleaseTimeout = std::chrono::milliseconds(500);
 
 AnswerHead HeadForCaller(const ResponseHead& head) {
   AnswerHead answer;
@@ -51,24 +51,24 @@
 }  // namespace
 
 // An engine with free slots that runs other requests cannot have the cache.
-Awaitable<void> RelayRun::NoteRejectedFetch(const Engine& runner) {
+Awaitable<void> RelayRun::HandleRejectedFetch(const Engine& runner) {
   if (IsFull(runner) || runner.health.RejectsAll()) {
     co_return;
   }
-  ++failed_reads_;
+  ++failed_prefills_;
   tried_.push_back(source_->engine->entry.id);
   source_->engine->health.OnFailure(parts_.clock());
   parts_.metrics.GetCounter("lynxglade_kv_fetches_rejected_total").Add();
-  co_await FreeSource();
+  co_await ReleaseKvSource();
 }
 
 // The first reading that an engine accepts is no arrival beyond the request's
 // first, one that is rejected or unanswered is: its price is set aside before
 // it is sent. Later ones are paid for as attempts.
-Awaitable<bool> RelayRun::ReadPrompt(const EnginePick& pick) {
+Awaitable<bool> RelayRun::PrefillPrompt(const EnginePick& pick) {
   bool may_count = false;
-  if (accepted_reads_ > 0) {
-    co_return co_await SendRead(pick, &may_count);
+  if (accepted_prefills_ > 0) {
+    co_return co_await SendPrefill(pick, &may_count);
   }
   const auto held = std::make_shared<std::optional<ReservedArrivals>>();
   const std::function<bool(base::Time)> hold = [&](base::Time now) {
@@ -76,9 +76,9 @@
         service_, 1, ArrivalPurpose::kFirstPrefill, parts_.instances(), now);
     return held->has_value();
   };
-  const bool paid = co_await PayOrWait(hold);
+  const bool paid = co_await WaitForBudget(hold);
   if (!paid) {
-    reads_denied_ = true;
+    prefill_denied_ = true;
     parts_.metrics
         .GetCounter("lynxglade_retry_denials_total",
                     {{"reason", "first_reading"}})
@@ -93,7 +93,7 @@
       held->reset();
     }
   });
-  const bool read = co_await SendRead(pick, &may_count);
+  const bool read = co_await SendPrefill(pick, &may_count);
   if (*held && may_count) {
     parts_.allowance.Charge(service_, **held);
   } else if (*held) {
@@ -105,10 +105,10 @@
   co_return read;
 }
 
-Awaitable<bool> RelayRun::SendRead(const EnginePick& pick, bool* may_count) {
+Awaitable<bool> RelayRun::SendPrefill(const EnginePick& pick, bool* may_count) {
   const auto endpoint = EndpointOf(*pick.prefill_engine);
   if (!endpoint) {
-    ++failed_reads_;
+    ++failed_prefills_;
     co_return false;
   }
   const base::Time begun = parts_.clock();
@@ -120,17 +120,17 @@
   terms.priority = Priority();
   terms.prefill_only = true;
   terms.fetch_from = pick.fetch_from;
-  NoteTry(*pick.prefill_engine);
+  RecordAttempt(*pick.prefill_engine);
   const int entry_changes = pick.prefill_engine->entry_changes;
   Exchange exchange(parts_.channels);
   current_ = &exchange;
   const ExchangeState state = co_await exchange.Start(
       *endpoint, Message(terms), AnswerFilter(), /*careful=*/false);
-  NoteReach(*pick.prefill_engine, exchange);
+  RecordReach(*pick.prefill_engine, exchange);
   bool rejected = false;
   if (state == ExchangeState::kHead || state == ExchangeState::kWhole) {
     const AnswerInfo facts = parts_.protocol.parse_answer(exchange.head());
-    NoteLoad(*pick.prefill_engine, facts);
+    RecordLoad(*pick.prefill_engine, facts);
     if (facts.misdirected) {
       MarkMisdirected(*pick.prefill_engine, entry_changes, parts_.clock());
     }
@@ -149,12 +149,12 @@
     use.OnPrefillDone(parts_.clock());
     RecordPrefill(pick, parts_.clock() - begun);
     pick.prefill_engine->health.OnAccepted();
-    ++accepted_reads_;
-    prompt_read_at_ = Elapsed();
+    ++accepted_prefills_;
+    prefilled_at_ = Elapsed();
     co_return true;
   }
   // An engine that could not be reached has read nothing in vain.
-  failed_reads_ += state == ExchangeState::kNotSent ? 0 : 1;
+  failed_prefills_ += state == ExchangeState::kNotSent ? 0 : 1;
   if (!Stopped()) {
     pick.prefill_engine->health.OnFailure(parts_.clock());
     parts_.metrics.GetCounter("lynxglade_prompt_reads_failed_total").Add();
@@ -187,7 +187,7 @@
 }
 
 // The cache would hold memory until its time runs out.
-Awaitable<void> RelayRun::FreeSource() {
+Awaitable<void> RelayRun::ReleaseKvSource() {
   if (!source_) {
     co_return;
   }
@@ -198,11 +198,11 @@
   }
   // What cannot be freed is given up by its engine when its time runs out.
   co_await Call(parts_.loop, parts_.channels, *endpoint,
-                parts_.protocol.free_handle(source), {.timeout = kFreePatience},
-                nullptr);
+                parts_.protocol.free_handle(source),
+                {.timeout = kReleaseTimeout}, nullptr);
 }
 
-Awaitable<AttemptEnd> RelayRun::RunAt(const EnginePick& pick) {
+Awaitable<AttemptEnd> RelayRun::SendRequest(const EnginePick& pick) {
   const EngineHandle target = pick.runner;
   const auto endpoint = EndpointOf(*target);
   tried_.push_back(target->entry.id);
@@ -220,36 +220,36 @@
   terms.fetch_from = prefills ? pick.fetch_from : nullptr;
   terms.last_event_id =
       events_.last_id().empty() ? terms_.last_event_id : events_.last_id();
-  NoteTry(*target);
+  RecordAttempt(*target);
   const int entry_changes = target->entry_changes;
   Exchange exchange(parts_.channels);
   current_ = &exchange;
   const ExchangeState state = co_await exchange.Start(
       *endpoint, Message(terms), AnswerFilter(), !route_->CanRetry());
-  NoteReach(*target, exchange);
+  RecordReach(*target, exchange);
   use.OnPrefillDone(parts_.clock());
   AttemptEnd end = AttemptEnd::kNotRun;
   if (state == ExchangeState::kHead || state == ExchangeState::kWhole) {
-    end = co_await TakeAnswer(exchange, target, entry_changes);
+    end = co_await HandleAnswer(exchange, target, entry_changes);
   } else {
     runs_ += exchange.sent() ? 1 : 0;
-    end = EndOfBroken(exchange, target);
+    end = EndAfterFailure(exchange, target);
   }
   current_ = nullptr;
   co_return end;
 }
 
-Awaitable<AttemptEnd> RelayRun::TakeAnswer(Exchange& exchange,
-                                           const EngineHandle& target,
-                                           int entry_changes) {
+Awaitable<AttemptEnd> RelayRun::HandleAnswer(Exchange& exchange,
+                                             const EngineHandle& target,
+                                             int entry_changes) {
   const AnswerInfo facts = parts_.protocol.parse_answer(exchange.head());
-  NoteLoad(*target, facts);
+  RecordLoad(*target, facts);
   if (facts.misdirected) {
     MarkMisdirected(*target, entry_changes, parts_.clock());
   }
   const unsigned status = exchange.head().result_int();
   if (facts.outcome == base::Outcome::kNotRun) {
-    NoteRejection(*target, facts);
+    RecordRejection(*target, facts);
     co_await exchange.Rest(kMaxSideAnswerBytes);
     co_return Stopped() ? AttemptEnd::kStopped : AttemptEnd::kNotRun;
   }
@@ -259,21 +259,21 @@
   }
   if (status < kFirstFailure && !facts.authenticated) {
     exchange.Cancel();
-    co_return EndOfBroken(exchange, target);
+    co_return EndAfterFailure(exchange, target);
   }
   const bool stream =
       route_->kind == RouteKind::kStream && status < kFirstFailure;
   if (stream) {
-    co_return co_await PassStream(exchange, target);
+    co_return co_await ForwardStream(exchange, target);
   }
   if (reply_.begun()) {
-    co_return AttemptEnd::kTorn;
+    co_return AttemptEnd::kBroken;
   }
-  co_return co_await TakeHeld(exchange, target);
+  co_return co_await ForwardBuffered(exchange, target);
 }
 
-Awaitable<AttemptEnd> RelayRun::TakeHeld(Exchange& exchange,
-                                         const EngineHandle& target) {
+Awaitable<AttemptEnd> RelayRun::ForwardBuffered(Exchange& exchange,
+                                                const EngineHandle& target) {
   std::string body;
   while (exchange.state() == ExchangeState::kHead &&
          body.size() <= options_.max_buffered_bytes) {
@@ -285,14 +285,14 @@
     if (!sent) {
       co_return AttemptEnd::kFinished;
     }
-    co_return co_await PassStream(exchange, target);
+    co_return co_await ForwardStream(exchange, target);
   }
   if (exchange.state() != ExchangeState::kWhole) {
-    co_return EndOfBroken(exchange, target);
+    co_return EndAfterFailure(exchange, target);
   }
   AnswerHead head = HeadForCaller(exchange.head());
   if (head.status >= kFirstServerFailure) {
-    kept_ = KeptAnswer{std::move(head), std::move(body)};
+    saved_answer_ = SavedAnswer{std::move(head), std::move(body)};
     co_return AttemptEnd::kFailed;
   }
   status_ = head.status;
@@ -300,8 +300,8 @@
   co_return AttemptEnd::kFinished;
 }
 
-Awaitable<AttemptEnd> RelayRun::PassStream(Exchange& exchange,
-                                           const EngineHandle& target) {
+Awaitable<AttemptEnd> RelayRun::ForwardStream(Exchange& exchange,
+                                              const EngineHandle& target) {
   const bool events = route_->kind == RouteKind::kStream;
   bool sent = true;
   while (sent && exchange.state() == ExchangeState::kHead) {
@@ -309,8 +309,8 @@
     const int events_before = events_.events();
     const std::string piece = events ? events_.Feed(bytes) : std::string(bytes);
     if (!piece.empty()) {
-      sent = co_await PassPiece(exchange, *target,
-                                events_.events() - events_before, piece);
+      sent = co_await ForwardPiece(exchange, *target,
+                                   events_.events() - events_before, piece);
     }
   }
   if (!sent) {
@@ -319,10 +319,10 @@
   }
   if (exchange.state() != ExchangeState::kWhole) {
     events_.DiscardPartial();
-    co_return EndOfBroken(exchange, target);
+    co_return EndAfterFailure(exchange, target);
   }
   if (events && !events_.partial().empty()) {
-    co_await PassPiece(exchange, *target, 0, events_.partial());
+    co_await ForwardPiece(exchange, *target, 0, events_.partial());
   }
   if (!reply_.begun()) {
     reply_.Begin(HeadForCaller(exchange.head()));
@@ -336,27 +336,27 @@
   co_return AttemptEnd::kFinished;
 }
 
-Awaitable<bool> RelayRun::PassPiece(Exchange& exchange,
-                                    Engine& target,
-                                    int events,
-                                    std::string_view bytes) {
+Awaitable<bool> RelayRun::ForwardPiece(Exchange& exchange,
+                                       Engine& target,
+                                       int events,
+                                       std::string_view bytes) {
   const base::Duration now = Elapsed();
   if (!reply_.begun()) {
     first_bytes_at_ = now;
-    if (prompt_read_at_) {
-      parts_.prefill_times.RecordHandover(service_, now - *prompt_read_at_);
+    if (prefilled_at_) {
+      parts_.prefill_times.RecordHandover(service_, now - *prefilled_at_);
     }
     reply_.Begin(HeadForCaller(exchange.head()));
   } else {
     longest_pause_ = std::max(longest_pause_, now - last_bytes_at_);
-    LearnPace(target, events, now - last_bytes_at_);
+    RecordPace(target, events, now - last_bytes_at_);
   }
   last_bytes_at_ = now;
   co_return co_await reply_.SendPiece(bytes);
 }
 
 // Without a report of late nothing is known of what others have there.
-void RelayRun::LearnPace(Engine& target, int events, base::Duration took) {
+void RelayRun::RecordPace(Engine& target, int events, base::Duration took) {
   const base::Time now = parts_.clock();
   if (events > 0 && HasFreshReport(target, now)) {
     parts_.generation_times.RecordEvent(target, KnownLoad(target, now),
@@ -364,8 +364,8 @@
   }
 }
 
-AttemptEnd RelayRun::EndOfBroken(Exchange& exchange,
-                                 const EngineHandle& target) {
+AttemptEnd RelayRun::EndAfterFailure(Exchange& exchange,
+                                     const EngineHandle& target) {
   const bool sent = exchange.sent();
   if (sent) {
     outcome_unknown_ = true;
@@ -377,15 +377,15 @@
   if (!sent) {
     return AttemptEnd::kNotRun;
   }
-  return reply_.begun() ? AttemptEnd::kTorn : AttemptEnd::kUnknown;
+  return reply_.begun() ? AttemptEnd::kBroken : AttemptEnd::kUnknown;
 }
 
-void RelayRun::NoteTry(Engine& engine) {
+void RelayRun::RecordAttempt(Engine& engine) {
   engine.health.OnTry(parts_.clock());
   parts_.zones.OnTry(engine.entry.zone, parts_.clock());
 }
 
-void RelayRun::NoteReach(const Engine& engine, const Exchange& exchange) {
+void RelayRun::RecordReach(const Engine& engine, const Exchange& exchange) {
   const ExchangeState state = exchange.state();
   if (state == ExchangeState::kHead || state == ExchangeState::kWhole) {
     parts_.zones.OnReached(engine.entry.zone);
@@ -399,7 +399,7 @@
   }
 }
 
-void RelayRun::NoteRejection(Engine& runner, const AnswerInfo& facts) {
+void RelayRun::RecordRejection(Engine& runner, const AnswerInfo& facts) {
   ++rejections_;
   if (facts.misdirected) {
     runner.health.OnFailure(parts_.clock());
@@ -408,7 +408,7 @@
   }
 }
 
-void RelayRun::NoteLoad(Engine& engine, const AnswerInfo& facts) {
+void RelayRun::RecordLoad(Engine& engine, const AnswerInfo& facts) {
   if (facts.load) {
     engine.reported = *facts.load;
     engine.reported_at = parts_.clock();
--- a/src/request/passthrough/relay_report.cc
+++ b/src/request/passthrough/relay_report.cc
@@ -34,9 +34,9 @@
     Refusal{EndReason::kMalformedTerms, 400, "Bad Request", false},
     Refusal{EndReason::kNoService, 503, "Service Unavailable", true},
     Refusal{EndReason::kNoTarget, 503, "Service Unavailable", true},
-    Refusal{EndReason::kHopeless, 503, "Service Unavailable", true},
-    Refusal{EndReason::kFilled, 503, "Service Unavailable", true},
-    Refusal{EndReason::kAllowance, 503, "Service Unavailable", true},
+    Refusal{EndReason::kWaitTooLong, 503, "Service Unavailable", true},
+    Refusal{EndReason::kNoCapacity, 503, "Service Unavailable", true},
+    Refusal{EndReason::kRetryBudget, 503, "Service Unavailable", true},
     Refusal{EndReason::kRejected, 503, "Service Unavailable", true},
     Refusal{EndReason::kUnknownOutcome, 502, "Bad Gateway", false},
     Refusal{EndReason::kTimeout, 504, "Gateway Timeout", false},
@@ -70,11 +70,11 @@
       return "no_service";
     case EndReason::kNoTarget:
       return "no_target";
-    case EndReason::kHopeless:
+    case EndReason::kWaitTooLong:
       return "hopeless";
-    case EndReason::kFilled:
+    case EndReason::kNoCapacity:
       return "filled";
-    case EndReason::kAllowance:
+    case EndReason::kRetryBudget:
       return "allowance";
     case EndReason::kRejected:
       return "rejected";
@@ -96,7 +96,7 @@
       return "failed";
     case AttemptEnd::kUnknown:
       return "unknown";
-    case AttemptEnd::kTorn:
+    case AttemptEnd::kBroken:
       return "torn";
     case AttemptEnd::kStopped:
       break;
@@ -104,9 +104,10 @@
   return "stopped";
 }
 
-Awaitable<void> RelayRun::SendKept() {
-  status_ = kept_->head.status;
-  co_await reply_.SendWhole(std::move(kept_->head), kept_->body);
+Awaitable<void> RelayRun::SendSavedAnswer() {
+  status_ = saved_answer_->head.status;
+  co_await reply_.SendWhole(std::move(saved_answer_->head),
+                            saved_answer_->body);
 }
 
 Awaitable<void> RelayRun::Refuse(EndReason reason) {
@@ -134,7 +135,7 @@
   co_await reply_.SendWhole(std::move(head), {});
 }
 
-void RelayRun::LogUnwanted(const EnginePick& pick, EndReason reason) const {
+void RelayRun::LogNotAttempted(const EnginePick& pick, EndReason reason) const {
   const Engine& runner = *pick.runner;
   const base::Time now = parts_.clock();
   Log(LogLevel::kInfo, "not_attempted",
@@ -177,7 +178,7 @@
        {"targets_age_ms", base::ToMillis(parts_.view_age())},
        {"configuration", table_->version()},
        {"end", ToString(end)},
-       {"prompt_read_ms", MillisOrNone(prompt_read_at_)},
+       {"prompt_read_ms", MillisOrNone(prefilled_at_)},
        {"first_bytes_ms", MillisOrNone(first_bytes_at_)},
        {"longest_pause_ms", base::ToMillis(longest_pause_)},
        {"ms", base::ToMillis(Elapsed())}});
--- a/src/request/passthrough/relay_run.cc
+++ b/src/request/passthrough/relay_run.cc
@@ -22,7 +22,7 @@
 namespace http = connection::event::http;
 
 // Times a prompt's separate reading may fail before the run goes without.
-constexpr int kMaxFailedReads = 1;
+constexpr int kMaxFailedPrefills = 1;
 
 std::string_view PathOf(std::string_view target) {
   return target.substr(0, target.find('?'));
@@ -93,8 +93,8 @@
   return std::nullopt;
 }
 
-void RelayRun::SetDeadline(std::optional<base::Duration> patience) {
-  base::Duration wait = patience.value_or(options_.default_timeout);
+void RelayRun::SetDeadline(std::optional<base::Duration> timeout) {
+  base::Duration wait = timeout.value_or(options_.default_timeout);
   if (route_->timeout > base::Duration::zero()) {
     wait = std::min(wait, route_->timeout);
   }
@@ -122,18 +122,18 @@
     if (!pick.runner) {
       break;
     }
-    if (reads_denied_ && runs_ == 0 &&
+    if (prefill_denied_ && runs_ == 0 &&
         parts_.choice.PrefillStallsDecode(pick)) {
       // Read by the engine that runs it, it would make streams of others fail.
-      co_await Refuse(EndReason::kAllowance);
+      co_await Refuse(EndReason::kRetryBudget);
       co_return;
     }
-    if (const auto reason = first ? Unwanted(pick) : std::nullopt) {
-      LogUnwanted(pick, *reason);
+    if (const auto reason = first ? CheckFirstAttempt(pick) : std::nullopt) {
+      LogNotAttempted(pick, *reason);
       co_await Refuse(*reason);
       co_return;
     }
-    const auto paid = co_await Pay(pick, end);
+    const auto paid = co_await ReserveRetry(pick, end);
     if (!paid) {
       break;
     }
@@ -145,14 +145,14 @@
       parts_.allowance.Release(service_, *paid, parts_.clock());
     }
     LogAttempt(pick, end);
-    if (end == AttemptEnd::kFinished || !MayGoOn(end)) {
+    if (end == AttemptEnd::kFinished || !MayRetry(end)) {
       break;
     }
   }
   if (end != AttemptEnd::kFinished) {
     co_await Finish(end);
   }
-  co_await FreeSource();
+  co_await ReleaseKvSource();
 }
 
 EnginePick RelayRun::PickFirst() {
@@ -167,22 +167,23 @@
   return Pick();
 }
 
-std::optional<EndReason> RelayRun::Unwanted(const EnginePick& pick) const {
-  if (ExceedsCallerTimeout({pick.wait, pick.expected}, TimeToBegin(),
+std::optional<EndReason> RelayRun::CheckFirstAttempt(
+    const EnginePick& pick) const {
+  if (ExceedsCallerTimeout({pick.wait, pick.expected}, FirstByteTimeout(),
                            options_.admission)) {
-    return EndReason::kHopeless;
+    return EndReason::kWaitTooLong;
   }
-  const RequestedAnswer asked{.expected_tokens = terms_.expected_tokens,
-                              .max_tokens = terms_.max_tokens,
-                              .timeout = route_->timeout};
-  if (!parts_.answers.Admit(*pick.runner, route_->name, asked,
+  const RequestedAnswer answer{.expected_tokens = terms_.expected_tokens,
+                               .max_tokens = terms_.max_tokens,
+                               .timeout = route_->timeout};
+  if (!parts_.answers.Admit(*pick.runner, route_->name, answer,
                             parts_.clock())) {
-    return EndReason::kFilled;
+    return EndReason::kNoCapacity;
   }
   return std::nullopt;
 }
 
-base::Duration RelayRun::TimeToBegin() const {
+base::Duration RelayRun::FirstByteTimeout() const {
   if (route_->kind != RouteKind::kStream) {
     return TimeLeft();
   }
@@ -201,8 +202,8 @@
       .priority = Priority(),
       .tried = tried_,
       .max_in_flight = MaxInFlight(),
-      .allow_separate_prefill =
-          failed_reads_ <= kMaxFailedReads && runs_ == 0 && !reads_denied_,
+      .allow_separate_prefill = failed_prefills_ <= kMaxFailedPrefills &&
+                                runs_ == 0 && !prefill_denied_,
       .now = parts_.clock()};
   if (!source_) {
     return parts_.choice.Pick(engines, query);
@@ -215,20 +216,21 @@
 
 int RelayRun::MaxInFlight() const {
   // Idle connections count at the target, too, and counts of instances lag.
-  constexpr int kLeast = 4;
+  constexpr int kMin = 4;
   const ServiceTerms* service = table_->FindService(service_);
   if (!service || service->max_connections == 0) {
     return std::numeric_limits<int>::max();
   }
   return std::max(service->max_connections / std::max(parts_.instances(), 1),
-                  kLeast);
+                  kMin);
 }
 
-Awaitable<std::optional<ReservedArrivals>> RelayRun::Pay(const EnginePick& pick,
-                                                         AttemptEnd after) {
+Awaitable<std::optional<ReservedArrivals>> RelayRun::ReserveRetry(
+    const EnginePick& pick,
+    AttemptEnd after) {
   const bool prefills = pick.prefill_engine && !source_;
   const int arrivals = (runs_ + rejections_ > 0 ? 1 : 0) +
-                       (prefills && accepted_reads_ > 0 ? 1 : 0);
+                       (prefills && accepted_prefills_ > 0 ? 1 : 0);
   if (arrivals == 0) {
     co_return parts_.allowance.TryReserve(service_, 0, ArrivalPurpose::kRetry,
                                           parts_.instances(), parts_.clock());
@@ -239,7 +241,7 @@
         service_, arrivals, ArrivalPurpose::kRetry, parts_.instances(), now);
     return held.has_value();
   };
-  const bool paid = co_await PayOrWait(hold);
+  const bool paid = co_await WaitForBudget(hold);
   parts_.metrics
       .GetCounter(
           paid ? "lynxglade_retries_total" : "lynxglade_retry_denials_total",
@@ -255,7 +257,7 @@
   co_return held;
 }
 
-Awaitable<bool> RelayRun::PayOrWait(
+Awaitable<bool> RelayRun::WaitForBudget(
     const std::function<bool(base::Time now)>& pay) {
   const base::Time last = parts_.clock() + options_.budget_timeout;
   while (!Stopped()) {
@@ -273,7 +275,7 @@
 
 Awaitable<AttemptEnd> RelayRun::Attempt(EnginePick pick) {
   if (pick.prefill_engine && !source_) {
-    const bool read = co_await ReadPrompt(pick);
+    const bool read = co_await PrefillPrompt(pick);
     if (Stopped()) {
       co_return AttemptEnd::kStopped;
     }
@@ -287,9 +289,9 @@
     }
   }
   const int rejections_before = rejections_;
-  const AttemptEnd end = co_await RunAt(pick);
+  const AttemptEnd end = co_await SendRequest(pick);
   if (source_ && rejections_ > rejections_before) {
-    co_await NoteRejectedFetch(*pick.runner);
+    co_await HandleRejectedFetch(*pick.runner);
   }
   if (end != AttemptEnd::kNotRun) {
     // Fetched, or bound to a run of unknown outcome.
@@ -298,17 +300,17 @@
   co_return end;
 }
 
-bool RelayRun::MayGoOn(AttemptEnd end) const {
+bool RelayRun::MayRetry(AttemptEnd end) const {
   if (end == AttemptEnd::kStopped || Stopped() ||
       TimeLeft() < options_.min_time_left) {
     return false;
   }
   if (end == AttemptEnd::kNotRun) {
     return rejections_ <= options_.max_rejections &&
-           failed_reads_ <= kMaxFailedReads + 1 &&
+           failed_prefills_ <= kMaxFailedPrefills + 1 &&
            unreachable_ <= options_.max_unreachable;
   }
-  if (end == AttemptEnd::kTorn && !route_->resumable) {
+  if (end == AttemptEnd::kBroken && !route_->resumable) {
     return false;
   }
   return route_->CanRetry() && runs_ < route_->max_attempts;
@@ -324,8 +326,8 @@
     reply_.Abort();
     co_return;
   }
-  if (kept_) {
-    co_await SendKept();
+  if (saved_answer_) {
+    co_await SendSavedAnswer();
     co_return;
   }
   if (outcome_unknown_) {
--- a/src/request/passthrough/relay_run.h
+++ b/src/request/passthrough/relay_run.h
@@ -26,9 +26,9 @@
   kMalformedTerms,
   kNoService,
   kNoTarget,
-  kHopeless,
-  kFilled,
-  kAllowance,
+  kWaitTooLong,
+  kNoCapacity,
+  kRetryBudget,
   kRejected,
   kUnknownOutcome,
   kTimeout,
@@ -46,7 +46,7 @@
   // It may have run.
   kUnknown,
   // A stream broke off after events that the caller has.
-  kTorn,
+  kBroken,
   // The caller left or the time is up.
   kStopped,
 };
@@ -71,7 +71,7 @@
 
   // Finds route, service and deadline; a reason if the request ends here.
   std::optional<EndReason> Admit();
-  void SetDeadline(std::optional<base::Duration> patience);
+  void SetDeadline(std::optional<base::Duration> timeout);
   void StartTimer();
   // Attempts until one is final.
   Awaitable<void> RunAttempts();
@@ -81,68 +81,69 @@
   // The first attempt's engines; decides whether the request is late.
   EnginePick PickFirst();
   // Why the first attempt is better not made, if so.
-  std::optional<EndReason> Unwanted(const EnginePick& pick) const;
+  std::optional<EndReason> CheckFirstAttempt(const EnginePick& pick) const;
   // How long the caller will wait for the first byte.
-  base::Duration TimeToBegin() const;
+  base::Duration FirstByteTimeout() const;
   // 0 is the most urgent; late requests come after all that can be in time.
   int Priority() const noexcept;
   // Sets aside what an attempt adds to the request's first arrival; waits a
   // little for loans if the share is used up. Nothing if it is denied.
-  Awaitable<std::optional<ReservedArrivals>> Pay(const EnginePick& pick,
-                                                 AttemptEnd after);
+  Awaitable<std::optional<ReservedArrivals>> ReserveRetry(
+      const EnginePick& pick,
+      AttemptEnd after);
   Awaitable<AttemptEnd> Attempt(EnginePick pick);
   // Has the prompt read and sets source_; false if that failed. The arrival is
   // paid for if it counts.
-  Awaitable<bool> ReadPrompt(const EnginePick& pick);
+  Awaitable<bool> PrefillPrompt(const EnginePick& pick);
   // Tries to pay until it succeeds; false after a little, or once the request
   // is stopped.
-  Awaitable<bool> PayOrWait(const std::function<bool(base::Time now)>& pay);
-  // As ReadPrompt(); `may_count` is set if the reading reached its engine and
-  // was not accepted.
-  Awaitable<bool> SendRead(const EnginePick& pick, bool* may_count);
+  Awaitable<bool> WaitForBudget(const std::function<bool(base::Time now)>& pay);
+  // As PrefillPrompt(); `may_count` is set if the reading reached its engine
+  // and was not accepted.
+  Awaitable<bool> SendPrefill(const EnginePick& pick, bool* may_count);
   // What a read tells of its engine.
   void RecordPrefill(const EnginePick& pick, base::Duration took);
   // Gives back KV cache that no engine will fetch.
-  Awaitable<void> FreeSource();
+  Awaitable<void> ReleaseKvSource();
   // A run that was to fetch KV cache was rejected: for the engine's own
   // reasons, or since the cache is not to be had.
-  Awaitable<void> NoteRejectedFetch(const Engine& runner);
-  Awaitable<AttemptEnd> RunAt(const EnginePick& pick);
+  Awaitable<void> HandleRejectedFetch(const Engine& runner);
+  Awaitable<AttemptEnd> SendRequest(const EnginePick& pick);
   // `entry_changes`: of the target's entry when the request was sent.
-  Awaitable<AttemptEnd> TakeAnswer(Exchange& exchange,
-                                   const EngineHandle& target,
-                                   int entry_changes);
-  Awaitable<AttemptEnd> TakeHeld(Exchange& exchange,
-                                 const EngineHandle& target);
-  Awaitable<AttemptEnd> PassStream(Exchange& exchange,
-                                   const EngineHandle& target);
+  Awaitable<AttemptEnd> HandleAnswer(Exchange& exchange,
+                                     const EngineHandle& target,
+                                     int entry_changes);
+  Awaitable<AttemptEnd> ForwardBuffered(Exchange& exchange,
+                                        const EngineHandle& target);
+  Awaitable<AttemptEnd> ForwardStream(Exchange& exchange,
+                                      const EngineHandle& target);
   // `events`: that the piece completes.
-  Awaitable<bool> PassPiece(Exchange& exchange,
-                            Engine& target,
-                            int events,
-                            std::string_view bytes);
+  Awaitable<bool> ForwardPiece(Exchange& exchange,
+                               Engine& target,
+                               int events,
+                               std::string_view bytes);
   // The piece came `took` after the one before it.
-  void LearnPace(Engine& target, int events, base::Duration took);
-  AttemptEnd EndOfBroken(Exchange& exchange, const EngineHandle& target);
+  void RecordPace(Engine& target, int events, base::Duration took);
+  AttemptEnd EndAfterFailure(Exchange& exchange, const EngineHandle& target);
   // Whether another attempt may follow.
-  bool MayGoOn(AttemptEnd end) const;
+  bool MayRetry(AttemptEnd end) const;
   Awaitable<void> Finish(AttemptEnd end);
   Awaitable<void> Refuse(EndReason reason);
-  Awaitable<void> SendKept();
+  Awaitable<void> SendSavedAnswer();
   // A request is about to go to the engine.
-  void NoteTry(Engine& engine);
+  void RecordAttempt(Engine& engine);
   // How far it got there.
-  void NoteReach(const Engine& engine, const Exchange& exchange);
+  void RecordReach(const Engine& engine, const Exchange& exchange);
   // `runner` did not run the request.
-  void NoteRejection(Engine& runner, const AnswerInfo& facts);
-  void NoteLoad(Engine& engine, const AnswerInfo& facts);
+  void RecordRejection(Engine& runner, const AnswerInfo& facts);
+  void RecordLoad(Engine& engine, const AnswerInfo& facts);
   connection::event::OutgoingRequest Message(const SendTerms& terms) const;
   connection::event::AnswerFilter AnswerFilter() const;
   base::Duration Elapsed() const;
   base::Duration TimeLeft() const;
   bool Stopped() const noexcept;
   // The state of the engine for which the first attempt was not made.
-  void LogUnwanted(const EnginePick& pick, EndReason reason) const;
+  void LogNotAttempted(const EnginePick& pick, EndReason reason) const;
   void LogAttempt(const EnginePick& pick, AttemptEnd end) const;
   void LogEnd() const;
 
@@ -168,30 +169,30 @@
   // Attempts that ran or may have run.
   int runs_ = 0;
   int rejections_ = 0;
-  int failed_reads_ = 0;
+  int failed_prefills_ = 0;
   // Engines that could not be reached; that costs nobody anything but time.
   int unreachable_ = 0;
   // Calls that may have reached an engine.
   int arrivals_ = 0;
   // Calls to have the prompt read that an engine accepted; the first is free.
-  int accepted_reads_ = 0;
+  int accepted_prefills_ = 0;
   // A first reading could not be paid for if it was rejected: the engine that
   // runs the request reads, if that holds up nothing.
-  bool reads_denied_ = false;
+  bool prefill_denied_ = false;
   // KV cache of this request's prompt that waits to be fetched.
   std::optional<KvSource> source_;
   bool outcome_unknown_ = false;
   EventSplitter events_;
   // A failure that a target answered with, for the caller if no other attempt
   // does better.
-  struct KeptAnswer {
+  struct SavedAnswer {
     connection::event::AnswerHead head;
     std::string body;
   };
-  std::optional<KeptAnswer> kept_;
+  std::optional<SavedAnswer> saved_answer_;
   // For the log lines: when the prompt was read and when the answer's first
   // bytes came, both since the request's arrival.
-  std::optional<base::Duration> prompt_read_at_;
+  std::optional<base::Duration> prefilled_at_;
   std::optional<base::Duration> first_bytes_at_;
   base::Duration last_bytes_at_{};
   base::Duration longest_pause_{};
--- a/src/request/passthrough/route_table.cc
+++ b/src/request/passthrough/route_table.cc
@@ -24,8 +24,8 @@
 // The users' protocol page: two seconds, four times the goal or eight times the
 // pause, whichever is longest.
 base::Duration Route::EventTimeout() const noexcept {
-  constexpr base::Duration kLeast = std::chrono::seconds(2);
-  return std::max({kLeast, 4 * target_latency, 8 * pause_target});
+  constexpr base::Duration kMin = std::chrono::seconds(2);
+  return std::max({kMin, 4 * target_latency, 8 * pause_target});
 }
 
 bool Route::CanRetry() const noexcept {
--- a/src/request/passthrough/shared_retry_budget.cc
+++ b/src/request/passthrough/shared_retry_budget.cc
@@ -24,7 +24,8 @@
     base::Time now) {
   Account& account = Find(service);
   const double borrowed = Borrowed(account, now);
-  const double own = std::max(Own(account, PartFor(use), instances, now), 0.0);
+  const double own =
+      std::max(OwnRemaining(account, FractionFor(use), instances, now), 0.0);
   if (borrowed + own < arrivals) {
     if (on_short_) {
       on_short_(service, arrivals - borrowed - own);
@@ -32,19 +33,19 @@
     return std::nullopt;
   }
   ReservedArrivals held;
-  held.held_at = now;
+  held.reserved_at = now;
   if (!account.loans.empty()) {
     held.borrowed_until = account.loans.front().until;
   }
   held.borrowed = std::min<double>(borrowed, arrivals);
   held.own = arrivals - held.borrowed;
-  TakeLoans(account, held.borrowed);
+  SpendLoans(account, held.borrowed);
   account.held += held.own;
-  ++account.holds;
+  ++account.reservations;
   return held;
 }
 
-void SharedRetryBudget::TakeLoans(Account& account, double arrivals) {
+void SharedRetryBudget::SpendLoans(Account& account, double arrivals) {
   for (Loan& loan : account.loans) {
     const double part = std::min(loan.arrivals, arrivals);
     loan.arrivals -= part;
@@ -57,7 +58,7 @@
                                 const ReservedArrivals& held,
                                 base::Time now) {
   Account& account = Find(service);
-  Unhold(account, held);
+  DropReservation(account, held);
   if (held.borrowed > 0 && held.borrowed_until > now) {
     AddLoan(account, {held.borrowed_until, held.borrowed});
   }
@@ -66,9 +67,9 @@
 void SharedRetryBudget::Charge(const base::ServiceName& service,
                                const ReservedArrivals& held) {
   Account& account = Find(service);
-  Unhold(account, held);
+  DropReservation(account, held);
   if (held.own > 0) {
-    account.spent.Add(held.own, held.held_at);
+    account.spent.Add(held.own, held.reserved_at);
   }
 }
 
@@ -82,9 +83,9 @@
                                int instances,
                                base::Time now) {
   Account& account = Find(service);
-  const double lent =
-      std::min(std::max(wanted, options_.min_loan),
-               Own(account, options_.max_retry_fraction, instances, now));
+  const double lent = std::min(
+      std::max(wanted, options_.min_loan),
+      OwnRemaining(account, options_.max_retry_fraction, instances, now));
   if (lent < options_.min_loan) {
     return 0;
   }
@@ -98,10 +99,11 @@
   AddLoan(Find(service), {asked_at + options_.loan_ttl, arrivals});
 }
 
-void SharedRetryBudget::Unhold(Account& account, const ReservedArrivals& held) {
+void SharedRetryBudget::DropReservation(Account& account,
+                                        const ReservedArrivals& held) {
   account.held -= held.own;
-  --account.holds;
-  if (account.holds == 0) {
+  --account.reservations;
+  if (account.reservations == 0) {
     // What rounding has left.
     account.held = 0;
   }
@@ -112,15 +114,15 @@
   return accounts_.try_emplace(service, options_).first->second;
 }
 
-double SharedRetryBudget::PartFor(ArrivalPurpose use) const noexcept {
+double SharedRetryBudget::FractionFor(ArrivalPurpose use) const noexcept {
   return use == ArrivalPurpose::kFirstPrefill ? options_.max_fraction
                                               : options_.max_retry_fraction;
 }
 
-double SharedRetryBudget::Own(Account& account,
-                              double part,
-                              int instances,
-                              base::Time now) const {
+double SharedRetryBudget::OwnRemaining(Account& account,
+                                       double part,
+                                       int instances,
+                                       base::Time now) const {
   const double earned = options_.ratio * account.requests.Total(now);
   const double granted = options_.allowance / std::max(instances, 1);
   return part * (earned + granted) - account.spent.Total(now) -
--- a/src/request/passthrough/shared_retry_budget.h
+++ b/src/request/passthrough/shared_retry_budget.h
@@ -54,7 +54,7 @@
   double borrowed = 0;
   // When the first of these loans ends.
   base::Time borrowed_until{};
-  base::Time held_at{};
+  base::Time reserved_at{};
 };
 
 // What arrivals are for.
@@ -129,7 +129,7 @@
     SlidingWindowSum lent;
     // Of the own share; and arrivals held in all.
     double held = 0;
-    int holds = 0;
+    int reservations = 0;
     // Left of what was borrowed, those that end first in front.
     std::vector<Loan> loans;
   };
@@ -137,15 +137,15 @@
   Account& Find(const base::ServiceName& service);
   // Left of the own share if so much of it may be spent; below 0 if less was
   // left of it before, or the share has shrunk.
-  double Own(Account& account,
-             double part,
-             int instances,
-             base::Time now) const;
+  double OwnRemaining(Account& account,
+                      double part,
+                      int instances,
+                      base::Time now) const;
   static double Borrowed(Account& account, base::Time now);
-  double PartFor(ArrivalPurpose use) const noexcept;
-  static void TakeLoans(Account& account, double arrivals);
+  double FractionFor(ArrivalPurpose use) const noexcept;
+  static void SpendLoans(Account& account, double arrivals);
   static void AddLoan(Account& account, const Loan& loan);
-  static void Unhold(Account& account, const ReservedArrivals& held);
+  static void DropReservation(Account& account, const ReservedArrivals& held);
   const SharedRetryBudgetOptions options_;
   const OnShortfall on_short_;
   std::map<base::ServiceName, Account> accounts_;
