--- a/src/main/daemon_hooks.cc
+++ b/src/main/daemon_hooks.cc
@@ -286,14 +286,14 @@
 // Facts from peers go to the part that they concern.
 void Daemon::Details::SubscribeToViews() {
   const auto to_fleet = [this](const process::ViewItem& item) {
-    fleet.Hear(item);
+    fleet.OnFact(item);
   };
   const auto to_configuration = [this](const process::ViewItem& item) {
     configuration.Hear(item);
   };
   views.Subscribe(process::ViewKind::kTarget,
                   [this](const process::ViewItem& item) {
-                    fleet.Hear(item);
+                    fleet.OnFact(item);
                     orders->Hear(item);
                   });
   views.Subscribe(process::ViewKind::kLoad, to_fleet);
--- a/src/process/fleet_watch.cc
+++ b/src/process/fleet_watch.cc
@@ -40,7 +40,7 @@
   list_task_.reset();
 }
 
-void FleetWatch::Hear(const ViewItem& item) {
+void FleetWatch::OnFact(const ViewItem& item) {
   if (item.kind == ViewKind::kTarget) {
     registry_.OnTargetView(item);
   } else if (item.kind == ViewKind::kListed) {
--- a/src/process/fleet_watch.h
+++ b/src/process/fleet_watch.h
@@ -81,7 +81,7 @@
   void Stop();
 
   // A fact of the kind kLoad, kTarget or kListed from a peer.
-  void Hear(const ViewItem& item);
+  void OnFact(const ViewItem& item);
 
   // Whether the targets of the own zone are known well enough to serve: a list
   // has come, from the platform or whole from peers, and each of them said what
