--- a/src/main/daemon_hooks.cc
+++ b/src/main/daemon_hooks.cc
@@ -254,7 +254,7 @@
     views.Publish(std::move(item));
   };
   hooks.zone_members = [this] { return ZoneMembers(); };
-  hooks.should_tell = [this] { return ShouldWatch(); };
+  hooks.should_publish_list = [this] { return ShouldWatch(); };
   hooks.listed_facts = [this] {
     return views.Snapshot(process::ViewKind::kListed);
   };
--- a/src/process/fleet_watch.cc
+++ b/src/process/fleet_watch.cc
@@ -116,7 +116,7 @@
 void FleetWatch::TellOfList() {
   const connection::InstanceList::Handle list = list_.Get();
   if (hooks_.clock() - started_ < options_.publish_after ||
-      !hooks_.should_tell() || list->revision == told_) {
+      !hooks_.should_publish_list() || list->revision == told_) {
     return;
   }
   const std::vector<ViewItem> news =
--- a/src/process/fleet_watch.h
+++ b/src/process/fleet_watch.h
@@ -57,7 +57,7 @@
   // The live instances of the own zone, this one included.
   std::function<std::vector<base::InstanceId>()> zone_members;
   // Whether this instance is one of those that tell of the list.
-  std::function<bool()> should_tell;
+  std::function<bool()> should_publish_list;
   // All facts of the kind kListed.
   std::function<std::vector<ViewItem>()> listed_facts;
   base::Clock clock;
