--- a/src/process/fleet_watch.cc
+++ b/src/process/fleet_watch.cc
@@ -59,7 +59,7 @@
   if (!list_known_) {
     return false;
   }
-  if (hooks_.clock() - started_ >= options_.patience) {
+  if (hooks_.clock() - started_ >= options_.readiness_timeout) {
     return true;
   }
   const std::vector<ListedTarget> rows = registry_.Rows();
--- a/src/process/fleet_watch.h
+++ b/src/process/fleet_watch.h
@@ -37,7 +37,7 @@
   base::ZoneId zone;
   base::Duration list_interval = std::chrono::seconds(1);
   // How long targets may stay silent before they no longer hold up readiness.
-  base::Duration patience = std::chrono::seconds(5);
+  base::Duration readiness_timeout = std::chrono::seconds(5);
   // A new instance first hears what peers hold before it tells of the list.
   base::Duration publish_after = std::chrono::seconds(15);
   // Rows told at each refresh, at most.
