--- a/src/main/daemon.cc
+++ b/src/main/daemon.cc
@@ -88,7 +88,7 @@
     return true;
   }
   connection::TlsMaterialError error{};
-  if (!certificates->LoadFirst(&error)) {
+  if (!certificates->LoadInitial(&error)) {
     last_reason = "--tls-certificate and --tls-key: ";
     last_reason += connection::ToString(error);
     return false;
--- a/src/process/certificate_reload.cc
+++ b/src/process/certificate_reload.cc
@@ -28,7 +28,7 @@
   });
 }
 
-bool CertificateReload::LoadFirst(TlsMaterialError* error) {
+bool CertificateReload::LoadInitial(TlsMaterialError* error) {
   const std::lock_guard lock(mutex_);
   if (!material_.Load(error)) {
     return false;
--- a/src/process/certificate_reload.h
+++ b/src/process/certificate_reload.h
@@ -32,7 +32,7 @@
 
   // The first read, before the servers start. Nothing to fall back on: false
   // when the files cannot be used, and `error` says why.
-  bool LoadFirst(connection::TlsMaterialError* error);
+  bool LoadInitial(connection::TlsMaterialError* error);
   // Reads the files now.
   void Reload();
   // Reads the files if one of them changed since they were last read.
