--- a/src/process/gossip.cc
+++ b/src/process/gossip.cc
@@ -174,7 +174,7 @@
 }
 
 void Gossip::Handle(LinkId link, const SummaryMessage& message) {
-  WantMessage want;
+  FetchMessage want;
   for (const SummaryBucket& bucket : message.buckets) {
     Enqueue(link, store_.ItemsNewerThan(bucket));
     const auto older = store_.ItemsOlderThan(bucket);
@@ -185,7 +185,7 @@
   }
 }
 
-void Gossip::Handle(LinkId link, const WantMessage& message) {
+void Gossip::Handle(LinkId link, const FetchMessage& message) {
   Enqueue(link, store_.Resolve(message.key_hashes));
 }
 
--- a/src/process/gossip.h
+++ b/src/process/gossip.h
@@ -96,7 +96,7 @@
   void Handle(LinkId link, const ViewBatchMessage& message);
   void Handle(LinkId link, const DigestMessage& message);
   void Handle(LinkId link, const SummaryMessage& message);
-  void Handle(LinkId link, const WantMessage& message);
+  void Handle(LinkId link, const FetchMessage& message);
   void Handle(LinkId link, const LeaveMessage& message);
 
   MergeResult Apply(const ViewItem& item, std::optional<LinkId> from);
--- a/src/process/peer_messages.cc
+++ b/src/process/peer_messages.cc
@@ -89,7 +89,7 @@
   return out;
 }
 
-Json Encode(const WantMessage& m, base::Time /*now*/) {
+Json Encode(const FetchMessage& m, base::Time /*now*/) {
   Json out = Head(Type::kWant);
   std::ranges::for_each(m.key_hashes,
                         [&](std::uint64_t hash) { out.push_back(hash); });
@@ -252,7 +252,7 @@
       return DecodeSummary(reader);
     case Type::kWant:
       if (auto hashes = DecodeHashes(reader)) {
-        return WantMessage{std::move(*hashes)};
+        return FetchMessage{std::move(*hashes)};
       }
       return std::nullopt;
     case Type::kLeave:
--- a/src/process/peer_messages.h
+++ b/src/process/peer_messages.h
@@ -73,7 +73,7 @@
 };
 
 // Asks for facts by their key hashes.
-struct WantMessage {
+struct FetchMessage {
   std::vector<std::uint64_t> key_hashes;
 };
 
@@ -86,7 +86,7 @@
                                  ViewBatchMessage,
                                  DigestMessage,
                                  SummaryMessage,
-                                 WantMessage,
+                                 FetchMessage,
                                  LeaveMessage>;
 
 enum class PeerMessageError {
--- a/tests/process/peer_messages_test.cc
+++ b/tests/process/peer_messages_test.cc
@@ -51,7 +51,7 @@
       Carry(SummaryMessage{{{3, {{11, {1, 2}, 5}}}, {4, {}}}}));
   EXPECT_EQ(summary.buckets[0].entries[0].version, (ViewVersion{1, 2}));
   EXPECT_EQ(summary.buckets[1].bucket, 4u);
-  EXPECT_EQ(std::get<WantMessage>(Carry(WantMessage{{8}})).key_hashes[0], 8u);
+  EXPECT_EQ(std::get<FetchMessage>(Carry(FetchMessage{{8}})).key_hashes[0], 8u);
   EXPECT_TRUE(std::holds_alternative<LeaveMessage>(Carry(LeaveMessage{})));
 }
 
