--- a/src/process/gossip.cc
+++ b/src/process/gossip.cc
@@ -189,7 +189,7 @@
   Enqueue(link, store_.Resolve(message.key_hashes));
 }
 
-void Gossip::Handle(LinkId link, const LeaveMessage& /*message*/) {
+void Gossip::Handle(LinkId link, const CloseLinkMessage& /*message*/) {
   membership_.OnLinkClosedByPeer(link);
   outboxes_.erase(link);
 }
@@ -361,7 +361,7 @@
   for (const CloseRequest& request : actions.close) {
     base::Log(base::LogLevel::kInfo, "peer_link_closed",
               {{"reason", request.reason}});
-    Send(request.link, LeaveMessage{}, false);
+    Send(request.link, CloseLinkMessage{}, false);
     transport_.close(request.link, request.reason);
     outboxes_.erase(request.link);
   }
--- a/src/process/gossip.h
+++ b/src/process/gossip.h
@@ -97,7 +97,7 @@
   void Handle(LinkId link, const DigestMessage& message);
   void Handle(LinkId link, const SummaryMessage& message);
   void Handle(LinkId link, const FetchMessage& message);
-  void Handle(LinkId link, const LeaveMessage& message);
+  void Handle(LinkId link, const CloseLinkMessage& message);
 
   MergeResult Apply(const ViewItem& item, std::optional<LinkId> from);
   void Forward(const ViewItem& item, std::optional<LinkId> from);
--- a/src/process/peer_messages.cc
+++ b/src/process/peer_messages.cc
@@ -96,7 +96,7 @@
   return out;
 }
 
-Json Encode(const LeaveMessage& /*m*/, base::Time /*now*/) {
+Json Encode(const CloseLinkMessage& /*m*/, base::Time /*now*/) {
   return Head(Type::kLeave);
 }
 
@@ -256,7 +256,7 @@
       }
       return std::nullopt;
     case Type::kLeave:
-      return reader.Done() ? std::optional<PeerMessage>(LeaveMessage{})
+      return reader.Done() ? std::optional<PeerMessage>(CloseLinkMessage{})
                            : std::nullopt;
   }
   return std::nullopt;
--- a/src/process/peer_messages.h
+++ b/src/process/peer_messages.h
@@ -79,7 +79,7 @@
 
 // The sender gives up this link on purpose; it goes on running, or has said by
 // its kInstance fact that it leaves.
-struct LeaveMessage {};
+struct CloseLinkMessage {};
 
 using PeerMessage = std::variant<HelloMessage,
                                  HeartbeatMessage,
@@ -87,7 +87,7 @@
                                  DigestMessage,
                                  SummaryMessage,
                                  FetchMessage,
-                                 LeaveMessage>;
+                                 CloseLinkMessage>;
 
 enum class PeerMessageError {
   kNone,
--- a/tests/process/peer_messages_test.cc
+++ b/tests/process/peer_messages_test.cc
@@ -33,7 +33,7 @@
   const auto got =
       DecodePeerMessage(EncodePeerMessage(message, kNow), kNow, &error);
   EXPECT_EQ(error, PeerMessageError::kNone);
-  return got.value_or(LeaveMessage{});
+  return got.value_or(CloseLinkMessage{});
 }
 
 TEST(PeerMessages, EveryMessageComesBackAsItWas) {
@@ -52,7 +52,8 @@
   EXPECT_EQ(summary.buckets[0].entries[0].version, (ViewVersion{1, 2}));
   EXPECT_EQ(summary.buckets[1].bucket, 4u);
   EXPECT_EQ(std::get<FetchMessage>(Carry(FetchMessage{{8}})).key_hashes[0], 8u);
-  EXPECT_TRUE(std::holds_alternative<LeaveMessage>(Carry(LeaveMessage{})));
+  EXPECT_TRUE(
+      std::holds_alternative<CloseLinkMessage>(Carry(CloseLinkMessage{})));
 }
 
 TEST(PeerMessages, RefusesWhatIsNotExactlyOneMessage) {
