--- a/tests/process/avoidance_sharing_test.cc
+++ b/tests/process/avoidance_sharing_test.cc
@@ -81,7 +81,7 @@
   };
 
   void SetUp() override {
-    Meet({&first_, &second_});
+    StartPeers({&first_, &second_});
     first_.sharing.Start();
     second_.sharing.Start();
   }
--- a/tests/process/peer_fixture.h
+++ b/tests/process/peer_fixture.h
@@ -59,7 +59,7 @@
   }
 
   // Each knows the others, and its port is open.
-  void Meet(std::initializer_list<PeerParts*> peers) {
+  void StartPeers(std::initializer_list<PeerParts*> peers) {
     RunUntil(loop_, [&] { return store_.items().size() == peers.size(); });
     std::vector<StoreItem> items;
     for (const auto& [key, item] : store_.items()) {
--- a/tests/process/read_sharing_test.cc
+++ b/tests/process/read_sharing_test.cc
@@ -107,7 +107,7 @@
 TEST_F(ReadSharingTest, EachKnowsWhatTheOtherHasRead) {
   Instance a(*this, "a");
   Instance b(*this, "b");
-  Meet({&a, &b});
+  StartPeers({&a, &b});
   a.sharing.Start();
   b.sharing.Start();
   a.engines.Find(kEngine)->prefills[1].prefill_tokens = 700;
@@ -119,7 +119,7 @@
 
 TEST_F(ReadSharingTest, WhoIsNotInTheStoreIsNotHeard) {
   Instance a(*this, "a");
-  Meet({&a});
+  StartPeers({&a});
   a.sharing.Start();
   Udp::socket stranger(loop_,
                        Udp::endpoint(asio::ip::address_v4::loopback(), 0));
@@ -133,7 +133,7 @@
 
 TEST_F(ReadSharingTest, APortThatIsTakenIsNamed) {
   Instance a(*this, "a");
-  Meet({&a});
+  StartPeers({&a});
   PeerDatagrams taken(loop_, a.presence, a.endpoint, a.metrics);
   std::string reason;
   EXPECT_FALSE(taken.Start(&reason));
--- a/tests/process/retry_loans_test.cc
+++ b/tests/process/retry_loans_test.cc
@@ -47,7 +47,7 @@
   };
 
   void SetUp() override {
-    Meet({&poor_, &rich_});
+    StartPeers({&poor_, &rich_});
     poor_.loans.Start();
     rich_.loans.Start();
   }
