--- a/src/process/admin_front.cc
+++ b/src/process/admin_front.cc
@@ -44,7 +44,7 @@
                        std::vector<AdminRoute> routes,
                        base::Metrics& metrics)
     : hooks_(std::move(hooks)), routes_(std::move(routes)), metrics_(metrics) {
-  // The longest prefix goes first.
+  // FindRoute() returns the first match, so that the longest prefix wins.
   std::ranges::sort(routes_, std::ranges::greater(),
                     [](const AdminRoute& it) { return it.path_prefix.size(); });
 }
@@ -70,8 +70,9 @@
     const HttpRequest& head) const {
   ApiAnswer refusal;
   if (!head.path.starts_with(kAdminRoot)) {
-    refusal = ApiError(404, "not_found", "nothing here takes a body");
-  } else if (Admit(ToApiCall(head), &refusal) != nullptr) {
+    refusal =
+        ApiError(404, "not_found", "no endpoint at this path accepts a body");
+  } else if (Authorize(ToApiCall(head), &refusal) != nullptr) {
     return std::nullopt;
   }
   return connection::HttpEarlyAnswer{refusal.status, {}, refusal.body};
@@ -79,15 +80,15 @@
 
 ApiAnswer AdminFront::HandleAdmin(const ApiCall& call) const {
   ApiAnswer refusal;
-  const AdminRoute* route = Admit(call, &refusal);
+  const AdminRoute* route = Authorize(call, &refusal);
   return route == nullptr ? refusal : route->handle(call);
 }
 
-const AdminRoute* AdminFront::Admit(const ApiCall& call,
-                                    ApiAnswer* refusal) const {
+const AdminRoute* AdminFront::Authorize(const ApiCall& call,
+                                        ApiAnswer* refusal) const {
   const auto role = hooks_.role_of_key(call.operator_key);
   if (!role) {
-    *refusal = Refused(
+    *refusal = CountRefusal(
         "unauthenticated",
         ApiError(401, "unauthenticated", "the operator key is not known"));
     return nullptr;
@@ -100,7 +101,7 @@
   const version::OperatorRole needed =
       call.method == "GET" ? route->read_role : route->write_role;
   if (*role < needed) {
-    *refusal = Refused(
+    *refusal = CountRefusal(
         "role_too_low",
         ApiError(403, "role_too_low", "the operator's role does not allow it"));
     return nullptr;
@@ -108,8 +109,8 @@
   return route;
 }
 
-ApiAnswer AdminFront::Refused(const std::string& reason,
-                              ApiAnswer answer) const {
+ApiAnswer AdminFront::CountRefusal(const std::string& reason,
+                                   ApiAnswer answer) const {
   metrics_.GetCounter("lynxglade_admin_refusals_total", {{"reason", reason}})
       .Add();
   return answer;
--- a/src/process/admin_front.h
+++ b/src/process/admin_front.h
@@ -1,4 +1,5 @@
-// The operators' port: health, readiness, metrics and the administration API.
+// Request handler of the operators' port: health, readiness, metrics and the
+// administration API.
 #ifndef LYNXGLADE_PROCESS_ADMIN_FRONT_H_
 #define LYNXGLADE_PROCESS_ADMIN_FRONT_H_
 
@@ -14,10 +15,10 @@
 
 namespace lynxglade::process {
 
-// A part of the administration API, by the start of its paths.
+// Handler for all administration paths with a prefix.
 struct AdminRoute {
   std::string path_prefix;
-  // Least role that may read (GET) and that may do anything else.
+  // Minimum role for GET, and for all other methods.
   version::OperatorRole read_role = version::OperatorRole::kReadOnly;
   version::OperatorRole write_role = version::OperatorRole::kFleet;
   connection::ApiHandler handle;
@@ -25,10 +26,10 @@
 
 // All must be thread-safe.
 struct AdminFrontHooks {
-  // The role of an operator's key; nothing for a key that is not known.
+  // The role of an operator key; empty for an unknown key.
   std::function<std::optional<version::OperatorRole>(const std::string& key)>
       role_of_key;
-  // Why this instance takes no callers now; nothing when it does.
+  // Why this instance is not ready for requests; empty when it is.
   std::function<std::optional<std::string>()> not_ready;
 };
 
@@ -41,20 +42,22 @@
   AdminFront(const AdminFront&) = delete;
   AdminFront& operator=(const AdminFront&) = delete;
 
-  // An HttpHandler.
+  // To be used as HttpHandler.
   void Handle(connection::HttpExchange& exchange) const;
 
-  // For HttpServerOptions::screen: refuses what the operator may not do, so
-  // that its body need not be read.
+  // For HttpServerOptions::screen: rejects unauthorised requests before their
+  // body is read.
   std::optional<connection::HttpEarlyAnswer> Screen(
       const connection::HttpRequest& head) const;
 
  private:
-  // The route, null when `refusal` says why the call may not be made.
-  const AdminRoute* Admit(const connection::ApiCall& call,
-                          connection::ApiAnswer* refusal) const;
-  connection::ApiAnswer Refused(const std::string& reason,
-                                connection::ApiAnswer answer) const;
+  // Returns the route of an authorised call; otherwise null, and `refusal` is
+  // the answer.
+  const AdminRoute* Authorize(const connection::ApiCall& call,
+                              connection::ApiAnswer* refusal) const;
+  // Counts a rejected call; returns `answer`.
+  connection::ApiAnswer CountRefusal(const std::string& reason,
+                                     connection::ApiAnswer answer) const;
   connection::ApiAnswer HandleAdmin(const connection::ApiCall& call) const;
   const AdminRoute* FindRoute(const std::string& path) const;
 
--- a/src/process/certificate_reload.cc
+++ b/src/process/certificate_reload.cc
@@ -12,7 +12,7 @@
 
 constexpr std::string_view kServers = "servers";
 constexpr std::string_view kPeers = "peers";
-constexpr std::string_view kTaken = "taken";
+constexpr std::string_view kLoaded = "taken";
 
 }  // namespace
 
@@ -33,7 +33,7 @@
   if (!material_.Load(error)) {
     return false;
   }
-  Note(kServers, kTaken);
+  RecordResult(kServers, kLoaded);
   return true;
 }
 
@@ -52,23 +52,24 @@
 void CertificateReload::ReloadLocked() {
   TlsMaterialError error = TlsMaterialError::kNone;
   if (!material_.Load(&error)) {
-    // The peer links use the same certificate: theirs stays as well.
-    Note(kServers, ToString(error));
+    // The peer links use the same certificate, so they keep theirs too.
+    RecordResult(kServers, ToString(error));
     return;
   }
-  Note(kServers, kTaken);
+  RecordResult(kServers, kLoaded);
   if (reload_peers_) {
-    Note(kPeers, reload_peers_() ? kTaken : "unusable");
+    RecordResult(kPeers, reload_peers_() ? kLoaded : "unusable");
   }
 }
 
-void CertificateReload::Note(std::string_view side, std::string_view result) {
+void CertificateReload::RecordResult(std::string_view side,
+                                     std::string_view result) {
   metrics_
       .GetCounter(
           "lynxglade_certificate_reloads_total",
           {{"side", std::string(side)}, {"result", std::string(result)}})
       .Add();
-  const bool good = result == kTaken;
+  const bool good = result == kLoaded;
   const auto facts = material_.facts();
   base::Log(good ? base::LogLevel::kInfo : base::LogLevel::kError,
             good ? "certificate_taken" : "certificate_refused",
--- a/src/process/certificate_reload.h
+++ b/src/process/certificate_reload.h
@@ -1,7 +1,6 @@
-// Takes replaced certificates and keys into use without a restart.
-//
-// Told by a signal or by looking at the files every few seconds. A set that
-// cannot be used is logged and counted, and the former one stays.
+// Reloads replaced certificates and keys without a restart, on a signal or when
+// periodic checks find that the files changed. If the new files are unusable,
+// the error is logged and counted, and the previous ones stay in use.
 #ifndef LYNXGLADE_PROCESS_CERTIFICATE_RELOAD_H_
 #define LYNXGLADE_PROCESS_CERTIFICATE_RELOAD_H_
 
@@ -18,7 +17,7 @@
 // Thread-safe.
 class CertificateReload {
  public:
-  // Has the peer links read their files again; false when they cannot be used.
+  // Reloads the files of the peer links; returns false if they are unusable.
   using ReloadPeers = std::function<bool()>;
 
   // `material` and `metrics` must outlive this object. `reload_peers` may be
@@ -30,22 +29,21 @@
   CertificateReload(const CertificateReload&) = delete;
   CertificateReload& operator=(const CertificateReload&) = delete;
 
-  // The first read, before the servers start. Nothing to fall back on: false
-  // when the files cannot be used, and `error` says why.
+  // The initial load, before the servers start. Returns false and sets `error`
+  // if the files are unusable.
   bool LoadInitial(connection::TlsMaterialError* error);
-  // Reads the files now.
   void Reload();
-  // Reads the files if one of them changed since they were last read.
+  // Reloads only if one of the files changed since the last load.
   void ReloadIfChanged();
 
  private:
   void ReloadLocked();
-  void Note(std::string_view side, std::string_view result);
+  void RecordResult(std::string_view side, std::string_view result);
 
   connection::TlsMaterial& material_;
   const ReloadPeers reload_peers_;
   base::Metrics& metrics_;
-  // One reload at a time.
+  // Serialises reloads.
   std::mutex mutex_;
 };
 
--- a/src/process/fleet_watch.cc
+++ b/src/process/fleet_watch.cc
@@ -23,14 +23,14 @@
 }
 
 void FleetWatch::Start() {
-  started_ = hooks_.clock();
+  started_at_ = hooks_.clock();
   list_task_ = std::make_unique<PeriodicTask>(options_.list_interval,
                                               [this] { RefreshList(); });
   LoadPollerHooks poller;
   poller.targets = [this] { return OwnSlice(); };
   poller.fetch = hooks_.fetch;
   poller.on_report = [this](const connection::LoadReport& report) {
-    OnPolled(report);
+    OnPolledReport(report);
   };
   poller_ = std::make_unique<LoadPoller>(options_.poller, std::move(poller));
 }
@@ -48,7 +48,7 @@
   } else if (item.kind == ViewKind::kLoad) {
     auto report = connection::ParseLoadReport(item.body, hooks_.clock());
     if (report) {
-      // The fact's own age is measured by receivers, without clocks of others.
+      // The age of a fact does not depend on the clocks of other hosts.
       report->load.as_of = std::min(report->load.as_of, item.as_of);
       hooks_.on_load(*report);
     }
@@ -59,7 +59,7 @@
   if (!list_known_) {
     return false;
   }
-  if (hooks_.clock() - started_ >= options_.readiness_timeout) {
+  if (hooks_.clock() - started_at_ >= options_.readiness_timeout) {
     return true;
   }
   const std::vector<ListedTarget> rows = registry_.Rows();
@@ -79,9 +79,9 @@
   std::vector<ListedTarget> out;
   std::ranges::copy_if(
       rows, std::back_inserter(out), [&](const ListedTarget& listed) {
-        const bool mine = listed.row.zone == options_.zone &&
-                          slices.OwnerOf(listed.row.id) == options_.instance;
-        return mine || !listed.known;
+        const bool owned = listed.row.zone == options_.zone &&
+                           slices.OwnerOf(listed.row.id) == options_.instance;
+        return owned || !listed.known;
       });
   return out;
 }
@@ -98,41 +98,42 @@
   const bool changed = facts_changed_.exchange(false);
   if (changed) {
     facts_ = hooks_.listed_facts();
-    told_ = base::Revision(0);
+    published_revision_ = base::Revision(0);
   }
   if (confirmed || changed) {
     registry_.SetRows(*WithNewerFacts(list_.Get(), facts_));
   }
   if (confirmed) {
-    TellOfList();
+    PublishList();
   }
-  // Facts come in batches; as long as they do, more may be missing.
+  // Facts arrive in batches; the list counts as complete once a refresh finds
+  // no new ones.
   if (!list_known_) {
-    const bool whole_from_peers = !changed && !registry_.Rows().empty();
-    list_known_ = list_.Get()->revision.value() > 0 || whole_from_peers;
+    const bool complete_from_peers = !changed && !registry_.Rows().empty();
+    list_known_ = list_.Get()->revision.value() > 0 || complete_from_peers;
   }
 }
 
-void FleetWatch::TellOfList() {
+void FleetWatch::PublishList() {
   const connection::InstanceList::Handle list = list_.Get();
-  if (hooks_.clock() - started_ < options_.publish_after ||
-      !hooks_.should_publish_list() || list->revision == told_) {
+  if (hooks_.clock() - started_at_ < options_.publish_after ||
+      !hooks_.should_publish_list() || list->revision == published_revision_) {
     return;
   }
-  const std::vector<ViewItem> news =
+  const std::vector<ViewItem> new_facts =
       FactsToPublish(*list, facts_, options_.publish_limit);
-  std::ranges::for_each(news, hooks_.publish);
-  if (news.empty()) {
-    told_ = list->revision;
+  std::ranges::for_each(new_facts, hooks_.publish);
+  if (new_facts.empty()) {
+    published_revision_ = list->revision;
   }
 }
 
-void FleetWatch::OnPolled(const connection::LoadReport& report) {
+void FleetWatch::OnPolledReport(const connection::LoadReport& report) {
   hooks_.on_load(report);
   ViewItem item;
   item.kind = ViewKind::kLoad;
   item.key = report.target.str();
-  // A target's own clock orders its reports over restarts.
+  // The target's clock orders its reports across restarts.
   item.version = {0, static_cast<std::uint64_t>(report.made_ms)};
   item.as_of = report.load.as_of;
   item.body = connection::EncodeLoadReport(report);
--- a/src/process/fleet_watch.h
+++ b/src/process/fleet_watch.h
@@ -1,13 +1,13 @@
-// Keeps the registry of targets up to date.
+// Keeps the target registry up to date.
 //
-// The instance list says which targets there are. Of the own zone's targets,
-// each instance polls its slice and tells the others of the zone. Targets of
-// other zones are known by what their zone's order holder tells, and by the
-// load that comes with answers; one that nobody told of yet is polled too.
+// The instance list names the targets. Each instance polls its slice of the
+// targets in its zone and shares their load reports within the zone. Targets in
+// other zones are known from kTarget facts and from load reports attached to
+// responses. Targets whose role and model are unknown are polled in any case.
 //
-// A few instances of each zone tell the others what the list says; rows that
-// are newer than the own list are taken from there, also when the own list
-// never came.
+// A few instances of each zone publish the rows of the instance list as facts.
+// Rows newer than the local list are taken from these facts, also when the list
+// itself cannot be read.
 #ifndef LYNXGLADE_PROCESS_FLEET_WATCH_H_
 #define LYNXGLADE_PROCESS_FLEET_WATCH_H_
 
@@ -36,27 +36,28 @@
   base::InstanceId instance;
   base::ZoneId zone;
   base::Duration list_interval = std::chrono::seconds(1);
-  // How long targets may stay silent before they no longer hold up readiness.
+  // How long after the start targets that are not yet known delay readiness.
   base::Duration readiness_timeout = std::chrono::seconds(5);
-  // A new instance first hears what peers hold before it tells of the list.
+  // Delay after the start before list rows are published, so that the facts of
+  // the peers arrive first.
   base::Duration publish_after = std::chrono::seconds(15);
-  // Rows told at each refresh, at most.
+  // Maximum number of facts published per refresh of the list.
   std::size_t publish_limit = 256;
   LoadPollerOptions poller;
 };
 
 // All must be thread-safe.
 struct FleetWatchHooks {
-  // Asks one target; blocks for a bounded time.
+  // Fetches the load report of one target; blocks for a bounded time.
   std::function<std::optional<connection::LoadReport>(const ListedTarget&)>
       fetch;
-  // Gets every report, polled or heard.
+  // Called with every load report, polled or received from a peer.
   std::function<void(const connection::LoadReport&)> on_load;
-  // Tells the zone.
+  // Publishes a fact to the other instances.
   std::function<void(ViewItem)> publish;
-  // The live instances of the own zone, this one included.
+  // The live instances of this zone, including this one.
   std::function<std::vector<base::InstanceId>()> zone_members;
-  // Whether this instance is one of those that tell of the list.
+  // Whether this instance is one of those that publish the list.
   std::function<bool()> should_publish_list;
   // All facts of the kind kListed.
   std::function<std::vector<ViewItem>()> listed_facts;
@@ -71,44 +72,43 @@
              connection::InstanceList& list,
              TargetRegistry& registry,
              base::Metrics& metrics);
-  // Stops.
   ~FleetWatch();
   FleetWatch(const FleetWatch&) = delete;
   FleetWatch& operator=(const FleetWatch&) = delete;
 
-  // Starts the threads.
+  // Starts the threads that refresh the list and poll the targets.
   void Start();
   void Stop();
 
   // A fact of the kind kLoad, kTarget or kListed from a peer.
   void OnFact(const ViewItem& item);
 
-  // Whether the targets of the own zone are known well enough to serve: a list
-  // has come, from the platform or whole from peers, and each of them said what
-  // it runs or had `patience` to do so.
+  // Whether enough is known about the targets of this zone to serve: a list has
+  // been read, from the platform or completely from peers, and role and model
+  // of each target are known or the readiness timeout has passed.
   bool Ready() const;
 
-  // Targets that this instance polls now.
+  // The targets that this instance polls.
   std::vector<ListedTarget> OwnSlice() const;
 
  private:
   void RefreshList();
-  void TellOfList();
-  void OnPolled(const connection::LoadReport& report);
+  void PublishList();
+  void OnPolledReport(const connection::LoadReport& report);
 
   const FleetWatchOptions options_;
   const FleetWatchHooks hooks_;
   connection::InstanceList& list_;
   TargetRegistry& registry_;
   base::Metrics& metrics_;
-  base::Time started_{};
-  // Facts of the kind kListed came since they were last read.
+  base::Time started_at_{};
+  // Whether kListed facts arrived since `facts_` was last read.
   std::atomic<bool> facts_changed_{false};
   std::atomic<bool> list_known_{false};
-  // Only on the list's thread: the facts as last read, and the revision of the
-  // list of which nothing is left to tell.
+  // Accessed on the list thread only: the facts as last read, and the revision
+  // of the list that is completely published.
   std::vector<ViewItem> facts_;
-  base::Revision told_{0};
+  base::Revision published_revision_{0};
   std::unique_ptr<PeriodicTask> list_task_;
   std::unique_ptr<LoadPoller> poller_;
 };
--- a/src/process/gossip.cc
+++ b/src/process/gossip.cc
@@ -174,14 +174,14 @@
 }
 
 void Gossip::Handle(LinkId link, const SummaryMessage& message) {
-  FetchMessage want;
+  FetchMessage fetch;
   for (const SummaryBucket& bucket : message.buckets) {
     Enqueue(link, store_.ItemsNewerThan(bucket));
     const auto older = store_.ItemsOlderThan(bucket);
-    want.key_hashes.insert(want.key_hashes.end(), older.begin(), older.end());
+    fetch.key_hashes.insert(fetch.key_hashes.end(), older.begin(), older.end());
   }
-  if (!want.key_hashes.empty()) {
-    Send(link, want, true);
+  if (!fetch.key_hashes.empty()) {
+    Send(link, fetch, true);
   }
 }
 
--- a/src/process/instance_fact.h
+++ b/src/process/instance_fact.h
@@ -1,10 +1,11 @@
-// The body of a kInstance fact: where an instance is and whether it runs.
+// Body and versions of a kInstance fact: the address and state of an instance.
 //
-// Versions order its life. Epoch 1 is running: an even sequence is the
-// instance's own word that it lives, an odd one a peer's suspicion, which the
-// instance answers with the next even one. Epoch 2 is its own leaving notice,
-// epoch 3 a peer's word that another process runs at its address. So neither
-// a suspicion nor a late copy can undo a leaving notice.
+// The version encodes the state. In epoch 1 the instance is running: even
+// sequences are published by the instance itself, odd ones by a peer that
+// suspects it, which the instance refutes with the next even sequence. Epoch 2
+// is the instance's leaving notice. Epoch 3 is published by a peer that found
+// another process at its address. A suspicion or a late copy therefore cannot
+// override a leaving notice.
 #ifndef LYNXGLADE_PROCESS_INSTANCE_FACT_H_
 #define LYNXGLADE_PROCESS_INSTANCE_FACT_H_
 
@@ -18,8 +19,7 @@
 
 namespace lynxglade::process {
 
-// How this instance sees a peer. Only kLive peers are homes of slices and are
-// used to pass facts on.
+// State of an instance as another one sees it. Only kLive instances own slices.
 enum class MemberState { kLive, kSuspect, kLeaving, kGone };
 std::string_view ToString(MemberState state) noexcept;
 
@@ -33,11 +33,11 @@
   int port = 0;
 };
 
-// What a version says.
+// The state that a version encodes.
 MemberState StateOf(const ViewVersion& version) noexcept;
 
 std::string EncodeInstanceFact(const InstanceFact& fact);
-// Nothing when the text is no instance fact.
+// Empty if `body` is not a valid instance fact.
 std::optional<InstanceFact> DecodeInstanceFact(const std::string& body);
 
 }  // namespace lynxglade::process
--- a/src/process/instance_row.h
+++ b/src/process/instance_row.h
@@ -1,4 +1,4 @@
-// One entry instance as the platform's instance list shows it.
+// A row of the platform's instance list that describes an entry instance.
 #ifndef LYNXGLADE_PROCESS_INSTANCE_ROW_H_
 #define LYNXGLADE_PROCESS_INSTANCE_ROW_H_
 
@@ -8,12 +8,12 @@
 
 namespace lynxglade::process {
 
-// The list lags: a row may name an instance that is gone, and a running
-// instance may have no row yet.
+// The list is eventually consistent: a row may name an instance that is gone,
+// and a running instance may have no row yet.
 struct InstanceRow {
   base::InstanceId id;
   base::ZoneId zone;
-  // IP number and port of its peer link.
+  // IP address and port for peer links.
   std::string address;
   int peer_port = 0;
   bool leaving = false;
--- a/src/process/listed_rows.cc
+++ b/src/process/listed_rows.cc
@@ -26,11 +26,11 @@
 constexpr int kMaxRowDepth = 2;
 constexpr std::int64_t kMaxPort = 65535;
 constexpr char kTombstone[] = "{}";
-// A revision is signed; an epoch beyond it cannot come from a list.
+// Revisions are signed, so a greater epoch is invalid.
 constexpr auto kMaxEpoch =
     static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
 
-// Names in a body, short because 12,000 of them are kept and sent.
+// Member names of a body; short, because a large fleet has thousands of facts.
 constexpr char kService[] = "s";
 constexpr char kZone[] = "z";
 constexpr char kAddress[] = "a";
@@ -85,13 +85,13 @@
   return fact.body == kTombstone;
 }
 
-// Whether peers can read the fact: they refuse a message with a greater one.
+// Whether peers accept the fact: they reject messages with larger ones.
 bool IsSendable(const ViewItem& fact) {
   return fact.key.size() <= kMaxViewKeyBytes &&
          fact.body.size() <= kMaxViewBodyBytes;
 }
 
-// A fact that says something: a row or a tombstone, of a possible revision.
+// Whether the fact is a valid row or tombstone with a valid revision.
 bool IsReadable(const ViewItem& fact) {
   return fact.version.epoch <= kMaxEpoch &&
          (IsTombstone(fact) || ReadListedFact(fact));
@@ -138,10 +138,10 @@
   out.row.fenced = body->contains(kFenced);
   out.row.leaving = body->contains(kLeaving);
   out.engine = body->contains(kEngine);
-  const bool whole = !fact.key.empty() && !out.row.service.empty() &&
-                     !out.row.zone.empty() && !out.row.address.empty() &&
-                     out.row.port != 0;
-  return whole ? std::optional(std::move(out)) : std::nullopt;
+  const bool complete = !fact.key.empty() && !out.row.service.empty() &&
+                        !out.row.zone.empty() && !out.row.address.empty() &&
+                        out.row.port != 0;
+  return complete ? std::optional(std::move(out)) : std::nullopt;
 }
 
 std::shared_ptr<const InstanceTable> WithNewerFacts(
@@ -157,11 +157,11 @@
     return list;
   }
   InstanceTable out = *list;
-  const auto told = [&](const TargetRow& row) {
+  const auto overridden = [&](const TargetRow& row) {
     return newer.contains(row.id.str());
   };
-  std::erase_if(out.engines, told);
-  std::erase_if(out.plains, told);
+  std::erase_if(out.engines, overridden);
+  std::erase_if(out.plains, overridden);
   for (const auto& [key, fact] : newer) {
     const base::Revision revision(
         static_cast<std::int64_t>(fact->version.epoch));
@@ -189,7 +189,7 @@
   std::set<base::TargetId> listed;
   const auto epoch = static_cast<std::uint64_t>(list.revision.value());
   for (const ListedTarget& target : TargetsOf(list)) {
-    // A list that names a target twice tells only of the first.
+    // Only the first of duplicate rows is published.
     const bool first = listed.insert(target.row.id).second;
     ViewItem fact = ListedFact(target, list.revision);
     const auto it = held.find(fact.key);
--- a/src/process/listed_rows.h
+++ b/src/process/listed_rows.h
@@ -1,11 +1,10 @@
-// Targets of the platform's instance list as facts that instances tell each
-// other, so that one which cannot reach the list has what others last read.
+// Shares the targets of the platform's instance list among instances as facts,
+// so that an instance that cannot reach the list uses what others last read.
 //
-// One fact a target (ViewKind::kListed): the row as JSON, under the revision
-// of the list in which it was first seen so; a row that is gone leaves a
-// tombstone. Pure functions. A list and facts are put together row by row:
-// whichever has the greater revision wins, and the list wins a tie, so that
-// nothing goes backwards.
+// There is one fact per target (ViewKind::kListed): the row as JSON, versioned
+// by the revision of the list that it was read from; a removed row leaves a
+// tombstone. Lists and facts are merged row by row: the greater revision wins,
+// and the list wins a tie, so that no row reverts to an older revision.
 #ifndef LYNXGLADE_PROCESS_LISTED_ROWS_H_
 #define LYNXGLADE_PROCESS_LISTED_ROWS_H_
 
@@ -19,32 +18,32 @@
 
 namespace lynxglade::process {
 
-// A target as the platform's instance list has it.
+// A target in the platform's instance list.
 struct ListedTarget {
   connection::TargetRow row;
   // False for plain services.
   bool engine = true;
-  // Somebody has said what it runs; set by TargetRegistry::Rows() only.
+  // Whether role and model are known; set by TargetRegistry::Rows() only.
   bool known = false;
 };
 
-// The fact that a list of this revision shows the target so.
+// Fact for a target listed at this revision.
 ViewItem ListedFact(const ListedTarget& target, base::Revision revision);
-// The fact that a list of this revision no longer has the target.
+// Tombstone for a target no longer listed at this revision.
 ViewItem UnlistedFact(const base::TargetId& id, base::Revision revision);
-// The row; nothing when the fact is a tombstone or malformed.
+// The row in the fact; empty if the fact is a tombstone or malformed.
 std::optional<ListedTarget> ReadListedFact(const ViewItem& fact);
 
-// The targets by `list` (never null) with the rows that newer facts tell of in
-// place of its own. Its revision is the greatest that any row came from, so 0
-// while there is neither list nor fact. `list` itself when no fact is newer.
+// Returns `list` (not null) with rows replaced, added or removed by newer
+// facts; `list` itself if no fact is newer. The revision of the result is the
+// greatest one of the list and the facts used, or 0 if there is neither.
 std::shared_ptr<const connection::InstanceTable> WithNewerFacts(
     std::shared_ptr<const connection::InstanceTable> list,
     const std::vector<ViewItem>& facts);
 
-// What to tell of `list`: rows and absences that differ from the facts held
-// and are not older. At most `limit`, in the order of the list's rows, then
-// of the tombstones' keys.
+// Returns the facts to publish so that peers learn about `list`: rows and
+// tombstones that differ from the held facts and are newer. At most `limit`:
+// rows in the order of the list first, then tombstones by key.
 std::vector<ViewItem> FactsToPublish(const connection::InstanceTable& list,
                                      const std::vector<ViewItem>& facts,
                                      std::size_t limit);
--- a/src/process/load_poller.cc
+++ b/src/process/load_poller.cc
@@ -8,7 +8,7 @@
 LoadPoller::LoadPoller(LoadPollerOptions options, LoadPollerHooks hooks)
     : options_(options), hooks_(std::move(hooks)) {
   for (std::size_t i = 0; i < options_.threads; ++i) {
-    threads_.emplace_back([this, i] { Work(i); });
+    threads_.emplace_back([this, i] { PollLoop(i); });
   }
 }
 
@@ -21,7 +21,7 @@
   std::ranges::for_each(threads_, [](std::thread& thread) { thread.join(); });
 }
 
-void LoadPoller::Work(std::size_t worker) {
+void LoadPoller::PollLoop(std::size_t worker) {
   while (true) {
     const base::Time start = base::BootClock::now();
     const std::vector<ListedTarget> rows = hooks_.targets();
@@ -33,9 +33,9 @@
         return;
       }
     }
-    const base::Duration spent = base::BootClock::now() - start;
+    const base::Duration elapsed = base::BootClock::now() - start;
     const base::Duration pause =
-        rows.empty() ? options_.empty_interval : options_.interval - spent;
+        rows.empty() ? options_.empty_interval : options_.interval - elapsed;
     if (!Wait(std::max(pause, base::Duration::zero()))) {
       return;
     }
--- a/src/process/load_poller.h
+++ b/src/process/load_poller.h
@@ -1,4 +1,4 @@
-// Asks targets for their load reports, a few at a time, on threads of its own.
+// Polls targets for their load reports on a few threads.
 #ifndef LYNXGLADE_PROCESS_LOAD_POLLER_H_
 #define LYNXGLADE_PROCESS_LOAD_POLLER_H_
 
@@ -17,24 +17,24 @@
 namespace lynxglade::process {
 
 struct LoadPollerOptions {
-  // From one report of a target to the next.
+  // Between two polls of a target.
   base::Duration interval = std::chrono::seconds(1);
-  // From one look for targets to the next while there are none.
+  // Between two checks for targets while there are none.
   base::Duration empty_interval = std::chrono::milliseconds(100);
   std::size_t threads = 2;
 };
 
 struct LoadPollerHooks {
-  // The targets to ask, read anew each round.
+  // The targets to poll; called by each thread at the start of a round.
   std::function<std::vector<ListedTarget>()> targets;
-  // Asks one; blocks for a bounded time.
+  // Fetches one report; blocks for a bounded time.
   std::function<std::optional<connection::LoadReport>(const ListedTarget&)>
       fetch;
-  // Gets each report, on a poller's thread.
+  // Called with each report on a polling thread.
   std::function<void(const connection::LoadReport&)> on_report;
 };
 
-// Starts its threads when constructed and joins them when destroyed.
+// The constructor starts the threads, the destructor joins them.
 class LoadPoller {
  public:
   LoadPoller(LoadPollerOptions options, LoadPollerHooks hooks);
@@ -43,9 +43,9 @@
   LoadPoller& operator=(const LoadPoller&) = delete;
 
  private:
-  // Polls every target whose turn is this worker's.
-  void Work(std::size_t worker);
-  // Returns false when the poller stops.
+  // Thread body: polls every `threads`-th target, starting at `worker`.
+  void PollLoop(std::size_t worker);
+  // Waits for `d`; returns false when the poller is stopping.
   bool Wait(base::Duration d);
 
   const LoadPollerOptions options_;
--- a/src/process/peer_messages.cc
+++ b/src/process/peer_messages.cc
@@ -14,15 +14,15 @@
 
 using Json = nlohmann::json;
 
-// Numbers of the messages on the wire; never reused.
+// Message type numbers on the wire; must never be reused.
 enum class Type : std::uint64_t {
   kHello = 1,
   kHeartbeat = 2,
   kViewBatch = 3,
   kDigest = 4,
   kSummary = 5,
-  kWant = 6,
-  kLeave = 7,
+  kFetch = 6,
+  kCloseLink = 7,
 };
 
 constexpr std::uint64_t kMaxPort = 65535;
@@ -90,18 +90,18 @@
 }
 
 Json Encode(const FetchMessage& m, base::Time /*now*/) {
-  Json out = Head(Type::kWant);
+  Json out = Head(Type::kFetch);
   std::ranges::for_each(m.key_hashes,
                         [&](std::uint64_t hash) { out.push_back(hash); });
   return out;
 }
 
 Json Encode(const CloseLinkMessage& /*m*/, base::Time /*now*/) {
-  return Head(Type::kLeave);
+  return Head(Type::kCloseLink);
 }
 
-// Reads the fields of one array in order. After the first misfit every read
-// gives a default and ok() stays false.
+// Reads the fields of one array in order. After the first invalid field every
+// read returns a default value and Done() returns false.
 class FieldReader {
  public:
   FieldReader(const Json& fields, std::size_t first)
@@ -138,7 +138,7 @@
   }
 
   bool more() const { return ok_ && next_ < fields_.size(); }
-  // All fields were read and fitted.
+  // Whether all fields were read and valid.
   bool Done() const { return ok_ && next_ == fields_.size(); }
 
  private:
@@ -250,12 +250,12 @@
       return std::nullopt;
     case Type::kSummary:
       return DecodeSummary(reader);
-    case Type::kWant:
+    case Type::kFetch:
       if (auto hashes = DecodeHashes(reader)) {
         return FetchMessage{std::move(*hashes)};
       }
       return std::nullopt;
-    case Type::kLeave:
+    case Type::kCloseLink:
       return reader.Done() ? std::optional<PeerMessage>(CloseLinkMessage{})
                            : std::nullopt;
   }
@@ -296,7 +296,7 @@
   FieldReader reader(*value, 0);
   const std::uint64_t type = reader.Unsigned();
   if (type < static_cast<std::uint64_t>(Type::kHello) ||
-      type > static_cast<std::uint64_t>(Type::kLeave)) {
+      type > static_cast<std::uint64_t>(Type::kCloseLink)) {
     *error = PeerMessageError::kUnknownType;
     return std::nullopt;
   }
--- a/src/process/peer_messages.h
+++ b/src/process/peer_messages.h
@@ -1,8 +1,8 @@
-// What instances say to each other, typed, and its CBOR form.
+// Messages between instances and their CBOR encoding.
 //
-// Each message is a CBOR array that starts with the message's number. The
-// greeting carries the protocol version; peers of another version are refused
-// there, so that the other messages need none.
+// Each message is a CBOR array that starts with the number of the message type.
+// The hello message carries the protocol version and peers with another version
+// are rejected then, so the other messages carry none.
 #ifndef LYNXGLADE_PROCESS_PEER_MESSAGES_H_
 #define LYNXGLADE_PROCESS_PEER_MESSAGES_H_
 
@@ -22,25 +22,25 @@
 
 inline constexpr std::uint64_t kPeerProtocolVersion = 1;
 
-// Bounds on the parts of a fact.
+// Limits for decoding a fact.
 inline constexpr std::size_t kMaxViewKeyBytes = 256;
 inline constexpr std::size_t kMaxViewBodyBytes = 64u << 10;
 inline constexpr std::size_t kMaxPeerIdBytes = 128;
 
-// First message each way.
+// First message in each direction.
 struct HelloMessage {
   std::uint64_t protocol = kPeerProtocolVersion;
   base::InstanceId instance;
   base::ZoneId zone;
-  // Where the instance accepts links.
+  // Address and port at which the instance accepts links.
   std::string address;
   int port = 0;
 };
 
-// Shows that the sender runs, and by the echo that it hears the receiver.
+// Shows that the sender runs and, by the echo, that it receives our messages.
 struct HeartbeatMessage {
   std::uint64_t sequence = 0;
-  // Last sequence received from the other side; 0 for none.
+  // Last sequence received from the peer; 0 for none.
   std::uint64_t echo = 0;
 };
 
@@ -53,12 +53,12 @@
   std::vector<std::uint64_t> buckets;
 };
 
-// Names one fact without its content.
+// Identifies one version of a fact without its content.
 struct SummaryEntry {
   // Hash of kind and key.
   std::uint64_t key_hash = 0;
   ViewVersion version;
-  // Hash of the body, to tell apart equal versions.
+  // Hash of the body, to distinguish facts with equal versions.
   std::uint64_t body_hash = 0;
 };
 
@@ -67,18 +67,18 @@
   std::vector<SummaryEntry> entries;
 };
 
-// Every fact of the buckets that differ.
+// All facts of the buckets that differ.
 struct SummaryMessage {
   std::vector<SummaryBucket> buckets;
 };
 
-// Asks for facts by their key hashes.
+// Requests facts by their key hashes.
 struct FetchMessage {
   std::vector<std::uint64_t> key_hashes;
 };
 
-// The sender gives up this link on purpose; it goes on running, or has said by
-// its kInstance fact that it leaves.
+// The sender closes this link deliberately. It keeps running, unless it has
+// announced with its kInstance fact that it is leaving.
 struct CloseLinkMessage {};
 
 using PeerMessage = std::variant<HelloMessage,
@@ -94,16 +94,16 @@
   // Not CBOR within the bounds of bounded_cbor.h.
   kBadEncoding,
   kUnknownType,
-  // A field is missing, surplus, of the wrong type or out of its range.
+  // A field is missing, surplus, of the wrong type or out of range.
   kBadField,
 };
 std::string_view ToString(PeerMessageError error) noexcept;
 
-// Ages of facts are counted up to `now`.
+// The age of each fact is computed as of `now`.
 std::string EncodePeerMessage(const PeerMessage& message, base::Time now);
 
-// Strict: whatever is not exactly one known message is refused. `error` must
-// not be null. Thread-safe.
+// Rejects any input that is not exactly one valid message. `error` must not be
+// null. Thread-safe.
 std::optional<PeerMessage> DecodePeerMessage(std::string_view bytes,
                                              base::Time now,
                                              PeerMessageError* error);
--- a/src/process/periodic_task.h
+++ b/src/process/periodic_task.h
@@ -1,4 +1,4 @@
-// A thread that does one thing again and again until it is stopped.
+// A thread that runs a function periodically until it is stopped.
 #ifndef LYNXGLADE_PROCESS_PERIODIC_TASK_H_
 #define LYNXGLADE_PROCESS_PERIODIC_TASK_H_
 
@@ -11,8 +11,8 @@
 
 namespace lynxglade::process {
 
-// Runs `job` at once and then `interval` after each return. The job may block
-// for a bounded time. The destructor waits for it.
+// Runs `job` immediately and then `interval` after each return. The job may
+// block for a bounded time. The destructor stops the thread.
 class PeriodicTask {
  public:
   PeriodicTask(base::Duration interval, std::function<void()> job);
@@ -20,7 +20,7 @@
   PeriodicTask(const PeriodicTask&) = delete;
   PeriodicTask& operator=(const PeriodicTask&) = delete;
 
-  // Returns when the job is not running and never will again.
+  // Waits for a running job; it is not started again.
   void Stop();
 
  private:
--- a/tests/process/listed_rows_test.cc
+++ b/tests/process/listed_rows_test.cc
@@ -38,7 +38,7 @@
   return std::make_shared<const InstanceTable>(std::move(out));
 }
 
-// The list's engines with their ports.
+// Ports of the engines in the list, by id.
 std::map<std::string, int> PortsOf(const InstanceTable& list) {
   std::map<std::string, int> out;
   std::ranges::transform(list.engines, std::inserter(out, out.end()),
@@ -48,7 +48,7 @@
   return out;
 }
 
-TEST(ListedRowsTest, AFactHoldsAllOfARow) {
+TEST(ListedRowsTest, FactPreservesAllFieldsOfARow) {
   ListedTarget plain = Engine("p", 7);
   plain.engine = false;
   plain.row.fenced = false;
@@ -69,7 +69,7 @@
   EXPECT_FALSE(list->plains[0].fenced);
 }
 
-TEST(ListedRowsTest, OnlyNewerFactsTakeTheListsPlace) {
+TEST(ListedRowsTest, OnlyNewerFactsOverrideTheList) {
   const std::vector<ViewItem> facts = {
       ListedFact(Engine("changed", 2), base::Revision(6)),
       ListedFact(Engine("old", 2), base::Revision(5)),
@@ -84,55 +84,56 @@
   EXPECT_EQ(PortsOf(*list),
             (std::map<std::string, int>{
                 {"changed", 2}, {"old", 1}, {"back", 1}, {"new", 1}}));
-  // The platform's list as new as all that was told: it stands as it is.
+  // A list as new as all facts is returned unchanged.
   const Handle newest = List(7, rows);
   EXPECT_EQ(WithNewerFacts(newest, facts), newest);
 }
 
-TEST(ListedRowsTest, WhatIsNoRowIsPassedOver) {
+TEST(ListedRowsTest, IgnoresInvalidFacts) {
   ViewItem fact = ListedFact(Engine("e"), base::Revision(3));
-  const auto taken = [&](const std::string& body, std::uint64_t epoch) {
+  const auto is_accepted = [&](const std::string& body, std::uint64_t epoch) {
     fact.body = body;
     fact.version.epoch = epoch;
     return WithNewerFacts(List(0, {}), {fact})->revision.value() > 0;
   };
   const std::string good = fact.body;
-  EXPECT_TRUE(taken(good, 3));
-  EXPECT_FALSE(taken(good, ~std::uint64_t{0}));
-  EXPECT_FALSE(taken("[]", 3));
-  EXPECT_FALSE(taken("{", 3));
-  EXPECT_FALSE(taken(R"({"a":"127.0.0.1","p":70000,"s":"llm","z":"a"})", 3));
-  EXPECT_FALSE(taken(R"({"a":"127.0.0.1","p":7,"z":"a"})", 3));
+  EXPECT_TRUE(is_accepted(good, 3));
+  EXPECT_FALSE(is_accepted(good, ~std::uint64_t{0}));
+  EXPECT_FALSE(is_accepted("[]", 3));
+  EXPECT_FALSE(is_accepted("{", 3));
+  EXPECT_FALSE(
+      is_accepted(R"({"a":"127.0.0.1","p":70000,"s":"llm","z":"a"})", 3));
+  EXPECT_FALSE(is_accepted(R"({"a":"127.0.0.1","p":7,"z":"a"})", 3));
 }
 
-TEST(ListedRowsTest, RowsThatPeersWouldRefuseAndDoublesAreNotTold) {
+TEST(ListedRowsTest, DoesNotPublishOversizedOrDuplicateRows) {
   const ListedTarget big = Engine(std::string(kMaxViewKeyBytes + 1, 'e'));
   const auto list = List(1, {big, Engine("e", 1), Engine("e", 2)});
-  const auto told = FactsToPublish(*list, {}, 100);
-  ASSERT_EQ(told.size(), 1u);
+  const auto published = FactsToPublish(*list, {}, 100);
+  ASSERT_EQ(published.size(), 1u);
   EXPECT_TRUE(FactsToPublish(
                   *list, {ListedFact(Engine("e", 1), base::Revision(1))}, 100)
                   .empty());
   EXPECT_TRUE(FactsToPublish(*List(0, {Engine("e")}), {}, 100).empty());
 }
 
-// Lists of growing revisions, some of them never read, told through a store a
-// few rows at a time by two who read at different times: who has no list sees
-// the newest that was told, nothing is told twice, nothing goes backwards.
-RC_GTEST_PROP(ListedRowsProperty, TheStoreFollowsTheList, ()) {
+// Publishes some of a series of lists through a store in small batches. An
+// instance without a list sees the latest published one, no fact is published
+// twice, and an outdated list changes nothing.
+RC_GTEST_PROP(ListedRowsProperty, StoreFollowsThePublishedLists, ()) {
   ViewStore store(DefaultViewRules(),
                   [] { return base::Time{std::chrono::hours(1)}; });
   const auto held = [&] { return store.Snapshot(ViewKind::kListed); };
-  const auto tell = [&](const InstanceTable& list) {
-    std::size_t told = 0;
-    for (auto news = FactsToPublish(list, held(), 2); !news.empty();
-         news = FactsToPublish(list, held(), 2)) {
-      for (const ViewItem& fact : news) {
+  const auto publish = [&](const InstanceTable& list) {
+    std::size_t published = 0;
+    for (auto facts = FactsToPublish(list, held(), 2); !facts.empty();
+         facts = FactsToPublish(list, held(), 2)) {
+      for (const ViewItem& fact : facts) {
         RC_ASSERT(store.Merge(fact) == MergeResult::kNewer);
       }
-      told += news.size();
+      published += facts.size();
     }
-    return told;
+    return published;
   };
   Handle before = List(0, {});
   for (std::int64_t revision = 1; revision < 12; ++revision) {
@@ -145,11 +146,11 @@
     }
     const Handle list = List(revision, rows);
     if (*rc::gen::arbitrary<bool>()) {
-      tell(*list);
+      publish(*list);
       RC_ASSERT(PortsOf(*WithNewerFacts(List(0, {}), held())) ==
                 PortsOf(*list));
-      // A second reader has nothing to add, one that lags changes nothing.
-      RC_ASSERT(tell(*list) == 0u);
+      // Publishing again adds nothing, and an outdated list changes nothing.
+      RC_ASSERT(publish(*list) == 0u);
       RC_ASSERT(PortsOf(*WithNewerFacts(before, held())) == PortsOf(*list));
       before = list;
     }
--- a/tests/process/peer_fixture.h
+++ b/tests/process/peer_fixture.h
@@ -1,5 +1,5 @@
-// Instances on one loop that reach each other by datagrams on loopback, each
-// with its key in a store.
+// Fixture for several instances on one event loop that exchange datagrams over
+// loopback and register themselves in a fake store.
 #ifndef LYNXGLADE_TESTS_PROCESS_PEER_FIXTURE_H_
 #define LYNXGLADE_TESTS_PROCESS_PEER_FIXTURE_H_
 
@@ -21,7 +21,7 @@
  protected:
   using Udp = connection::event::asio::ip::udp;
 
-  // What each instance has, whatever it tells the others.
+  // The parts that every instance needs.
   struct PeerParts {
     PeerParts(PeerTest& test, const std::string& name)
         : endpoint(FreeEndpoint()),
@@ -49,7 +49,7 @@
     PeerDatagrams datagrams;
   };
 
-  // A port that was free a moment ago.
+  // A free port; another process may take it before it is bound.
   static Udp::endpoint FreeEndpoint() {
     connection::event::asio::io_context loop;
     const Udp::socket socket(
@@ -58,7 +58,7 @@
     return socket.local_endpoint();
   }
 
-  // Each knows the others, and its port is open.
+  // Makes the peers known to each other and opens their ports.
   void StartPeers(std::initializer_list<PeerParts*> peers) {
     RunUntil(loop_, [&] { return store_.items().size() == peers.size(); });
     std::vector<StoreItem> items;
--- a/tests/process/peer_identity_test.cc
+++ b/tests/process/peer_identity_test.cc
@@ -1,5 +1,5 @@
-// Whom an instance takes for a peer under mutual TLS, and what a peer that
-// floods it can cause.
+// Identity checks of peers under mutual TLS, and the bound on a peer that
+// floods an instance with messages.
 #include <chrono>
 #include <condition_variable>
 #include <mutex>
@@ -20,16 +20,16 @@
 namespace lynxglade::process {
 namespace {
 
-// Far longer than any step takes; only a real fault waits it out.
-constexpr std::chrono::seconds kPatience{30};
+// Generous, so that only a real fault runs into it.
+constexpr std::chrono::seconds kTimeout{30};
 
-// A peer that says what the test wants it to say.
+// A peer whose hello message and messages the test controls.
 class Peer {
  public:
   Peer(connection::PeerLinkTls tls, const std::string& zone) {
     connection::PeerLinkOptions options;
     options.tls = std::move(tls);
-    // A flood must not be held back at its source.
+    // Large enough not to limit the flood at the sender.
     options.max_queue_bytes = 256u << 20;
     connection::PeerLinkHooks hooks;
     hooks.make_hello = [zone](int port) {
@@ -62,14 +62,15 @@
     EXPECT_TRUE(links_->Start(&ec));
   }
 
-  // Why the service at the port refused us; empty when it took us in, which
-  // its first message shows.
-  std::string Visit(int port) {
+  // Connects to the service at the port. Returns why it rejected the link;
+  // empty when it was accepted, as shown by its first message.
+  std::string Connect(int port) {
     links_->Dial("127.0.0.1", port);
     std::unique_lock lock(mutex_);
-    changed_.wait_for(lock, kPatience,
+    changed_.wait_for(lock, kTimeout,
                       [this] { return down_.has_value() || messages_ > 0; });
-    return down_.value_or(messages_ > 0 ? "" : "nothing came");
+    return down_.value_or(
+        messages_ > 0 ? "" : "no message and no close within the timeout");
   }
 
   void Send(std::string message) {
@@ -117,28 +118,28 @@
   ViewService service_;
 };
 
-TEST_F(PeerIdentityTest, ZoneAndRoleOfTheCertificateMustFit) {
-  Peer tool(Files("zone-b", "tool"), "zone-b");
-  EXPECT_NE(tool.Visit(service_.port()).find("another role"),
+TEST_F(PeerIdentityTest, ZoneAndRoleOfTheCertificateMustMatch) {
+  Peer wrong_role(Files("zone-b", "tool"), "zone-b");
+  EXPECT_NE(wrong_role.Connect(service_.port()).find("another role"),
             std::string::npos);
-  Peer liar(Files("zone-b", "instance"), "zone-a");
-  EXPECT_NE(liar.Visit(service_.port()).find("another zone"),
+  Peer wrong_zone(Files("zone-b", "instance"), "zone-a");
+  EXPECT_NE(wrong_zone.Connect(service_.port()).find("another zone"),
             std::string::npos);
   EXPECT_EQ(metrics_.CounterValue("lynxglade_peer_links_refused_total"), 2u);
   Peer good(Files("zone-b", "instance"), "zone-b");
-  EXPECT_EQ(good.Visit(service_.port()), "");
+  EXPECT_EQ(good.Connect(service_.port()), "");
 }
 
-// 100 MB of messages that mean nothing: they wait under a bound on bytes, and
-// the service goes on.
-TEST_F(PeerIdentityTest, FloodOfOnePeerIsBounded) {
+// 100 MB of invalid messages: the queue is bounded in bytes, and the service
+// still accepts other peers.
+TEST_F(PeerIdentityTest, FloodFromOnePeerDoesNotBlockOthers) {
   Peer flood(Files("zone-b", "instance"), "zone-b");
-  ASSERT_EQ(flood.Visit(service_.port()), "");
+  ASSERT_EQ(flood.Connect(service_.port()), "");
   for (int i = 0; i < 500; ++i) {
     flood.Send(std::string(200u << 10, '\x81'));
   }
   Peer good(Files("zone-c", "instance"), "zone-c");
-  EXPECT_EQ(good.Visit(service_.port()), "");
+  EXPECT_EQ(good.Connect(service_.port()), "");
 }
 
 }  // namespace
--- a/tests/process/peer_messages_test.cc
+++ b/tests/process/peer_messages_test.cc
@@ -27,8 +27,8 @@
   return error;
 }
 
-// The message as the receiver gets it.
-PeerMessage Carry(const PeerMessage& message) {
+// Encodes and decodes the message.
+PeerMessage RoundTrip(const PeerMessage& message) {
   PeerMessageError error = PeerMessageError::kNone;
   const auto got =
       DecodePeerMessage(EncodePeerMessage(message, kNow), kNow, &error);
@@ -36,27 +36,29 @@
   return got.value_or(CloseLinkMessage{});
 }
 
-TEST(PeerMessages, EveryMessageComesBackAsItWas) {
-  const auto hello = std::get<HelloMessage>(Carry(HelloMessage{
+TEST(PeerMessages, RoundTripPreservesEveryMessage) {
+  const auto hello = std::get<HelloMessage>(RoundTrip(HelloMessage{
       1, base::InstanceId("i"), base::ZoneId("z"), "10.0.0.1", 65535}));
   EXPECT_EQ(hello.instance.str() + hello.zone.str() + hello.address,
             "iz10.0.0.1");
   EXPECT_EQ(hello.port, 65535);
-  const auto beat = std::get<HeartbeatMessage>(Carry(HeartbeatMessage{7, 9}));
+  const auto beat =
+      std::get<HeartbeatMessage>(RoundTrip(HeartbeatMessage{7, 9}));
   EXPECT_EQ(beat.sequence, 7u);
   EXPECT_EQ(beat.echo, 9u);
-  const auto digest = std::get<DigestMessage>(Carry(DigestMessage{{1, 2}}));
+  const auto digest = std::get<DigestMessage>(RoundTrip(DigestMessage{{1, 2}}));
   EXPECT_EQ(digest.buckets.size(), 2u);
   const auto summary = std::get<SummaryMessage>(
-      Carry(SummaryMessage{{{3, {{11, {1, 2}, 5}}}, {4, {}}}}));
+      RoundTrip(SummaryMessage{{{3, {{11, {1, 2}, 5}}}, {4, {}}}}));
   EXPECT_EQ(summary.buckets[0].entries[0].version, (ViewVersion{1, 2}));
   EXPECT_EQ(summary.buckets[1].bucket, 4u);
-  EXPECT_EQ(std::get<FetchMessage>(Carry(FetchMessage{{8}})).key_hashes[0], 8u);
+  EXPECT_EQ(std::get<FetchMessage>(RoundTrip(FetchMessage{{8}})).key_hashes[0],
+            8u);
   EXPECT_TRUE(
-      std::holds_alternative<CloseLinkMessage>(Carry(CloseLinkMessage{})));
+      std::holds_alternative<CloseLinkMessage>(RoundTrip(CloseLinkMessage{})));
 }
 
-TEST(PeerMessages, RefusesWhatIsNotExactlyOneMessage) {
+TEST(PeerMessages, RejectsInputThatIsNotExactlyOneMessage) {
   EXPECT_EQ(ErrorOf("text"), PeerMessageError::kUnknownType);
   EXPECT_EQ(ErrorOf(json::object()), PeerMessageError::kUnknownType);
   EXPECT_EQ(ErrorOf({0}), PeerMessageError::kUnknownType);
@@ -93,7 +95,7 @@
       kNow - age,
       *rc::gen::container<std::string>(rc::gen::inRange('a', 'z'))};
   const std::string bytes = EncodePeerMessage(ViewBatchMessage{{item}}, kNow);
-  // The receiver's clock shows another time; only the age counts.
+  // The receiver's clock differs; only the age is transmitted.
   const base::Time there{std::chrono::hours(900)};
   PeerMessageError error = PeerMessageError::kNone;
   const auto got = DecodePeerMessage(bytes, there, &error);
@@ -107,7 +109,7 @@
 }
 
 RC_GTEST_PROP(PeerMessagesProperty,
-              DamagedBytesNeverPassForMoreThanOneMessage,
+              CorruptedBytesGiveMessageOrErrorAndTruncatedBytesFail,
               ()) {
   std::string bytes = EncodePeerMessage(
       SummaryMessage{{{3, {{11, {1, 2}, 5}, {12, {1, 2}, 5}}}}}, kNow);
