--- a/src/process/shard_lease.cc
+++ b/src/process/shard_lease.cc
@@ -15,13 +15,13 @@
 // Renewals per TTL; several may fail before the order deadline.
 constexpr int kRenewalsPerTtl = 6;
 // Reads of the key per TTL while another instance holds it.
-constexpr int kLooksPerTtl = 6;
+constexpr int kReadsPerTtl = 6;
 // A lease that can't be revoked expires by its TTL.
 constexpr int kMaxRevokeAttempts = 2;
 
 std::string EncodeLease(const base::InstanceId& holder,
-                        const std::string& mark) {
-  const Json json = {{"holder", holder.str()}, {"mark", mark}};
+                        const std::string& acquire_id) {
+  const Json json = {{"holder", holder.str()}, {"mark", acquire_id}};
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -57,7 +57,7 @@
     : settings_(std::move(settings)), random_(std::move(random)) {}
 
 std::optional<LeaseCall> ShardLease::Next(base::Time now) {
-  if (calling_) {
+  if (call_in_flight_) {
     return std::nullopt;
   }
   if (revoke_lease_ && lease_.value() != 0) {
@@ -66,16 +66,16 @@
     return call;
   }
   if (state_ == LeaseState::kHeld ||
-      (state_ == LeaseState::kUncertain && !claim_unknown_)) {
-    return NextRenewal(now);
+      (state_ == LeaseState::kUncertain && !create_unanswered_)) {
+    return NextRenewalCall(now);
   }
-  if (releasing_ && !claim_unknown_) {
+  if (releasing_ && !create_unanswered_) {
     return std::nullopt;
   }
-  return NextClaim(now);
+  return NextAcquireCall(now);
 }
 
-std::optional<LeaseCall> ShardLease::NextRenewal(base::Time now) {
+std::optional<LeaseCall> ShardLease::NextRenewalCall(base::Time now) {
   if (now >= expiry_) {
     // The lease may still exist on the service, but that is unknown until a
     // renewal is answered.
@@ -89,15 +89,15 @@
   return call;
 }
 
-std::optional<LeaseCall> ShardLease::NextClaim(base::Time now) {
+std::optional<LeaseCall> ShardLease::NextAcquireCall(base::Time now) {
   if (now < next_call_) {
     return std::nullopt;
   }
   if (state_ == LeaseState::kAcquiring && lease_.value() != 0) {
-    mark_ = base::RandomHexId(random_);
+    acquire_id_ = base::RandomHexId(random_);
     LeaseCall call = Start(LeaseCallKind::kCreate, now);
     call.lease = lease_;
-    call.value = EncodeLease(settings_.holder, mark_);
+    call.value = EncodeLease(settings_.holder, acquire_id_);
     return call;
   }
   if (state_ == LeaseState::kAcquiring) {
@@ -107,7 +107,7 @@
 }
 
 LeaseCall ShardLease::Start(LeaseCallKind kind, base::Time now) {
-  calling_ = true;
+  call_in_flight_ = true;
   call_sent_ = now;
   LeaseCall call;
   call.kind = kind;
@@ -117,17 +117,17 @@
 void ShardLease::OnRead(base::Time now,
                         const std::optional<connection::KvRange>& range,
                         KvError error) {
-  calling_ = false;
+  call_in_flight_ = false;
   if (!range || error != KvError::kNone) {
-    next_call_ = now + Jittered(settings_.ttl / kLooksPerTtl);
+    next_call_ = now + Jittered(settings_.ttl / kReadsPerTtl);
     return;
   }
   if (range->entries.empty()) {
     holder_.reset();
-    if (claim_unknown_) {
+    if (create_unanswered_) {
       // The create may still arrive; revoking its lease keeps it from taking
       // effect.
-      Abandon(now, base::Duration::zero());
+      AbandonAcquire(now, base::Duration::zero());
     } else if (!releasing_) {
       state_ = LeaseState::kAcquiring;
     }
@@ -136,20 +136,20 @@
   const connection::KvEntry& entry = range->entries.front();
   holder_ = LeaseHolder{base::InstanceId(Member(entry.value, "holder")),
                         base::FencingToken(entry.create_revision.value())};
-  if (claim_unknown_ && Member(entry.value, "mark") == mark_) {
-    Adopt(now, entry.create_revision);
+  if (create_unanswered_ && Member(entry.value, "mark") == acquire_id_) {
+    SetHeld(now, entry.create_revision);
     return;
   }
-  Abandon(now, settings_.ttl / kLooksPerTtl);
+  AbandonAcquire(now, settings_.ttl / kReadsPerTtl);
 }
 
 void ShardLease::OnGrant(base::Time now,
                          const std::optional<connection::KvLeaseId>& lease,
                          KvError error) {
-  calling_ = false;
+  call_in_flight_ = false;
   if (!lease || error != KvError::kNone) {
     // If the grant took effect without an answer, that lease expires unused.
-    Abandon(now, settings_.ttl / kLooksPerTtl);
+    AbandonAcquire(now, settings_.ttl / kReadsPerTtl);
     return;
   }
   lease_ = *lease;
@@ -162,32 +162,32 @@
 void ShardLease::OnCreate(base::Time now,
                           const std::optional<connection::KvTxnResult>& result,
                           KvError error) {
-  calling_ = false;
+  call_in_flight_ = false;
   if (result && result->committed) {
-    Adopt(now, result->revision);
+    SetHeld(now, result->revision);
     return;
   }
   if (result) {
-    Abandon(now, settings_.ttl / kLooksPerTtl);
+    AbandonAcquire(now, settings_.ttl / kReadsPerTtl);
     return;
   }
   if (error == KvError::kAmbiguous || error == KvError::kBadAnswer) {
-    claim_unknown_ = true;
+    create_unanswered_ = true;
     state_ = LeaseState::kUncertain;
     next_call_ = now;
     return;
   }
-  Abandon(now, settings_.ttl / kLooksPerTtl);
+  AbandonAcquire(now, settings_.ttl / kReadsPerTtl);
 }
 
 void ShardLease::OnKeepAlive(base::Time now,
                              const std::optional<base::Duration>& left,
                              KvError error) {
-  calling_ = false;
+  call_in_flight_ = false;
   if (left && *left <= base::Duration::zero()) {
     // The lease has expired on the service, so there is nothing to revoke.
     lease_ = connection::KvLeaseId(0);
-    Lose(now);
+    SetLost(now);
     return;
   }
   if (left && error == KvError::kNone) {
@@ -204,7 +204,7 @@
 }
 
 void ShardLease::OnRevoke(base::Time now, bool done) {
-  calling_ = false;
+  call_in_flight_ = false;
   ++revoke_attempts_;
   if (done || revoke_attempts_ >= kMaxRevokeAttempts) {
     revoke_lease_ = false;
@@ -214,7 +214,7 @@
 
 void ShardLease::OnGuardFailed(base::Time now) {
   if (state_ == LeaseState::kHeld || state_ == LeaseState::kUncertain) {
-    Lose(now);
+    SetLost(now);
   }
 }
 
@@ -224,7 +224,7 @@
   }
   releasing_ = true;
   if (state_ == LeaseState::kHeld || state_ == LeaseState::kAcquiring ||
-      (state_ == LeaseState::kUncertain && !claim_unknown_)) {
+      (state_ == LeaseState::kUncertain && !create_unanswered_)) {
     state_ = LeaseState::kNone;
   }
   revoke_lease_ = lease_.value() != 0;
@@ -245,11 +245,11 @@
 }
 
 bool ShardLease::released() const noexcept {
-  return releasing_ && !calling_ && !revoke_lease_;
+  return releasing_ && !call_in_flight_ && !revoke_lease_;
 }
 
-void ShardLease::Adopt(base::Time now, base::Revision create_revision) {
-  claim_unknown_ = false;
+void ShardLease::SetHeld(base::Time now, base::Revision create_revision) {
+  create_unanswered_ = false;
   if (releasing_) {
     revoke_lease_ = true;
     state_ = LeaseState::kNone;
@@ -263,17 +263,17 @@
   holder_ = LeaseHolder{settings_.holder, fence_};
 }
 
-void ShardLease::Abandon(base::Time now, base::Duration pause) {
-  claim_unknown_ = false;
+void ShardLease::AbandonAcquire(base::Time now, base::Duration pause) {
+  create_unanswered_ = false;
   state_ = LeaseState::kNone;
   revoke_lease_ = lease_.value() != 0;
   revoke_attempts_ = 0;
   next_call_ = now + Jittered(pause);
 }
 
-void ShardLease::Lose(base::Time now) {
+void ShardLease::SetLost(base::Time now) {
   expiry_ = {};
-  Abandon(now, settings_.ttl / kLooksPerTtl);
+  AbandonAcquire(now, settings_.ttl / kReadsPerTtl);
   state_ = LeaseState::kLost;
 }
 
--- a/src/process/shard_lease.h
+++ b/src/process/shard_lease.h
@@ -120,27 +120,27 @@
   bool released() const noexcept;
 
  private:
-  void Adopt(base::Time now, base::Revision create_revision);
-  void Abandon(base::Time now, base::Duration pause);
-  void Lose(base::Time now);
+  void SetHeld(base::Time now, base::Revision create_revision);
+  void AbandonAcquire(base::Time now, base::Duration pause);
+  void SetLost(base::Time now);
   base::Duration Jittered(base::Duration d) const;
-  std::optional<LeaseCall> NextClaim(base::Time now);
-  std::optional<LeaseCall> NextRenewal(base::Time now);
+  std::optional<LeaseCall> NextAcquireCall(base::Time now);
+  std::optional<LeaseCall> NextRenewalCall(base::Time now);
   LeaseCall Start(LeaseCallKind kind, base::Time now);
 
   const LeaseSettings settings_;
   const base::RandomSource random_;
   LeaseState state_ = LeaseState::kNone;
-  bool calling_ = false;
+  bool call_in_flight_ = false;
   bool releasing_ = false;
   // Set when a create was not answered, until a read shows whether it took
   // effect.
-  bool claim_unknown_ = false;
+  bool create_unanswered_ = false;
   // Lease of the service that this instance was granted; 0 if none.
   connection::KvLeaseId lease_{0};
   bool revoke_lease_ = false;
   int revoke_attempts_ = 0;
-  std::string mark_;
+  std::string acquire_id_;
   base::FencingToken fence_{0};
   base::Time call_sent_{};
   base::Time next_call_{};
--- a/tests/process/shard_lease_test.cc
+++ b/tests/process/shard_lease_test.cc
@@ -57,9 +57,9 @@
   ShardLease lease_;
 };
 
-TEST_F(ShardLeaseTest, CountsFromWhenCallsWereSentNotAnswered) {
+TEST_F(ShardLeaseTest, ExpiryCountsFromWhenTheCallWasSent) {
   Grant(kStart);
-  // The answer took 12 s; the service has counted since the grant.
+  // The answer took 12 s; the TTL counts from the grant.
   lease_.OnCreate(kStart + seconds(12), Committed(40), KvError::kNone);
   EXPECT_EQ(lease_.FenceForOrders(kStart + seconds(19)),
             base::FencingToken(40));
@@ -71,7 +71,7 @@
   EXPECT_FALSE(lease_.FenceForOrders(kStart + seconds(33)));
 }
 
-TEST_F(ShardLeaseTest, LostAnswerOfAClaimIsFoundByItsMark) {
+TEST_F(ShardLeaseTest, AcquiresAfterLostAnswerIfTheKeyHasItsId) {
   const std::string value = Grant(kStart);
   lease_.OnCreate(kStart, std::nullopt, KvError::kAmbiguous);
   EXPECT_EQ(lease_.state(), LeaseState::kUncertain);
@@ -81,17 +81,18 @@
   EXPECT_EQ(lease_.FenceForOrders(kStart), base::FencingToken(77));
 }
 
-TEST_F(ShardLeaseTest, ClaimThatIsNotThereIsMadeHarmless) {
+TEST_F(ShardLeaseTest, RevokesItsLeaseIfAnUnansweredCreateIsNotFound) {
   Grant(kStart);
   lease_.OnCreate(kStart, std::nullopt, KvError::kAmbiguous);
   lease_.Next(kStart);
   lease_.OnRead(kStart, KvRange{}, KvError::kNone);
-  // The create may still arrive; without its lease it can't take effect.
+  // The create may still arrive; revoking the lease keeps it from taking
+  // effect.
   EXPECT_EQ(lease_.Next(kStart)->kind, LeaseCallKind::kRevoke);
   EXPECT_FALSE(lease_.FenceForOrders(kStart));
 }
 
-TEST_F(ShardLeaseTest, AnothersKeyIsNotAdopted) {
+TEST_F(ShardLeaseTest, DoesNotAcquireWithAnotherHoldersKey) {
   Grant(kStart);
   lease_.OnCreate(kStart, std::nullopt, KvError::kAmbiguous);
   lease_.Next(kStart);
@@ -101,7 +102,7 @@
   EXPECT_EQ(lease_.holder()->id, base::InstanceId("you"));
 }
 
-TEST_F(ShardLeaseTest, WakesAfterItsLeaseWithoutAuthority) {
+TEST_F(ShardLeaseTest, HasNoFenceAfterExpiryUntilRenewed) {
   Grant(kStart);
   lease_.OnCreate(kStart, Committed(40), KvError::kNone);
   const base::Time late = kStart + std::chrono::minutes(5);
@@ -112,7 +113,7 @@
   EXPECT_EQ(lease_.state(), LeaseState::kLost);
 }
 
-TEST_F(ShardLeaseTest, PlannedStopGivesTheLeaseBack) {
+TEST_F(ShardLeaseTest, ReleaseRevokesTheLease) {
   Grant(kStart);
   lease_.OnCreate(kStart, Committed(40), KvError::kNone);
   lease_.Release();
