--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -262,7 +262,7 @@
 }
 
 void EngineDriver::WriteRecord(JournalRecord record) {
-  record.mark = base::RandomHexId(context_.random);
+  record.write_id = base::RandomHexId(context_.random);
   journal_.Write(record, context_.lease_key, record.fence);
   CommitPending();
 }
--- a/src/process/order_journal.cc
+++ b/src/process/order_journal.cc
@@ -42,7 +42,7 @@
         connection::DecodeTargetState(json.at("failed_target"));
   }
   record.failed_incarnation = json.at("failed_incarnation").get<std::string>();
-  record.mark = json.at("mark").get<std::string>();
+  record.write_id = json.at("mark").get<std::string>();
   return record;
 }
 
@@ -81,7 +81,7 @@
                {"attempts", record.attempts},
                {"failures", record.failures},
                {"failed_incarnation", record.failed_incarnation},
-               {"mark", record.mark}};
+               {"mark", record.write_id}};
   if (record.failed_target) {
     json["failed_target"] =
         connection::EncodeTargetState(*record.failed_target);
@@ -175,9 +175,9 @@
 }
 
 JournalWriteResult OrderJournal::TakeOver(const connection::KvEntry* entry) {
-  const std::string mark = pending_ ? pending_->mark : std::string();
+  const std::string write_id = pending_ ? pending_->write_id : std::string();
   const bool readable = Load(entry ? std::optional(*entry) : std::nullopt);
-  const bool own = readable && record_ && record_->mark == mark;
+  const bool own = readable && record_ && record_->write_id == write_id;
   return own ? JournalWriteResult::kStored : JournalWriteResult::kConflict;
 }
 
--- a/src/process/order_journal.h
+++ b/src/process/order_journal.h
@@ -52,7 +52,7 @@
   std::string failed_incarnation;
   // Random id of this write, by which the writer recognises it when the answer
   // was lost.
-  std::string mark;
+  std::string write_id;
 
   bool operator==(const JournalRecord&) const = default;
 };
