--- a/src/process/order_decision.cc
+++ b/src/process/order_decision.cc
@@ -18,7 +18,7 @@
   return decision;
 }
 
-OrderDecision Take(OrderStep step) {
+OrderDecision MakeDecision(OrderStep step) {
   OrderDecision decision;
   decision.step = step;
   return decision;
@@ -50,41 +50,41 @@
 // Makes the decision from an observation whose age is checked by the caller.
 class Decider {
  public:
-  Decider(const DecisionInputs& situation, const DecisionSettings& settings)
-      : in_(situation),
+  Decider(const DecisionInputs& inputs, const DecisionSettings& settings)
+      : inputs_(inputs),
         settings_(settings),
-        state_(situation.observation->state) {}
+        state_(inputs.observation->state) {}
 
   OrderDecision Run() const {
-    if (state_.fence > *in_.authority) {
+    if (state_.fence > *inputs_.authority) {
       return Wait(WaitReason::kFenceBehind);
     }
     if (state_.phase == EnginePhase::kChanging) {
       return Wait(WaitReason::kChanging);
     }
-    if (in_.record && IsOpen(in_.record->phase)) {
-      return Open();
+    if (inputs_.record && IsOpen(inputs_.record->phase)) {
+      return DecideOpenOrder();
     }
-    return Closed();
+    return DecideNewOrder();
   }
 
  private:
   // An order is in progress, sent by this process or an earlier holder.
-  OrderDecision Open() const {
-    const JournalRecord& record = *in_.record;
-    if (Matches(state_, record.target) && Judgeable()) {
-      return Close(OrderPhase::kObserved);
+  OrderDecision DecideOpenOrder() const {
+    const JournalRecord& record = *inputs_.record;
+    if (Matches(state_, record.target) && ObservationFollowsSend()) {
+      return CloseOrder(OrderPhase::kObserved);
     }
-    if (SentByUs() && in_.sent->accepted &&
+    if (SentByThisProcess() && inputs_.sent->accepted &&
         record.phase == OrderPhase::kIntended) {
-      JournalRecord next = Stamped(record);
+      JournalRecord next = WithAuthority(record);
       next.phase = OrderPhase::kSent;
       return WriteRecord(std::move(next));
     }
     if (NeedsDrainFirst(state_, record.target)) {
       // A restart cleared the drain, so the change has to start again with one.
-      return Judgeable() ? Close(OrderPhase::kFailed)
-                         : Take(OrderStep::kReadBack);
+      return ObservationFollowsSend() ? CloseOrder(OrderPhase::kFailed)
+                                      : MakeDecision(OrderStep::kReadBack);
     }
     if (NeedsOutage(state_, record.target) && state_.in_flight > 0) {
       return Wait(WaitReason::kInFlight);
@@ -92,55 +92,58 @@
     if (StoredButNotSent()) {
       return SendRecord();
     }
-    return Judgeable() ? Repeat() : Take(OrderStep::kReadBack);
+    return ObservationFollowsSend() ? Retry()
+                                    : MakeDecision(OrderStep::kReadBack);
   }
 
   // Whether the observation was requested after the last call to send an order
   // returned, so that it can show the order's effect.
-  bool Judgeable() const {
-    return !in_.sent || in_.observation->requested_at >= in_.sent->done_at;
+  bool ObservationFollowsSend() const {
+    return !inputs_.sent ||
+           inputs_.observation->requested_at >= inputs_.sent->done_at;
   }
 
-  bool SentByUs() const {
-    const JournalRecord& record = *in_.record;
-    return in_.sent && in_.sent->fence == record.fence &&
-           in_.sent->generation == record.generation &&
-           in_.sent->attempt == record.attempts;
+  bool SentByThisProcess() const {
+    const JournalRecord& record = *inputs_.record;
+    return inputs_.sent && inputs_.sent->fence == record.fence &&
+           inputs_.sent->generation == record.generation &&
+           inputs_.sent->attempt == record.attempts;
   }
 
   bool StoredButNotSent() const {
-    const JournalRecord& record = *in_.record;
-    return record.fence == *in_.authority &&
-           record.phase == OrderPhase::kIntended && !SentByUs();
+    const JournalRecord& record = *inputs_.record;
+    return record.fence == *inputs_.authority &&
+           record.phase == OrderPhase::kIntended && !SentByThisProcess();
   }
 
   OrderDecision SendRecord() const {
-    OrderDecision decision = Take(OrderStep::kSend);
-    decision.record = in_.record;
-    decision.loads_weights = LoadsWeights(state_, in_.record->target);
-    if (decision.loads_weights && !in_.load_allowed) {
+    OrderDecision decision = MakeDecision(OrderStep::kSend);
+    decision.record = inputs_.record;
+    decision.loads_weights = LoadsWeights(state_, inputs_.record->target);
+    if (decision.loads_weights && !inputs_.load_allowed) {
       return Wait(WaitReason::kWeightStoreLimit);
     }
     return decision;
   }
 
-  OrderDecision Repeat() const {
-    const JournalRecord& record = *in_.record;
+  OrderDecision Retry() const {
+    const JournalRecord& record = *inputs_.record;
     if (record.attempts >= settings_.max_attempts) {
-      return Close(OrderPhase::kFailed);
+      return CloseOrder(OrderPhase::kFailed);
     }
-    if (in_.sent && in_.now < in_.sent->done_at + settings_.retry_pause) {
+    if (inputs_.sent &&
+        inputs_.now < inputs_.sent->done_at + settings_.retry_pause) {
       return Wait(WaitReason::kRetryPause);
     }
-    JournalRecord next = Stamped(record);
+    JournalRecord next = WithAuthority(record);
     next.phase = OrderPhase::kIntended;
     ++next.attempts;
     return WriteRecord(std::move(next));
   }
 
-  OrderDecision Close(OrderPhase phase) const {
-    JournalRecord next = Stamped(*in_.record);
-    const bool taken = next.phase == OrderPhase::kSent;
+  OrderDecision CloseOrder(OrderPhase phase) const {
+    JournalRecord next = WithAuthority(*inputs_.record);
+    const bool engine_accepted = next.phase == OrderPhase::kSent;
     const bool same_content =
         next.failed_target && SameContent(*next.failed_target, next.target);
     next.phase = phase;
@@ -149,7 +152,7 @@
       next.failed_target.reset();
     }
     // An order that the engine did not accept says nothing about the engine.
-    if (phase == OrderPhase::kFailed && taken) {
+    if (phase == OrderPhase::kFailed && engine_accepted) {
       next.failures = same_content ? next.failures + 1 : 1;
       next.failed_target = next.target;
       next.failed_incarnation = state_.incarnation;
@@ -158,27 +161,27 @@
   }
 
   // No order is in progress.
-  OrderDecision Closed() const {
-    if (!in_.desired) {
+  OrderDecision DecideNewOrder() const {
+    if (!inputs_.desired) {
       return Wait(WaitReason::kNothingIntended);
     }
     if (CanRaiseFence()) {
-      OrderDecision decision = Take(OrderStep::kRaiseFence);
-      decision.record = in_.record;
+      OrderDecision decision = MakeDecision(OrderStep::kRaiseFence);
+      decision.record = inputs_.record;
       return decision;
     }
     const EngineTargetState next = NextTarget();
     if (Matches(state_, next)) {
-      return Settled();
+      return DecideAtTarget();
     }
-    if (Isolated(next)) {
+    if (IsIsolated(next)) {
       return Wait(WaitReason::kIsolated);
     }
-    const bool replaces = NeedsOutage(state_, *in_.desired);
-    if (replaces && !in_.permit_held) {
-      return ClaimPermit();
+    const bool needs_outage = NeedsOutage(state_, *inputs_.desired);
+    if (needs_outage && !inputs_.permit_held) {
+      return DecidePermit();
     }
-    if (MustStayQuiet(next)) {
+    if (InQuietPeriod(next)) {
       return Wait(WaitReason::kQuietTime);
     }
     if (NeedsOutage(state_, next) && state_.in_flight > 0) {
@@ -187,93 +190,96 @@
     return WriteRecord(NewRecord(next));
   }
 
-  OrderDecision Settled() const {
-    if (!in_.permit_held) {
-      return Take(OrderStep::kDone);
+  OrderDecision DecideAtTarget() const {
+    if (!inputs_.permit_held) {
+      return MakeDecision(OrderStep::kDone);
     }
     // A drain order recorded as failed may still arrive and take the engine out
     // of service.
-    return MustStayQuiet(state_.current) ? Wait(WaitReason::kQuietTime)
-                                         : Take(OrderStep::kReleasePermit);
+    return InQuietPeriod(state_.current)
+               ? Wait(WaitReason::kQuietTime)
+               : MakeDecision(OrderStep::kReleasePermit);
   }
 
   // Resending the order in effect under the new token makes the engine reject
   // late orders of earlier holders.
   bool CanRaiseFence() const {
-    return in_.fenced && in_.record &&
-           in_.record->phase == OrderPhase::kObserved &&
-           state_.fence < *in_.authority &&
-           Matches(state_, in_.record->target) && !JustSent();
+    return inputs_.fenced && inputs_.record &&
+           inputs_.record->phase == OrderPhase::kObserved &&
+           state_.fence < *inputs_.authority &&
+           Matches(state_, inputs_.record->target) && !SentRecently();
   }
 
-  bool JustSent() const {
-    return in_.sent && in_.now < in_.sent->done_at + settings_.retry_pause;
+  bool SentRecently() const {
+    return inputs_.sent &&
+           inputs_.now < inputs_.sent->done_at + settings_.retry_pause;
   }
 
   // The next complete target state on the way to the desired one.
   EngineTargetState NextTarget() const {
-    if (!NeedsOutage(state_, *in_.desired)) {
-      return *in_.desired;
+    if (!NeedsOutage(state_, *inputs_.desired)) {
+      return *inputs_.desired;
     }
-    if (NeedsDrainFirst(state_, *in_.desired)) {
+    if (NeedsDrainFirst(state_, *inputs_.desired)) {
       EngineTargetState drain = state_.current;
       drain.draining = true;
       return drain;
     }
-    EngineTargetState change = *in_.desired;
+    EngineTargetState change = *inputs_.desired;
     change.draining = true;
     return change;
   }
 
   // The change failed too often. Cleared when the engine restarts or a
   // different target is desired.
-  bool Isolated(const EngineTargetState& next) const {
-    if (!in_.record || !in_.record->failed_target) {
+  bool IsIsolated(const EngineTargetState& next) const {
+    if (!inputs_.record || !inputs_.record->failed_target) {
       return false;
     }
-    const JournalRecord& record = *in_.record;
+    const JournalRecord& record = *inputs_.record;
     const EngineTargetState& failed = *record.failed_target;
-    const bool again = failed == next || SameContent(failed, *in_.desired);
+    const bool again = failed == next || SameContent(failed, *inputs_.desired);
     return again && record.failures >= settings_.max_attempts &&
            record.failed_incarnation == state_.incarnation;
   }
 
-  OrderDecision ClaimPermit() const {
+  OrderDecision DecidePermit() const {
     const bool in_service =
         state_.phase == EnginePhase::kReady && !state_.current.draining;
-    if (in_service && !in_.capacity_allows) {
+    if (in_service && !inputs_.capacity_allows) {
       return Wait(WaitReason::kCapacityFloor);
     }
-    if (LoadsWeights(state_, *in_.desired) && !in_.load_allowed) {
+    if (LoadsWeights(state_, *inputs_.desired) && !inputs_.load_allowed) {
       return Wait(WaitReason::kWeightStoreLimit);
     }
-    if (!in_.permit_free) {
+    if (!inputs_.permit_free) {
       return Wait(WaitReason::kPermit);
     }
-    return Take(OrderStep::kTakePermit);
+    return MakeDecision(OrderStep::kTakePermit);
   }
 
   // The last order, or a copy of it, may still arrive after `next` is sent and
   // undo it.
-  bool MustStayQuiet(const EngineTargetState& next) const {
-    if (!in_.record || in_.record->target == next || RefusesLateCopies()) {
+  bool InQuietPeriod(const EngineTargetState& next) const {
+    if (!inputs_.record || inputs_.record->target == next ||
+        RejectsLateOrders()) {
       return false;
     }
-    return in_.now < in_.quiet_until ||
-           in_.observation->requested_at < in_.quiet_until;
+    return inputs_.now < inputs_.quiet_until ||
+           inputs_.observation->requested_at < inputs_.quiet_until;
   }
 
   // The engine has recorded the current token and the last generation, so it
   // rejects every order older than the next one. A restart can lose both.
-  bool RefusesLateCopies() const {
-    return in_.fenced && state_.fence == *in_.authority &&
-           state_.generation >= in_.record->generation;
+  bool RejectsLateOrders() const {
+    return inputs_.fenced && state_.fence == *inputs_.authority &&
+           state_.generation >= inputs_.record->generation;
   }
 
   JournalRecord NewRecord(const EngineTargetState& target) const {
-    JournalRecord next = in_.record.value_or(JournalRecord());
+    JournalRecord next = inputs_.record.value_or(JournalRecord());
     const base::Generation last = std::max(next.generation, state_.generation);
-    next = Stamped(next);
+    next = WithAuthority(next);
     next.generation = last + base::Generation(1);
     next.target = target;
     next.phase = OrderPhase::kIntended;
@@ -281,18 +287,18 @@
     return next;
   }
 
-  JournalRecord Stamped(JournalRecord record) const {
-    record.fence = *in_.authority;
+  JournalRecord WithAuthority(JournalRecord record) const {
+    record.fence = *inputs_.authority;
     record.holder = settings_.holder;
     return record;
   }
 
-  const DecisionInputs& in_;
+  const DecisionInputs& inputs_;
   const DecisionSettings& settings_;
   const EngineState& state_;
 };
 
-bool IsAct(OrderStep step) {
+bool HasSideEffects(OrderStep step) {
   return step == OrderStep::kWriteRecord || step == OrderStep::kSend ||
          step == OrderStep::kTakePermit || step == OrderStep::kReleasePermit ||
          step == OrderStep::kRaiseFence;
@@ -301,7 +307,7 @@
 // Maximum age of the observation for a decision to be used.
 base::Duration MaxObservationAge(const OrderDecision& decision,
                                  const DecisionSettings& settings) {
-  if (IsAct(decision.step)) {
+  if (HasSideEffects(decision.step)) {
     return settings.observation_max_age;
   }
   const bool idle = decision.step == OrderStep::kDone ||
@@ -373,31 +379,31 @@
   return "nothing_intended";
 }
 
-OrderDecision Decide(const DecisionInputs& situation,
+OrderDecision Decide(const DecisionInputs& inputs,
                      const DecisionSettings& settings) {
-  if (!situation.authority) {
+  if (!inputs.authority) {
     return Wait(WaitReason::kNoAuthority);
   }
-  if (!situation.journal_loaded) {
-    return situation.journal_unreadable ? Wait(WaitReason::kJournalUnreadable)
-                                        : Take(OrderStep::kLoadJournal);
+  if (!inputs.journal_loaded) {
+    return inputs.journal_unreadable ? Wait(WaitReason::kJournalUnreadable)
+                                     : MakeDecision(OrderStep::kLoadJournal);
   }
-  if (situation.record && situation.record->fence > *situation.authority) {
+  if (inputs.record && inputs.record->fence > *inputs.authority) {
     return Wait(WaitReason::kFenceBehind);
   }
-  if (situation.unreachable_since) {
+  if (inputs.unreachable_since) {
     const bool due =
-        situation.now >= situation.last_read_attempt + settings.idle_interval;
-    return due ? Take(OrderStep::kReadBack) : Wait(WaitReason::kUnreachable);
+        inputs.now >= inputs.last_read_attempt + settings.idle_interval;
+    return due ? MakeDecision(OrderStep::kReadBack)
+               : Wait(WaitReason::kUnreachable);
   }
-  if (!situation.observation) {
-    return Take(OrderStep::kReadBack);
+  if (!inputs.observation) {
+    return MakeDecision(OrderStep::kReadBack);
   }
-  OrderDecision decision = Decider(situation, settings).Run();
-  const base::Duration age =
-      situation.now - situation.observation->requested_at;
+  OrderDecision decision = Decider(inputs, settings).Run();
+  const base::Duration age = inputs.now - inputs.observation->requested_at;
   const bool too_old = age > MaxObservationAge(decision, settings);
-  return too_old ? Take(OrderStep::kReadBack) : decision;
+  return too_old ? MakeDecision(OrderStep::kReadBack) : decision;
 }
 
 bool MayApply(const connection::EngineOrder& order,
--- a/src/process/order_decision.h
+++ b/src/process/order_decision.h
@@ -143,7 +143,7 @@
 };
 
 // Thread-safe.
-OrderDecision Decide(const DecisionInputs& situation,
+OrderDecision Decide(const DecisionInputs& inputs,
                      const DecisionSettings& settings);
 
 // Whether `order` may be sent, given the state that the engine reported on the
--- a/src/process/order_journal.cc
+++ b/src/process/order_journal.cc
@@ -155,7 +155,7 @@
       lease && lease->mod_revision.value() == pending_fence_.value();
   // Load the record even if the lease is lost: an earlier copy of this write,
   // whose answer was lost, may have stored it.
-  const JournalWriteResult outcome = TakeOver(Find(result->found, key_));
+  const JournalWriteResult outcome = LoadStored(Find(result->found, key_));
   return lease_held ? outcome : JournalWriteResult::kLeaseLost;
 }
 
@@ -171,10 +171,10 @@
     // revision guard lets only one copy succeed.
     return JournalWriteResult::kRetry;
   }
-  return TakeOver(entry);
+  return LoadStored(entry);
 }
 
-JournalWriteResult OrderJournal::TakeOver(const connection::KvEntry* entry) {
+JournalWriteResult OrderJournal::LoadStored(const connection::KvEntry* entry) {
   const std::string write_id = pending_ ? pending_->write_id : std::string();
   const bool readable = Load(entry ? std::optional(*entry) : std::nullopt);
   const bool own = readable && record_ && record_->write_id == write_id;
--- a/src/process/order_journal.h
+++ b/src/process/order_journal.h
@@ -113,7 +113,7 @@
   const std::string& key() const noexcept { return key_; }
 
  private:
-  JournalWriteResult TakeOver(const connection::KvEntry* entry);
+  JournalWriteResult LoadStored(const connection::KvEntry* entry);
 
   std::string key_;
   bool loaded_ = false;
