--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -30,8 +30,9 @@
   }
   const base::Time now = context_.clock();
   const auto fence = context_.lease->FenceForOrders(now);
-  const OrderDecision decision = Decide(Situation(now), Settings());
-  Note(decision, now);
+  const OrderDecision decision =
+      Decide(MakeDecisionInputs(now), MakeSettings());
+  UpdateDecision(decision, now);
   if (!fence) {
     return;
   }
@@ -39,15 +40,15 @@
     journal_read_needed_ ? ReadJournalBack() : CommitPending();
     return;
   }
-  if (permit_ && permit_leaving_) {
-    GiveBackPermit(*fence);
+  if (permit_ && permit_release_unconfirmed_) {
+    ReleaseHeldPermit(*fence);
     return;
   }
-  Take(decision, *fence);
+  Execute(decision, *fence);
 }
 
-void EngineDriver::Take(const OrderDecision& decision,
-                        base::FencingToken fence) {
+void EngineDriver::Execute(const OrderDecision& decision,
+                           base::FencingToken fence) {
   switch (decision.step) {
     case OrderStep::kWait:
     case OrderStep::kDone:
@@ -59,10 +60,10 @@
       ReadBack();
       return;
     case OrderStep::kTakePermit:
-      ClaimPermit(fence);
+      AcquirePermit(fence);
       return;
     case OrderStep::kReleasePermit:
-      GiveBackPermit(fence);
+      ReleaseHeldPermit(fence);
       return;
     case OrderStep::kWriteRecord:
       WriteRecord(*decision.record);
@@ -91,7 +92,7 @@
 
 void EngineDriver::SetPermit(std::optional<Permit> permit) {
   permit_ = std::move(permit);
-  permit_leaving_ = permit_leaving_ && permit_;
+  permit_release_unconfirmed_ = permit_release_unconfirmed_ && permit_;
 }
 
 bool EngineDriver::state_known() const noexcept {
@@ -150,31 +151,30 @@
          waiting > context_.settings.overdue_after;
 }
 
-DecisionInputs EngineDriver::Situation(base::Time now) const {
-  DecisionInputs situation;
-  situation.now = now;
-  situation.authority = context_.lease->FenceForOrders(now);
-  situation.journal_loaded = journal_.loaded();
-  situation.journal_unreadable = journal_unreadable_;
-  situation.record = journal_.record();
-  situation.observation = observation_;
-  situation.unreachable_since = unreachable_since_;
-  situation.last_read_attempt = last_read_attempt_;
-  situation.sent = sent_;
-  situation.desired = desired_;
-  situation.fenced =
-      row_.fenced && (!observation_ || observation_->state.fenced);
-  situation.quiet_until =
-      inherited_ ? std::max(context_.quiet_until, unanswered_until_)
-                 : unanswered_until_;
-  situation.permit_held = permit_.has_value();
-  situation.permit_free = now >= permit_retry_;
-  situation.capacity_allows = capacity_allows_;
-  situation.load_allowed = context_.load_limiter->Allows(now);
-  return situation;
+DecisionInputs EngineDriver::MakeDecisionInputs(base::Time now) const {
+  DecisionInputs inputs;
+  inputs.now = now;
+  inputs.authority = context_.lease->FenceForOrders(now);
+  inputs.journal_loaded = journal_.loaded();
+  inputs.journal_unreadable = journal_unreadable_;
+  inputs.record = journal_.record();
+  inputs.observation = observation_;
+  inputs.unreachable_since = unreachable_since_;
+  inputs.last_read_attempt = last_read_attempt_;
+  inputs.sent = sent_;
+  inputs.desired = desired_;
+  inputs.fenced = row_.fenced && (!observation_ || observation_->state.fenced);
+  inputs.quiet_until = inherited_
+                           ? std::max(context_.quiet_until, unanswered_until_)
+                           : unanswered_until_;
+  inputs.permit_held = permit_.has_value();
+  inputs.permit_free = now >= permit_retry_;
+  inputs.capacity_allows = capacity_allows_;
+  inputs.load_allowed = context_.load_limiter->Allows(now);
+  return inputs;
 }
 
-DecisionSettings EngineDriver::Settings() const {
+DecisionSettings EngineDriver::MakeSettings() const {
   DecisionSettings settings;
   settings.holder = context_.instance;
   settings.observation_max_age = 4 * context_.settings.tick;
@@ -185,21 +185,22 @@
   return settings;
 }
 
-void EngineDriver::Note(const OrderDecision& decision, base::Time now) {
-  const bool still = decision.step == OrderStep::kWait &&
-                     decision_.step == OrderStep::kWait &&
-                     decision.reason == decision_.reason;
+void EngineDriver::UpdateDecision(const OrderDecision& decision,
+                                  base::Time now) {
+  const bool same_wait = decision.step == OrderStep::kWait &&
+                         decision_.step == OrderStep::kWait &&
+                         decision.reason == decision_.reason;
   // A read-back during a wait doesn't restart the wait.
   if (decision.step == OrderStep::kReadBack) {
     return;
   }
-  if (!still) {
+  if (!same_wait) {
     waiting_since_ = now;
-    overdue_told_ = false;
+    overdue_logged_ = false;
   }
   decision_ = decision;
-  if (Overdue() && !overdue_told_) {
-    overdue_told_ = true;
+  if (Overdue() && !overdue_logged_) {
+    overdue_logged_ = true;
     const std::string reason(ToString(decision.reason));
     base::Log(base::LogLevel::kWarning, "order_overdue",
               {{"target", row_.id.str()}, {"reason", reason}});
@@ -230,10 +231,10 @@
           if (!range) {
             return;
           }
-          const bool there = !range->entries.empty();
+          const bool found = !range->entries.empty();
           journal_unreadable_ = !journal_.Load(
-              there ? std::optional(range->entries.front()) : std::nullopt);
-          inherited_ = there;
+              found ? std::optional(range->entries.front()) : std::nullopt);
+          inherited_ = found;
           Step();
         };
       });
@@ -347,32 +348,33 @@
                           const std::optional<connection::OrderAnswer>& answer,
                           EngineAdminError error) {
   const base::Time now = context_.clock();
-  const bool left = answer || error == EngineAdminError::kAmbiguous ||
-                    error == EngineAdminError::kBadAnswer;
-  if (left) {
+  const bool may_have_arrived = answer ||
+                                error == EngineAdminError::kAmbiguous ||
+                                error == EngineAdminError::kBadAnswer;
+  if (may_have_arrived) {
     sent_ = SentOrder{order.generation, order.fence, attempt,
                       answer && answer->accepted, now};
   } else {
     observation_.reset();
   }
-  if (left && !answer) {
+  if (may_have_arrived && !answer) {
     unanswered_until_ = now + context_.settings.engine_connection_bound +
                         context_.settings.guard;
   }
-  const std::string refusal =
-      answer ? std::string(connection::ToString(answer->refusal))
+  const std::string result =
+      answer ? std::string(connection::ToString(answer->result))
              : std::string(connection::ToString(error));
-  Count(answer && answer->accepted ? "accepted" : refusal.c_str());
+  CountOrder(answer && answer->accepted ? "accepted" : result.c_str());
   base::Log(base::LogLevel::kInfo, "order_sent",
             {{"target", row_.id.str()},
              {"generation", order.generation.value()},
              {"fence", order.fence.value()},
              {"accepted", answer && answer->accepted},
-             {"result", refusal}});
+             {"result", result}});
   if (answer && answer->accepted) {
     CountChange(order.target);
   }
-  if (left) {
+  if (may_have_arrived) {
     Step();
   }
 }
@@ -390,7 +392,7 @@
       .Add();
 }
 
-void EngineDriver::ClaimPermit(base::FencingToken fence) {
+void EngineDriver::AcquirePermit(base::FencingToken fence) {
   Permit permit;
   permit.service = row_.service;
   permit.target = row_.id;
@@ -417,7 +419,7 @@
       });
 }
 
-void EngineDriver::GiveBackPermit(base::FencingToken fence) {
+void EngineDriver::ReleaseHeldPermit(base::FencingToken fence) {
   ++context_.permit_calls;
   Run(context_.run_store,
       [this, store = context_.store,
@@ -426,7 +428,7 @@
         const bool done = ReleasePermit(*store, guard, permit);
         return [this, done] {
           ++context_.permit_calls;
-          permit_leaving_ = !done;
+          permit_release_unconfirmed_ = !done;
           if (done) {
             permit_.reset();
             Step();
@@ -435,7 +437,7 @@
       });
 }
 
-void EngineDriver::Count(const char* result) const {
+void EngineDriver::CountOrder(const char* result) const {
   context_.metrics->GetCounter("lynxglade_orders_total", {{"result", result}})
       .Add();
 }
--- a/src/process/engine_driver.h
+++ b/src/process/engine_driver.h
@@ -85,10 +85,10 @@
   bool Overdue() const;
 
  private:
-  DecisionInputs Situation(base::Time now) const;
-  DecisionSettings Settings() const;
-  void Note(const OrderDecision& decision, base::Time now);
-  void Take(const OrderDecision& decision, base::FencingToken fence);
+  DecisionInputs MakeDecisionInputs(base::Time now) const;
+  DecisionSettings MakeSettings() const;
+  void UpdateDecision(const OrderDecision& decision, base::Time now);
+  void Execute(const OrderDecision& decision, base::FencingToken fence);
 
   void LoadJournal();
   void ReadBack();
@@ -101,13 +101,13 @@
               int attempt,
               const std::optional<connection::OrderAnswer>& answer,
               connection::EngineAdminError error);
-  void ClaimPermit(base::FencingToken fence);
-  void GiveBackPermit(base::FencingToken fence);
+  void AcquirePermit(base::FencingToken fence);
+  void ReleaseHeldPermit(base::FencingToken fence);
 
   // Runs `call`; busy() is false again when its completion runs.
   void Run(const CallRunner& runner, BlockingCall call);
   void CountChange(const connection::EngineTargetState& target) const;
-  void Count(const char* result) const;
+  void CountOrder(const char* result) const;
 
   ShardContext& context_;
   EngineRow row_;
@@ -126,14 +126,14 @@
   std::optional<connection::EngineTargetState> desired_;
   std::optional<Permit> permit_;
   // A release of the permit was not confirmed and may still take effect.
-  bool permit_leaving_ = false;
+  bool permit_release_unconfirmed_ = false;
   base::Time permit_retry_{};
   bool capacity_allows_ = false;
   bool busy_ = false;
   bool retired_ = false;
   OrderDecision decision_;
   base::Time waiting_since_{};
-  bool overdue_told_ = false;
+  bool overdue_logged_ = false;
 };
 
 }  // namespace lynxglade::process
