--- a/src/process/order_coordinator.cc
+++ b/src/process/order_coordinator.cc
@@ -21,7 +21,7 @@
 constexpr base::Duration kPermitsInterval = std::chrono::seconds(10);
 // A permit is released after its engine has been missing from the list of
 // engines for this long.
-constexpr base::Duration kOrphanAge = std::chrono::minutes(1);
+constexpr base::Duration kOrphanPermitTimeout = std::chrono::minutes(1);
 
 LeaseSettings MakeLeaseSettings(const base::InstanceId& instance,
                                 const base::ZoneId& zone,
@@ -78,11 +78,11 @@
 
 void OrderCoordinator::Tick() {
   const base::Time now = context_.clock();
-  if (stopping_ && !DriversBusy() && !permits_call_) {
+  if (stopping_ && !DriversBusy() && !permits_call_in_flight_) {
     lease_.Release();
   }
-  DriveLease();
-  if (stopping_ || !FollowAuthority()) {
+  AdvanceLease();
+  if (stopping_ || !UpdateAuthority()) {
     return;
   }
   if (!lease_.FenceForOrders(now)) {
@@ -104,8 +104,8 @@
 }
 
 bool OrderCoordinator::stopped() const noexcept {
-  return stopping_ && lease_.released() && !lease_call_ && !drains_call_ &&
-         !permits_call_ && !DriversBusy();
+  return stopping_ && lease_.released() && !lease_call_in_flight_ &&
+         !drains_call_in_flight_ && !permits_call_in_flight_ && !DriversBusy();
 }
 
 ShardStatus OrderCoordinator::Status() const {
@@ -128,8 +128,8 @@
 
 // --- Authority --------------------------------------------------------------
 
-void OrderCoordinator::DriveLease() {
-  if (lease_call_) {
+void OrderCoordinator::AdvanceLease() {
+  if (lease_call_in_flight_) {
     return;
   }
   if (const auto call = lease_.Next(context_.clock())) {
@@ -138,51 +138,52 @@
 }
 
 void OrderCoordinator::MakeLeaseCall(const LeaseCall& call) {
-  lease_call_ = true;
+  lease_call_in_flight_ = true;
   context_.run_store([this, call, store = context_.store,
                       key = context_.lease_key,
                       ttl = context_.settings.lease_ttl]() -> Completion {
     KvError error = KvError::kNone;
-    Completion tell;
+    Completion apply_result;
     switch (call.kind) {
       case LeaseCallKind::kRead:
-        tell = [this, range = store->get(key, &error), error] {
+        apply_result = [this, range = store->get(key, &error), error] {
           lease_.OnRead(context_.clock(), range, error);
         };
         break;
       case LeaseCallKind::kGrant:
-        tell = [this, lease = store->grant_lease(ttl, &error), error] {
+        apply_result = [this, lease = store->grant_lease(ttl, &error), error] {
           lease_.OnGrant(context_.clock(), lease, error);
         };
         break;
       case LeaseCallKind::kCreate: {
         auto result = store->commit({{key, base::Revision(0)}},
                                     {{key, call.value, call.lease}}, &error);
-        tell = [this, result = std::move(result), error] {
+        apply_result = [this, result = std::move(result), error] {
           lease_.OnCreate(context_.clock(), result, error);
         };
         break;
       }
       case LeaseCallKind::kKeepAlive:
-        tell = [this, left = store->keep_alive(call.lease, &error), error] {
+        apply_result = [this, left = store->keep_alive(call.lease, &error),
+                        error] {
           lease_.OnKeepAlive(context_.clock(), left, error);
         };
         break;
       case LeaseCallKind::kRevoke:
-        tell = [this, done = store->revoke_lease(call.lease, &error)] {
+        apply_result = [this, done = store->revoke_lease(call.lease, &error)] {
           lease_.OnRevoke(context_.clock(), done);
         };
         break;
     }
-    return [this, tell = std::move(tell)] {
-      lease_call_ = false;
-      tell();
-      DriveLease();
+    return [this, apply_result = std::move(apply_result)] {
+      lease_call_in_flight_ = false;
+      apply_result();
+      AdvanceLease();
     };
   });
 }
 
-bool OrderCoordinator::FollowAuthority() {
+bool OrderCoordinator::UpdateAuthority() {
   const bool holding = lease_.state() == LeaseState::kHeld ||
                        (lease_.state() == LeaseState::kUncertain && authority_);
   const auto fence = holding && lease_.holder()
@@ -192,11 +193,11 @@
     return authority_.has_value();
   }
   std::ranges::for_each(drivers_, [](auto& it) { it.second->Retire(); });
-  if (DriversBusy() || permits_call_) {
+  if (DriversBusy() || permits_call_in_flight_) {
     return false;
   }
   drivers_.clear();
-  published_.clear();
+  last_published_.clear();
   orphans_.clear();
   authority_ = fence;
   permits_loaded_ = false;
@@ -251,16 +252,16 @@
 }
 
 void OrderCoordinator::RefreshDrains(base::Time now) {
-  if (drains_call_ || now < drains_due_) {
+  if (drains_call_in_flight_ || now < drains_due_) {
     return;
   }
-  drains_call_ = true;
+  drains_call_in_flight_ = true;
   drains_due_ = now + kDrainsInterval;
   context_.run_store([this, store = context_.store]() -> Completion {
     KvError error = KvError::kNone;
     auto range = store->list(kDrainPrefix, &error);
     return [this, range = std::move(range)] {
-      drains_call_ = false;
+      drains_call_in_flight_ = false;
       if (!range) {
         return;
       }
@@ -275,19 +276,20 @@
 }
 
 void OrderCoordinator::RefreshPermits(base::Time now) {
-  if (permits_call_ || (now < permits_due_ && !context_.permits_unknown)) {
+  if (permits_call_in_flight_ ||
+      (now < permits_due_ && !context_.permits_unknown)) {
     return;
   }
-  permits_call_ = true;
+  permits_call_in_flight_ = true;
   permits_due_ = now + kPermitsInterval;
   context_.run_store([this, store = context_.store,
                       calls = context_.permit_calls]() -> Completion {
     KvError error = KvError::kNone;
     auto permits = ListPermits(*store, &error);
     return [this, permits = std::move(permits), calls] {
-      permits_call_ = false;
+      permits_call_in_flight_ = false;
       if (permits && calls == context_.permit_calls) {
-        TakeOverPermits(*permits, context_.clock());
+        ApplyPermits(*permits, context_.clock());
       } else {
         context_.permits_unknown = true;
       }
@@ -295,8 +297,8 @@
   });
 }
 
-void OrderCoordinator::TakeOverPermits(const std::vector<Permit>& permits,
-                                       base::Time now) {
+void OrderCoordinator::ApplyPermits(const std::vector<Permit>& permits,
+                                    base::Time now) {
   context_.permits_unknown = false;
   permits_loaded_ = true;
   for (auto& [id, driver] : drivers_) {
@@ -313,24 +315,24 @@
     }
     const auto seen = orphans_.try_emplace(permit.key, now).first->second;
     orphans.emplace(permit.key, seen);
-    if (now - seen > kOrphanAge) {
-      FreeOrphan(permit);
+    if (now - seen > kOrphanPermitTimeout) {
+      ReleaseOrphan(permit);
     }
   }
   orphans_ = std::move(orphans);
 }
 
-void OrderCoordinator::FreeOrphan(const Permit& permit) {
-  if (!authority_ || permits_call_) {
+void OrderCoordinator::ReleaseOrphan(const Permit& permit) {
+  if (!authority_ || permits_call_in_flight_) {
     return;
   }
-  permits_call_ = true;
+  permits_call_in_flight_ = true;
   const LeaseGuard guard{context_.lease_key, *authority_};
   context_.run_store(
       [this, store = context_.store, guard, permit]() -> Completion {
         ReleasePermit(*store, guard, permit);
         return [this] {
-          permits_call_ = false;
+          permits_call_in_flight_ = false;
           context_.permits_unknown = true;
         };
       });
@@ -427,14 +429,14 @@
 void OrderCoordinator::Publish(const EngineStatus& status, base::Time now) {
   nlohmann::json body = EncodeEngineStatus(status, now);
   // Members that change continuously don't trigger a publication.
-  nlohmann::json news = body;
-  news.erase("waiting_ms");
-  if (news.contains("observed")) {
-    news["observed"].erase("age_ms");
-    news["observed"].erase("in_flight");
+  nlohmann::json stable = body;
+  stable.erase("waiting_ms");
+  if (stable.contains("observed")) {
+    stable["observed"].erase("age_ms");
+    stable["observed"].erase("in_flight");
   }
-  std::string text = news.dump();
-  std::string& last = published_[status.id];
+  std::string text = stable.dump();
+  std::string& last = last_published_[status.id];
   if (text == last) {
     return;
   }
--- a/src/process/order_coordinator.h
+++ b/src/process/order_coordinator.h
@@ -68,17 +68,17 @@
  private:
   using Drivers = std::map<base::TargetId, std::unique_ptr<EngineDriver>>;
 
-  void DriveLease();
+  void AdvanceLease();
   void MakeLeaseCall(const LeaseCall& call);
   // Resets the state of the shard when the lease was acquired or lost. Returns
   // false without the lease and while calls of the previous authority are in
   // flight.
-  bool FollowAuthority();
+  bool UpdateAuthority();
   void RefreshRows();
   void RefreshDrains(base::Time now);
   void RefreshPermits(base::Time now);
-  void TakeOverPermits(const std::vector<Permit>& permits, base::Time now);
-  void FreeOrphan(const Permit& permit);
+  void ApplyPermits(const std::vector<Permit>& permits, base::Time now);
+  void ReleaseOrphan(const Permit& permit);
   void SetDesired();
   void SetCapacity();
   void SetLoadRate();
@@ -97,9 +97,9 @@
   std::vector<EngineRow> rows_;
   std::vector<EngineRow> plain_rows_;
   std::optional<base::FencingToken> authority_;
-  bool lease_call_ = false;
-  bool drains_call_ = false;
-  bool permits_call_ = false;
+  bool lease_call_in_flight_ = false;
+  bool drains_call_in_flight_ = false;
+  bool permits_call_in_flight_ = false;
   bool stopping_ = false;
   bool drains_loaded_ = false;
   std::set<base::TargetId> drains_;
@@ -110,7 +110,7 @@
   // permit key.
   std::map<std::string, base::Time> orphans_;
   // Last published status by target, without members that change continuously.
-  std::map<base::TargetId, std::string> published_;
+  std::map<base::TargetId, std::string> last_published_;
   std::uint64_t publish_count_ = 0;
 };
 
