--- a/src/process/desired_state.cc
+++ b/src/process/desired_state.cc
@@ -65,7 +65,7 @@
 }
 
 // Gives each model without an engine one from the model that has the most.
-void GiveEachOne(std::vector<ModelGroup>* groups) {
+void EnsureOneEach(std::vector<ModelGroup>* groups) {
   for (ModelGroup& group : *groups) {
     const auto largest =
         std::ranges::max_element(*groups, {}, &ModelGroup::quota);
@@ -92,16 +92,16 @@
     ++next->quota;
     next->remainder -= 1;
   }
-  GiveEachOne(groups);
+  EnsureOneEach(groups);
 }
 
 EngineTargetState Combine(const EngineContent& engine,
                           const ModelGroup& group,
                           const DesiredInputs& inputs) {
   EngineTargetState state;
-  const auto wish = inputs.requested_roles->find(engine.id);
-  state.role = wish == inputs.requested_roles->end() ? engine.current.role
-                                                     : wish->second;
+  const auto requested = inputs.requested_roles->find(engine.id);
+  state.role = requested == inputs.requested_roles->end() ? engine.current.role
+                                                          : requested->second;
   state.model = group.key.model;
   state.version = group.key.version;
   state.adapters.assign(group.adapters.begin(), group.adapters.end());
--- a/src/process/role_planner.cc
+++ b/src/process/role_planner.cc
@@ -19,7 +19,7 @@
 constexpr std::array kRoles = {EngineRole::kPrefill, EngineRole::kDecode,
                                EngineRole::kMixed};
 
-constexpr base::Duration kPastStep = std::chrono::seconds(5);
+constexpr base::Duration kHistoryStep = std::chrono::seconds(5);
 
 // Number of points of the horizon at which a change is valued.
 constexpr int kTimePoints = 8;
@@ -91,7 +91,7 @@
       options.trend_life <= base::Duration::zero()) {
     return RolePlannerFault::kWindows;
   }
-  if (options.tail < base::Duration::zero() || options.history < kPastStep) {
+  if (options.tail < base::Duration::zero() || options.history < kHistoryStep) {
     return RolePlannerFault::kHistory;
   }
   if (options.least_per_role < 1) {
@@ -224,13 +224,13 @@
   prefill_.Add(demand.prefill, over);
   decode_.Add(demand.decode, over);
   worth_.Add(worth / Seconds(over), over);
-  Remember(demand, over);
+  AddToHistory(demand, over);
 }
 
 RoleDecision RolePlanner::Decide(const EngineRates& rates,
                                  const std::vector<PlannedEngine>& fleet) {
   RoleDecision decision;
-  if (const auto reason = Hold(fleet)) {
+  if (const auto reason = BlockingReason(fleet)) {
     decision.reason = *reason;
     return decision;
   }
@@ -277,8 +277,8 @@
   return decision;
 }
 
-void RolePlanner::Remember(const TokenDemand& demand, base::Duration over) {
-  if (history_.empty() || history_.back().over >= kPastStep) {
+void RolePlanner::AddToHistory(const TokenDemand& demand, base::Duration over) {
+  if (history_.empty() || history_.back().over >= kHistoryStep) {
     history_.emplace_back();
   }
   PastDemand& last = history_.back();
@@ -286,7 +286,7 @@
   last.demand.prefill += weight * (demand.prefill - last.demand.prefill);
   last.demand.decode += weight * (demand.decode - last.demand.decode);
   last.over += over;
-  const auto most = static_cast<std::size_t>(options_.history / kPastStep);
+  const auto most = static_cast<std::size_t>(options_.history / kHistoryStep);
   if (history_.size() > most) {
     history_.pop_front();
   }
@@ -312,13 +312,13 @@
   pending_.reset();
 }
 
-std::optional<RoleReason> RolePlanner::Hold(
+std::optional<RoleReason> RolePlanner::BlockingReason(
     const std::vector<PlannedEngine>& fleet) {
-  std::erase_if(requested_roles_, [&](const auto& wish) {
-    return std::ranges::find(fleet, wish.first, &PlannedEngine::id) ==
+  std::erase_if(requested_roles_, [&](const auto& requested) {
+    return std::ranges::find(fleet, requested.first, &PlannedEngine::id) ==
            fleet.end();
   });
-  if (Pending(fleet)) {
+  if (IsPending(fleet)) {
     if (clock_() - pending_since_ < options_.change_timeout) {
       return RoleReason::kChangeUnderWay;
     }
@@ -339,7 +339,7 @@
   return std::nullopt;
 }
 
-bool RolePlanner::Pending(const std::vector<PlannedEngine>& fleet) {
+bool RolePlanner::IsPending(const std::vector<PlannedEngine>& fleet) {
   if (!pending_) {
     return false;
   }
@@ -365,8 +365,8 @@
   Valuation value{from, to};
   double mean = 0;
   double square = 0;
-  double out_loss = 0;
-  double turn_back = 0;
+  double outage_loss = 0;
+  double revert_probability = 0;
   for (const Node& prefill : kNodes) {
     for (const Node& decode : kNodes) {
       const PointValue point =
@@ -374,8 +374,8 @@
       const double weight = prefill.weight * decode.weight;
       mean += weight * point.net;
       square += weight * point.net * point.net;
-      out_loss += weight * point.out_loss;
-      turn_back += point.last_difference < 0 ? weight : 0;
+      outage_loss += weight * point.outage_loss;
+      revert_probability += point.last_difference < 0 ? weight : 0;
     }
   }
   const HistoryValue past = ValueOverHistory(rates, counts, after);
@@ -384,8 +384,9 @@
   value.gain = mean + past.mean_difference * tail_worth;
   value.deviation = std::sqrt(std::max(0.0, square - mean * mean));
   // Reverting costs the price and the time out of service again.
-  value.cost = options_.price.value() + std::max(turn_back, past.worse_part) *
-                                            (options_.price.value() + out_loss);
+  value.cost =
+      options_.price.value() + std::max(revert_probability, past.worse_part) *
+                                   (options_.price.value() + outage_loss);
   return value;
 }
 
@@ -412,7 +413,7 @@
         Seconds(options_.out_of_service - begin) / Seconds(step), 0.0, 1.0);
     const double worth = rate(worth_.At(at), 0) * Seconds(step);
     value.net += (out_part * out + (1 - out_part) * then - now) * worth;
-    value.out_loss += out_part * (now - out) * worth;
+    value.outage_loss += out_part * (now - out) * worth;
     value.last_difference = then - now;
   }
   return value;
--- a/src/process/role_planner.h
+++ b/src/process/role_planner.h
@@ -177,7 +177,7 @@
   struct PointValue {
     double net = 0;
     // Loss while the engine is out of service; included in `net`.
-    double out_loss = 0;
+    double outage_loss = 0;
     // Served fraction with the change minus without it, at the end of the
     // horizon.
     double last_difference = 0;
@@ -199,13 +199,14 @@
 
   RolePlanner(const RolePlannerOptions& options, base::Clock clock);
 
-  void Remember(const TokenDemand& demand, base::Duration over);
+  void AddToHistory(const TokenDemand& demand, base::Duration over);
   HistoryValue ValueOverHistory(const EngineRates& rates,
                                 const RoleCounts& before,
                                 const RoleCounts& after) const;
-  std::optional<RoleReason> Hold(const std::vector<PlannedEngine>& fleet);
+  std::optional<RoleReason> BlockingReason(
+      const std::vector<PlannedEngine>& fleet);
   // Whether the last requested change is not complete yet.
-  bool Pending(const std::vector<PlannedEngine>& fleet);
+  bool IsPending(const std::vector<PlannedEngine>& fleet);
   Valuation Value(const EngineRates& rates,
                   const RoleCounts& counts,
                   request::EngineRole from,
--- a/tests/process/role_planner_test.cc
+++ b/tests/process/role_planner_test.cc
@@ -36,12 +36,13 @@
            base::Duration change_time) {
     int out = 0;
     for (PlannedEngine& it : engines) {
-      const auto wish = requested_roles.find(it.id);
+      const auto requested = requested_roles.find(it.id);
       if (it.state == TargetState::kChanging && now >= returns_) {
         it.state = TargetState::kServing;
-        it.role = wish->second;
+        it.role = requested->second;
       } else if (it.state == TargetState::kServing &&
-                 wish != requested_roles.end() && wish->second != it.role) {
+                 requested != requested_roles.end() &&
+                 requested->second != it.role) {
         it.state = TargetState::kChanging;
         returns_ = now + change_time;
         ++changes;
--- a/tests/process/role_planning_test.cc
+++ b/tests/process/role_planning_test.cc
@@ -97,15 +97,15 @@
   void Obey(const std::string& zone,
             const std::map<base::TargetId, EngineRole>& requested_roles) {
     for (Target& it : targets_) {
-      const auto wish = requested_roles.find(it.id);
-      if (wish == requested_roles.end()) {
+      const auto requested = requested_roles.find(it.id);
+      if (requested == requested_roles.end()) {
         continue;
       }
       // The holder of a zone sends orders only to engines of its zone.
       EXPECT_EQ(it.zone.str(), zone);
-      if (it.state == TargetState::kServing && it.role != wish->second) {
+      if (it.state == TargetState::kServing && it.role != requested->second) {
         it.state = TargetState::kChanging;
-        changing_[it.id] = {wish->second, now_ + kChangeTime};
+        changing_[it.id] = {requested->second, now_ + kChangeTime};
         ++changed_[zone];
       }
     }
