--- a/src/process/role_planner.cc
+++ b/src/process/role_planner.cc
@@ -333,7 +333,7 @@
   if (last_change_ && clock_() - *last_change_ < options_.cool_down) {
     return RoleReason::kCoolDown;
   }
-  if (prefill_.observed() < options_.least_observed) {
+  if (prefill_.observed() < options_.min_observed) {
     return RoleReason::kTooFewSamples;
   }
   return std::nullopt;
--- a/src/process/role_planner.h
+++ b/src/process/role_planner.h
@@ -41,7 +41,7 @@
   // A requested change that is not complete after this is withdrawn.
   base::Duration change_timeout = std::chrono::minutes(5);
   // No change is requested before demand has been observed for this long.
-  base::Duration least_observed = std::chrono::seconds(20);
+  base::Duration min_observed = std::chrono::seconds(20);
   base::Duration fast_window = std::chrono::seconds(10);
   base::Duration slow_window = std::chrono::seconds(40);
   base::Duration trend_life = std::chrono::seconds(20);
--- a/tests/process/role_planner_test.cc
+++ b/tests/process/role_planner_test.cc
@@ -206,7 +206,7 @@
   for (const double price : {0.0, 5.0, 20.0, 80.0, 320.0}) {
     RolePlannerOptions options;
     options.price = base::Worth(price);
-    options.least_observed = seconds(40);
+    options.min_observed = seconds(40);
     Drive drive(options);
     ObedientFleet fleet(4, 8, 0);
     RoleDecision last;
