--- a/src/process/role_planner.cc
+++ b/src/process/role_planner.cc
@@ -94,8 +94,8 @@
   if (options.tail < base::Duration::zero() || options.history < kHistoryStep) {
     return RolePlannerFault::kHistory;
   }
-  if (options.least_per_role < 1) {
-    return RolePlannerFault::kLeastPerRole;
+  if (options.min_per_role < 1) {
+    return RolePlannerFault::kMinPerRole;
   }
   if (!(options.confidence >= 0)) {
     return RolePlannerFault::kConfidence;
@@ -120,8 +120,8 @@
       return "windows: 0 < fast_window < slow_window, 0 < trend_life";
     case RolePlannerFault::kHistory:
       return "history: 0 <= tail, 5 s <= history";
-    case RolePlannerFault::kLeastPerRole:
-      return "least_per_role: 1 or more";
+    case RolePlannerFault::kMinPerRole:
+      return "min_per_role: 1 or more";
     case RolePlannerFault::kConfidence:
       return "confidence: 0 or more";
     case RolePlannerFault::kUsable:
@@ -241,7 +241,7 @@
 
   std::optional<Valuation> best;
   for (const EngineRole from : kRoles) {
-    if (counts.Of(from) <= options_.least_per_role || !CanSpare(fleet, from)) {
+    if (counts.Of(from) <= options_.min_per_role || !CanSpare(fleet, from)) {
       continue;
     }
     for (const EngineRole to : kRoles) {
--- a/src/process/role_planner.h
+++ b/src/process/role_planner.h
@@ -46,7 +46,7 @@
   base::Duration slow_window = std::chrono::seconds(40);
   base::Duration trend_life = std::chrono::seconds(20);
   // Minimum number of engines that a change leaves in the old role; 1 or more.
-  int least_per_role = 1;
+  int min_per_role = 1;
   // Standard deviations by which the expected net gain must exceed zero.
   double confidence = 2.0;
   // Fraction of an engine's rate that the plan uses; at full utilisation queues
@@ -60,7 +60,7 @@
   kHorizon,
   kWindows,
   kHistory,
-  kLeastPerRole,
+  kMinPerRole,
   kConfidence,
   kUsable,
 };
--- a/tests/process/role_planner_test.cc
+++ b/tests/process/role_planner_test.cc
@@ -289,8 +289,8 @@
             RolePlannerFault::kHorizon);
   EXPECT_EQ(fault_of([](auto& o) { o.slow_window = o.fast_window; }),
             RolePlannerFault::kWindows);
-  EXPECT_EQ(fault_of([](auto& o) { o.least_per_role = 0; }),
-            RolePlannerFault::kLeastPerRole);
+  EXPECT_EQ(fault_of([](auto& o) { o.min_per_role = 0; }),
+            RolePlannerFault::kMinPerRole);
   EXPECT_EQ(fault_of([](auto& o) { o.usable = 1.5; }),
             RolePlannerFault::kUsable);
 }
