--- a/bench/planner/policies.cc
+++ b/bench/planner/policies.cc
@@ -19,7 +19,7 @@
 namespace {
 
 using process::RoleCounts;
-using process::ServedPart;
+using process::ServedFraction;
 using process::TokenDemand;
 using request::EngineRole;
 
@@ -143,7 +143,7 @@
     };
     Values values;
     for (const RoleCounts& split : splits_) {
-      double best = ServedPart(rates, split, demand) + value_after(split);
+      double best = ServedFraction(rates, split, demand) + value_after(split);
       std::optional<Change> choice;
       for (const EngineRole from : kRoles) {
         if (split.Of(from) == 0) {
@@ -151,7 +151,7 @@
         }
         RoleCounts during = split;
         --during.Of(from);
-        const double served = ServedPart(rates, during, demand);
+        const double served = ServedFraction(rates, during, demand);
         for (const EngineRole to : kRoles) {
           RoleCounts after = during;
           ++after.Of(to);
@@ -250,7 +250,7 @@
           return sum;
         });
     const auto rank = [&](const RoleCounts& split) {
-      return std::pair(ServedPart(Usable(fluid.rates), split, demand),
+      return std::pair(ServedFraction(Usable(fluid.rates), split, demand),
                        -Distance(service.counts(), split));
     };
     return Towards(service.counts(),
@@ -281,7 +281,8 @@
   const auto served = [&](const RoleCounts& split) {
     double sum = 0;
     for (double at_s = 0; at_s < length_s; at_s += 1) {
-      sum += ServedPart(Usable(fluid.rates), split, MeanDemand(workload, at_s));
+      sum += ServedFraction(Usable(fluid.rates), split,
+                            MeanDemand(workload, at_s));
     }
     return sum;
   };
--- a/src/process/role_model.cc
+++ b/src/process/role_model.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Bisection steps for ServedPart(): a precision of 1e-5.
+// Bisection steps for ServedFraction(): a precision of 1e-5.
 constexpr int kHalvings = 17;
 constexpr double kEpsilon = 1e-12;
 
@@ -70,9 +70,9 @@
   return std::max(0.0, (1 - prefill_part) / (1 - both_prefill) * both_decode);
 }
 
-double ServedPart(const EngineRates& rates,
-                  const RoleCounts& counts,
-                  const TokenDemand& demand) noexcept {
+double ServedFraction(const EngineRates& rates,
+                      const RoleCounts& counts,
+                      const TokenDemand& demand) noexcept {
   if (CanServe(rates, counts, demand, 1)) {
     return 1;
   }
--- a/src/process/role_model.h
+++ b/src/process/role_model.h
@@ -47,9 +47,9 @@
 
 // The largest fraction of `demand`, 0 to 1, that the engines can serve if each
 // prompt served is also decoded. 1 when there is no demand.
-double ServedPart(const EngineRates& rates,
-                  const RoleCounts& counts,
-                  const TokenDemand& demand) noexcept;
+double ServedFraction(const EngineRates& rates,
+                      const RoleCounts& counts,
+                      const TokenDemand& demand) noexcept;
 
 }  // namespace lynxglade::process
 
--- a/src/process/role_planner.cc
+++ b/src/process/role_planner.cc
@@ -299,8 +299,8 @@
   HistoryValue value;
   const auto n = static_cast<double>(history_.size());
   std::ranges::for_each(history_, [&](const PastDemand& past) {
-    const double difference = ServedPart(rates, after, past.demand) -
-                              ServedPart(rates, before, past.demand);
+    const double difference = ServedFraction(rates, after, past.demand) -
+                              ServedFraction(rates, before, past.demand);
     value.mean_difference += difference / n;
     value.worse_part += difference < 0 ? 1 / n : 0;
   });
@@ -406,9 +406,9 @@
     const base::Duration at = begin + step / 2;
     const TokenDemand demand = {rate(prefill_.At(at), prefill_offset),
                                 rate(decode_.At(at), decode_offset)};
-    const double now = ServedPart(rates, before, demand);
-    const double out = ServedPart(rates, during, demand);
-    const double then = ServedPart(rates, after, demand);
+    const double now = ServedFraction(rates, before, demand);
+    const double out = ServedFraction(rates, during, demand);
+    const double then = ServedFraction(rates, after, demand);
     const double out_part = std::clamp(
         Seconds(options_.out_of_service - begin) / Seconds(step), 0.0, 1.0);
     const double worth = rate(worth_.At(at), 0) * Seconds(step);
--- a/tests/process/role_planner_test.cc
+++ b/tests/process/role_planner_test.cc
@@ -181,7 +181,7 @@
     const RoleCounts counts = {fleet.Count(EngineRole::kPrefill),
                                fleet.Count(EngineRole::kDecode),
                                fleet.Count(EngineRole::kMixed)};
-    return ServedPart(kRates, counts, outputs);
+    return ServedFraction(kRates, counts, outputs);
   };
   const double before = served();
   EXPECT_LT(before, 0.6);
@@ -302,7 +302,7 @@
                              *rc::gen::inRange(0, 10)};
   const TokenDemand demand = {*rc::gen::inRange(0, 60000) * 1.0,
                               *rc::gen::inRange(0, 30000) * 1.0};
-  const double served = ServedPart(kRates, counts, demand);
+  const double served = ServedFraction(kRates, counts, demand);
   RC_ASSERT(served >= 0.0);
   RC_ASSERT(served <= 1.0);
   const double wanted = demand.prefill / kRates.prefill_tokens_per_s +
@@ -312,7 +312,7 @@
        {EngineRole::kPrefill, EngineRole::kDecode, EngineRole::kMixed}) {
     RoleCounts more = counts;
     ++more.Of(role);
-    RC_ASSERT(ServedPart(kRates, more, demand) >= served - 1e-5);
+    RC_ASSERT(ServedFraction(kRates, more, demand) >= served - 1e-5);
   }
 }
 
