--- a/bench/planner/fluid_service.cc
+++ b/bench/planner/fluid_service.cc
@@ -54,7 +54,7 @@
   Decode(&decode_engines_, counts_.decode * rates.decode_tokens_per_s * seconds,
          stream_budget);
   // A stream on a mixed engine stands still while the engine prefills.
-  const double room = process::MixedDecodeRoom(rates, parts.prefill);
+  const double room = process::MixedDecodeCapacity(rates, parts.prefill);
   mixed_room_ += (room - mixed_room_) * std::min(1.0, seconds / kRoomSeconds);
   Decode(&mixed_engines_, parts.decode * mixed_time * rates.decode_tokens_per_s,
          stream_budget * room);
@@ -131,12 +131,12 @@
       rates.mixed_prefill_share * (1 - rates.mixed_penalty);
   const double prefill = std::min(prefill_want, both_prefill);
   const double decode =
-      std::min(decode_want, process::MixedDecodeRoom(rates, prefill));
+      std::min(decode_want, process::MixedDecodeCapacity(rates, prefill));
   if (prefill_want <= both_prefill) {
     return {prefill, decode};
   }
   // Prefill takes what decode leaves, on the far side of the bend.
-  const double both_decode = process::MixedDecodeRoom(rates, both_prefill);
+  const double both_decode = process::MixedDecodeCapacity(rates, both_prefill);
   const double free_part =
       1 - std::min(1.0, decode / both_decode) * (1 - both_prefill);
   return {std::min(prefill_want, free_part), decode};
--- a/src/process/role_model.cc
+++ b/src/process/role_model.cc
@@ -11,10 +11,10 @@
 constexpr double kEpsilon = 1e-12;
 
 // Whether `mixed` engines can do this work, given in engines' full rates.
-bool MixedCanDo(const EngineRates& rates,
-                int mixed,
-                double prefill_parts,
-                double decode_parts) {
+bool MixedCanServe(const EngineRates& rates,
+                   int mixed,
+                   double prefill_parts,
+                   double decode_parts) {
   if (prefill_parts <= kEpsilon && decode_parts <= kEpsilon) {
     return true;
   }
@@ -24,7 +24,7 @@
   const double each_prefill = prefill_parts / mixed;
   const double each_decode = decode_parts / mixed;
   return each_prefill <= 1 &&
-         each_decode <= MixedDecodeRoom(rates, each_prefill);
+         each_decode <= MixedDecodeCapacity(rates, each_prefill);
 }
 
 bool CanServe(const EngineRates& rates,
@@ -33,9 +33,9 @@
               double part) {
   const double prefill = part * demand.prefill / rates.prefill_tokens_per_s;
   const double decode = part * demand.decode / rates.decode_tokens_per_s;
-  return MixedCanDo(rates, counts.mixed,
-                    std::max(0.0, prefill - counts.prefill),
-                    std::max(0.0, decode - counts.decode));
+  return MixedCanServe(rates, counts.mixed,
+                       std::max(0.0, prefill - counts.prefill),
+                       std::max(0.0, decode - counts.decode));
 }
 
 }  // namespace
@@ -56,7 +56,8 @@
   return copy.Of(role);
 }
 
-double MixedDecodeRoom(const EngineRates& rates, double prefill_part) noexcept {
+double MixedDecodeCapacity(const EngineRates& rates,
+                           double prefill_part) noexcept {
   // When both kinds of work are always queued, each gets its share of the
   // reduced rate. With less prefill than that, prefill is queued only part of
   // the time; with more, decode is.
--- a/src/process/role_model.h
+++ b/src/process/role_model.h
@@ -43,7 +43,8 @@
 
 // Fraction of its decode rate that a mixed engine has left while its prefill
 // uses `prefill_part` of its prefill rate. Both are 0 to 1.
-double MixedDecodeRoom(const EngineRates& rates, double prefill_part) noexcept;
+double MixedDecodeCapacity(const EngineRates& rates,
+                           double prefill_part) noexcept;
 
 // The largest fraction of `demand`, 0 to 1, that the engines can serve if each
 // prompt served is also decoded. 1 when there is no demand.
