--- a/bench/planner/curve_main.cc
+++ b/bench/planner/curve_main.cc
@@ -236,12 +236,12 @@
     TCLAP::ValueArg<double> confidence("", "confidence",
                                        "The planner's confidence.", false,
                                        planner.confidence, "sd", cmd);
-    TCLAP::ValueArg<int> trend_life(
+    TCLAP::ValueArg<int> trend_decay(
         "", "trend-life", "Seconds that the planner takes a trend to last.",
         false, 20, "s", cmd);
     cmd.parse(argc, argv);
     planner.confidence = confidence.getValue();
-    planner.trend_life = std::chrono::seconds(trend_life.getValue());
+    planner.trend_decay = std::chrono::seconds(trend_decay.getValue());
     std::string error;
     auto loaded = LoadDeployment(deployment.getValue(), &error);
     if (!loaded || seeds.getValue() < 1) {
--- a/src/process/demand_estimator.cc
+++ b/src/process/demand_estimator.cc
@@ -20,10 +20,10 @@
 
 DemandEstimator::DemandEstimator(base::Duration fast,
                                  base::Duration slow,
-                                 base::Duration trend_life)
+                                 base::Duration trend_decay)
     : fast_s_(Seconds(fast)),
       slow_s_(Seconds(slow)),
-      trend_life_s_(Seconds(trend_life)) {}
+      trend_decay_s_(Seconds(trend_decay)) {}
 
 void DemandEstimator::Add(double rate, base::Duration over) noexcept {
   const double dt = Seconds(over);
@@ -48,15 +48,15 @@
 
 Estimate DemandEstimator::At(base::Duration ahead) const noexcept {
   const double trend_time =
-      trend_life_s_ * (1 - std::exp(-Seconds(ahead) / trend_life_s_));
+      trend_decay_s_ * (1 - std::exp(-Seconds(ahead) / trend_decay_s_));
   const double reach = fast_s_ + trend_time;
   const double a = reach / (slow_s_ - fast_s_);
   // Variances and covariance of two averages of the same white noise.
   const double fast_var = noise_ / (2 * fast_s_);
   const double slow_var = noise_ / (2 * slow_s_);
-  const double both = noise_ / (fast_s_ + slow_s_);
-  const double variance =
-      Square(1 + a) * fast_var + Square(a) * slow_var - 2 * a * (1 + a) * both;
+  const double covariance = noise_ / (fast_s_ + slow_s_);
+  const double variance = Square(1 + a) * fast_var + Square(a) * slow_var -
+                          2 * a * (1 + a) * covariance;
   return {std::max(0.0, fast_mean_ + Trend() * reach),
           std::sqrt(std::max(0.0, variance))};
 }
--- a/src/process/demand_estimator.h
+++ b/src/process/demand_estimator.h
@@ -20,10 +20,10 @@
 class DemandEstimator {
  public:
   // Time constants of the averages; `fast` must be less than `slow`. A trend is
-  // assumed to decay with the time constant `trend_life`.
+  // assumed to decay with the time constant `trend_decay`.
   DemandEstimator(base::Duration fast,
                   base::Duration slow,
-                  base::Duration trend_life);
+                  base::Duration trend_decay);
 
   // Adds the mean rate over the last `over`, which must be positive.
   void Add(double rate, base::Duration over) noexcept;
@@ -39,7 +39,7 @@
 
   double fast_s_;
   double slow_s_;
-  double trend_life_s_;
+  double trend_decay_s_;
   base::Duration observed_{};
   double fast_mean_ = 0;
   double slow_mean_ = 0;
--- a/src/process/role_planner.cc
+++ b/src/process/role_planner.cc
@@ -88,7 +88,7 @@
   }
   if (options.fast_window <= base::Duration::zero() ||
       options.slow_window <= options.fast_window ||
-      options.trend_life <= base::Duration::zero()) {
+      options.trend_decay <= base::Duration::zero()) {
     return RolePlannerFault::kWindows;
   }
   if (options.tail < base::Duration::zero() || options.history < kHistoryStep) {
@@ -207,9 +207,9 @@
 RolePlanner::RolePlanner(const RolePlannerOptions& options, base::Clock clock)
     : options_(options),
       clock_(std::move(clock)),
-      prefill_(options.fast_window, options.slow_window, options.trend_life),
-      decode_(options.fast_window, options.slow_window, options.trend_life),
-      worth_(options.fast_window, options.slow_window, options.trend_life) {}
+      prefill_(options.fast_window, options.slow_window, options.trend_decay),
+      decode_(options.fast_window, options.slow_window, options.trend_decay),
+      worth_(options.fast_window, options.slow_window, options.trend_decay) {}
 
 void RolePlanner::Observe(const std::vector<ContractDemand>& contracts,
                           base::Duration over,
--- a/src/process/role_planner.h
+++ b/src/process/role_planner.h
@@ -44,7 +44,7 @@
   base::Duration min_observed = std::chrono::seconds(20);
   base::Duration fast_window = std::chrono::seconds(10);
   base::Duration slow_window = std::chrono::seconds(40);
-  base::Duration trend_life = std::chrono::seconds(20);
+  base::Duration trend_decay = std::chrono::seconds(20);
   // Minimum number of engines that a change leaves in the old role; 1 or more.
   int min_per_role = 1;
   // Standard deviations by which the expected net gain must exceed zero.
