--- a/src/process/role_planning.cc
+++ b/src/process/role_planning.cc
@@ -112,7 +112,7 @@
   std::map<base::TargetId, request::EngineRole> requested_roles;
   {
     const std::lock_guard lock(planners_mutex_);
-    std::erase_if(lines_, [&](const auto& it) {
+    std::erase_if(services_, [&](const auto& it) {
       const auto spec = configuration->services.find(it.first);
       return spec == configuration->services.end() ||
              !spec->second.planner_enabled;
@@ -124,10 +124,10 @@
       const auto it = offered.find(name);
       TickService(spec, it == offered.end() ? OfferedTotals{} : it->second,
                   targets, elapsed);
-      const Line& line = lines_[name];
-      if (line.planner) {
-        requested_roles.insert(line.planner->requested_roles().begin(),
-                               line.planner->requested_roles().end());
+      const ServiceState& service_state = services_[name];
+      if (service_state.planner) {
+        requested_roles.insert(service_state.planner->requested_roles().begin(),
+                               service_state.planner->requested_roles().end());
       }
     }
   }
@@ -137,26 +137,28 @@
 
 std::map<base::TargetId, request::EngineRole> RolePlanning::RequestedRoles() {
   const std::lock_guard lock(requested_roles_mutex_);
-  asked_ = hooks_.clock();
+  last_requested_ = hooks_.clock();
   return requested_roles_;
 }
 
 std::string RolePlanning::StatusJson() const {
-  const bool asked = IsAsked();
+  const bool is_holder = IsHolder();
   nlohmann::json services = nlohmann::json::object();
   const std::lock_guard lock(planners_mutex_);
-  for (const auto& [name, line] : lines_) {
-    nlohmann::json status = DecisionJson(line.last);
-    status["price"] = line.price;
-    status["in_turn"] = line.in_turn;
-    if (line.planner) {
+  for (const auto& [name, service_state] : services_) {
+    nlohmann::json status = DecisionJson(service_state.last);
+    status["price"] = service_state.price;
+    status["in_turn"] = service_state.in_turn;
+    if (service_state.planner) {
       const auto now = base::Duration::zero();
-      status["prefill_tokens_per_s"] = line.planner->PrefillAt(now).mean;
-      status["decode_tokens_per_s"] = line.planner->DecodeAt(now).mean;
+      status["prefill_tokens_per_s"] =
+          service_state.planner->PrefillAt(now).mean;
+      status["decode_tokens_per_s"] = service_state.planner->DecodeAt(now).mean;
     }
     services[name.str()] = std::move(status);
   }
-  return nlohmann::json{{"decides", asked}, {"services", std::move(services)}}
+  return nlohmann::json{{"decides", is_holder},
+                        {"services", std::move(services)}}
       .dump();
 }
 
@@ -164,31 +166,34 @@
                                const OfferedTotals& offered,
                                const std::vector<Target>& targets,
                                base::Duration elapsed) {
-  Line& line = lines_[spec.name];
-  if (!EnsurePlanner(spec, &line)) {
+  ServiceState& service_state = services_[spec.name];
+  if (!EnsurePlanner(spec, &service_state)) {
     return;
   }
   const std::vector<Target> engines = EnginesOf(targets, spec.name);
   const EngineRates rates = RatesOf(engines);
   if (elapsed > base::Duration::zero()) {
-    line.planner->Observe(
-        {Offered(line.before, offered, hooks_.entry_instances())}, elapsed,
-        rates, static_cast<int>(engines.size()));
+    service_state.planner->Observe(
+        {Offered(service_state.before, offered, hooks_.entry_instances())},
+        elapsed, rates, static_cast<int>(engines.size()));
   }
-  line.before = offered;
-  if (!IsAsked()) {
-    line.planner->ClearRequestedRoles();
-    line.in_turn = false;
+  service_state.before = offered;
+  if (!IsHolder()) {
+    service_state.planner->ClearRequestedRoles();
+    service_state.in_turn = false;
     return;
   }
-  line.in_turn = InTurn(engines);
-  if (line.in_turn) {
-    line.last = line.planner->Decide(rates, FleetOf(engines, options_.zone));
+  service_state.in_turn = InTurn(engines);
+  if (service_state.in_turn) {
+    service_state.last =
+        service_state.planner->Decide(rates, FleetOf(engines, options_.zone));
   }
 }
 
-bool RolePlanning::EnsurePlanner(const version::ServiceSpec& spec, Line* line) {
-  if (line->planner && line->price == spec.role_change_price) {
+bool RolePlanning::EnsurePlanner(const version::ServiceSpec& spec,
+                                 ServiceState* service_state) {
+  if (service_state->planner &&
+      service_state->price == spec.role_change_price) {
     return true;
   }
   RolePlannerOptions options;
@@ -196,9 +201,9 @@
   options.out_of_service = options_.out_of_service;
   options.horizon = std::max(options.horizon, 2 * options_.out_of_service);
   RolePlannerFault fault = RolePlannerFault::kNone;
-  line->planner = RolePlanner::Create(options, hooks_.clock, &fault);
-  line->price = spec.role_change_price;
-  return line->planner.has_value();
+  service_state->planner = RolePlanner::Create(options, hooks_.clock, &fault);
+  service_state->price = spec.role_change_price;
+  return service_state->planner.has_value();
 }
 
 bool RolePlanning::InTurn(const std::vector<Target>& engines) const {
@@ -216,9 +221,10 @@
          now % turn < turn - base::ToMillis(options_.turn_guard);
 }
 
-bool RolePlanning::IsAsked() const {
+bool RolePlanning::IsHolder() const {
   const std::lock_guard lock(requested_roles_mutex_);
-  return asked_ && hooks_.clock() - *asked_ < options_.asked_within;
+  return last_requested_ &&
+         hooks_.clock() - *last_requested_ < options_.asked_within;
 }
 
 }  // namespace lynxglade::process
--- a/src/process/role_planning.h
+++ b/src/process/role_planning.h
@@ -85,7 +85,7 @@
 
  private:
   // State of one service.
-  struct Line {
+  struct ServiceState {
     std::optional<RolePlanner> planner;
     double price = -1;
     OfferedTotals before;
@@ -97,9 +97,10 @@
                    const OfferedTotals& offered,
                    const std::vector<request::Target>& targets,
                    base::Duration elapsed);
-  bool EnsurePlanner(const version::ServiceSpec& spec, Line* line);
+  bool EnsurePlanner(const version::ServiceSpec& spec,
+                     ServiceState* service_state);
   bool InTurn(const std::vector<request::Target>& engines) const;
-  bool IsAsked() const;
+  bool IsHolder() const;
 
   const RolePlanningOptions options_;
   const RolePlanningHooks hooks_;
@@ -107,12 +108,12 @@
 
   // Guards the planners; held while they run.
   mutable std::mutex planners_mutex_;
-  std::map<base::ServiceName, Line> lines_;
+  std::map<base::ServiceName, ServiceState> services_;
 
   // Guards what the order service reads; never held while planning.
   mutable std::mutex requested_roles_mutex_;
   std::map<base::TargetId, request::EngineRole> requested_roles_;
-  std::optional<base::Time> asked_;
+  std::optional<base::Time> last_requested_;
 };
 
 }  // namespace lynxglade::process
--- a/tests/process/role_planner_test.cc
+++ b/tests/process/role_planner_test.cc
@@ -22,29 +22,29 @@
 constexpr EngineRates kRates{3000, 1500, 0.7, 0.3};
 
 // Engines of a service that apply the requested roles after a fixed time.
-class ObedientFleet {
+class SimulatedFleet {
  public:
-  ObedientFleet(int prefill, int decode, int mixed) {
+  SimulatedFleet(int prefill, int decode, int mixed) {
     Add(prefill, EngineRole::kPrefill);
     Add(decode, EngineRole::kDecode);
     Add(mixed, EngineRole::kMixed);
   }
 
   // Starts and completes changes; returns how many engines are out of service.
-  int Obey(const std::map<base::TargetId, EngineRole>& requested_roles,
-           base::Time now,
-           base::Duration change_time) {
+  int ApplyRoles(const std::map<base::TargetId, EngineRole>& requested_roles,
+                 base::Time now,
+                 base::Duration change_time) {
     int out = 0;
     for (PlannedEngine& it : engines) {
       const auto requested = requested_roles.find(it.id);
-      if (it.state == TargetState::kChanging && now >= returns_) {
+      if (it.state == TargetState::kChanging && now >= change_ends_) {
         it.state = TargetState::kServing;
         it.role = requested->second;
       } else if (it.state == TargetState::kServing &&
                  requested != requested_roles.end() &&
                  requested->second != it.role) {
         it.state = TargetState::kChanging;
-        returns_ = now + change_time;
+        change_ends_ = now + change_time;
         ++changes;
       }
       out += it.state == TargetState::kChanging ? 1 : 0;
@@ -71,19 +71,19 @@
     }
   }
 
-  base::Time returns_{};
+  base::Time change_ends_{};
 };
 
 // Runs a planner in steps of one second.
-class Drive {
+class PlannerRun {
  public:
-  explicit Drive(const RolePlannerOptions& options) : options_(options) {
+  explicit PlannerRun(const RolePlannerOptions& options) : options_(options) {
     RolePlannerFault fault = RolePlannerFault::kNone;
     planner = RolePlanner::Create(options, [this] { return now_; }, &fault);
   }
 
   // One second in which `demand` with a worth of 10 is offered.
-  RoleDecision Second(const TokenDemand& demand, ObedientFleet* fleet) {
+  RoleDecision Second(const TokenDemand& demand, SimulatedFleet* fleet) {
     now_ += seconds(1);
     ContractDemand offered;
     offered.prefill = base::Tokens(std::llround(demand.prefill));
@@ -92,8 +92,9 @@
     planner->Observe({offered}, seconds(1), kRates,
                      static_cast<int>(fleet->engines.size()));
     const RoleDecision decision = planner->Decide(kRates, fleet->engines);
-    most_out = std::max(most_out, fleet->Obey(planner->requested_roles(), now_,
-                                              options_.out_of_service));
+    most_out =
+        std::max(most_out, fleet->ApplyRoles(planner->requested_roles(), now_,
+                                             options_.out_of_service));
     return decision;
   }
 
@@ -120,15 +121,15 @@
 RC_GTEST_PROP(RolePlannerTest,
               ChangesOneAtATimeAndKeepsEveryRole,
               (std::uint64_t seed)) {
-  ObedientFleet fleet(*rc::gen::inRange(0, 5), *rc::gen::inRange(0, 5),
-                      *rc::gen::inRange(1, 8));
+  SimulatedFleet fleet(*rc::gen::inRange(0, 5), *rc::gen::inRange(0, 5),
+                       *rc::gen::inRange(1, 8));
   std::array<bool, 3> had{};
   constexpr std::array kRoles = {EngineRole::kPrefill, EngineRole::kDecode,
                                  EngineRole::kMixed};
   RolePlannerOptions options;
   options.price = base::Worth(0);
   options.confidence = 0;
-  Drive drive(options);
+  PlannerRun run(options);
   const base::RandomSource random = base::SeededRandom(seed);
   TokenDemand mean;
   for (int i = 0; i < 300; ++i) {
@@ -136,46 +137,46 @@
       mean = {base::UniformReal(random) * 30000,
               base::UniformReal(random) * 30000};
     }
-    drive.Second(Noisy(mean, random), &fleet);
+    run.Second(Noisy(mean, random), &fleet);
     for (std::size_t k = 0; k < kRoles.size(); ++k) {
       had[k] = had[k] || fleet.Count(kRoles[k]) > 0;
       RC_ASSERT(!had[k] || fleet.Count(kRoles[k]) > 0);
     }
   }
-  RC_ASSERT(drive.most_out <= 1);
+  RC_ASSERT(run.most_out <= 1);
 }
 
 // Noise in a constant mix must not make the planner change roles back and
 // forth.
-TEST(RolePlannerTest, DoesNotFlapOnANoisyConstantMix) {
+TEST(RolePlannerTest, DoesNotOscillateOnANoisyConstantMix) {
   constexpr std::uint64_t kSeeds = 20;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const base::RandomSource random = base::SeededRandom(seed);
     const TokenDemand mean = {4000 + base::UniformReal(random) * 16000,
                               4000 + base::UniformReal(random) * 12000};
     RolePlannerOptions options;
-    options.price = base::Worth(20);  // two seconds of all offered worth
-    Drive drive(options);
-    ObedientFleet fleet(0, 0, 12);
+    options.price = base::Worth(20);  // the worth offered in two seconds
+    PlannerRun run(options);
+    SimulatedFleet fleet(0, 0, 12);
     for (int i = 0; i < 600; ++i) {
-      drive.Second(Noisy(mean, random), &fleet);
+      run.Second(Noisy(mean, random), &fleet);
     }
     const int settled = fleet.changes;
     for (int i = 0; i < 900; ++i) {
-      drive.Second(Noisy(mean, random), &fleet);
+      run.Second(Noisy(mean, random), &fleet);
     }
     EXPECT_LE(fleet.changes - settled, 2) << "seed " << seed;
   }
 }
 
-TEST(RolePlannerTest, FollowsASustainedShift) {
-  Drive drive(RolePlannerOptions{});
-  ObedientFleet fleet(8, 4, 0);
+TEST(RolePlannerTest, FollowsASustainedDemandShift) {
+  PlannerRun run(RolePlannerOptions{});
+  SimulatedFleet fleet(8, 4, 0);
   const base::RandomSource random = base::SeededRandom(7);
   const TokenDemand prompts = {20000, 4500};
   const TokenDemand outputs = {5000, 14000};
   for (int i = 0; i < 120; ++i) {
-    drive.Second(Noisy(prompts, random), &fleet);
+    run.Second(Noisy(prompts, random), &fleet);
   }
   const auto served = [&] {
     const RoleCounts counts = {fleet.Count(EngineRole::kPrefill),
@@ -186,7 +187,7 @@
   const double before = served();
   EXPECT_LT(before, 0.6);
   for (int i = 0; i < 240; ++i) {
-    drive.Second(Noisy(outputs, random), &fleet);
+    run.Second(Noisy(outputs, random), &fleet);
   }
   EXPECT_GT(served(), 0.9);
 }
@@ -207,11 +208,11 @@
     RolePlannerOptions options;
     options.price = base::Worth(price);
     options.min_observed = seconds(40);
-    Drive drive(options);
-    ObedientFleet fleet(4, 8, 0);
+    PlannerRun run(options);
+    SimulatedFleet fleet(4, 8, 0);
     RoleDecision last;
     for (const TokenDemand& demand : offered) {
-      last = drive.Second(demand, &fleet);
+      last = run.Second(demand, &fleet);
     }
     const bool changed = last.reason == RoleReason::kChange;
     RC_ASSERT(changed_before || !changed);
@@ -219,47 +220,47 @@
   }
 }
 
-TEST(RolePlannerTest, WithdrawsAWishThatDoesNotComeTrue) {
+TEST(RolePlannerTest, WithdrawsAChangeThatTimesOut) {
   RolePlannerOptions options;
   options.price = base::Worth(0);
   options.change_timeout = seconds(30);
-  Drive drive(options);
-  ObedientFleet stubborn(8, 4, 0);
-  const std::vector<PlannedEngine> as_built = stubborn.engines;
+  PlannerRun run(options);
+  SimulatedFleet unchanged(8, 4, 0);
+  const std::vector<PlannedEngine> as_built = unchanged.engines;
   RoleDecision decision;
   for (int i = 0; i < 60 && decision.reason != RoleReason::kChange; ++i) {
-    decision = drive.Second({3000, 14000}, &stubborn);
+    decision = run.Second({3000, 14000}, &unchanged);
   }
   ASSERT_EQ(decision.reason, RoleReason::kChange);
-  ASSERT_EQ(drive.planner->requested_roles().size(), 1u);
+  ASSERT_EQ(run.planner->requested_roles().size(), 1u);
   for (int i = 0; i < 29; ++i) {
-    stubborn.engines = as_built;
-    EXPECT_EQ(drive.Second({3000, 14000}, &stubborn).reason,
+    unchanged.engines = as_built;
+    EXPECT_EQ(run.Second({3000, 14000}, &unchanged).reason,
               RoleReason::kChangeUnderWay);
   }
-  stubborn.engines = as_built;
-  EXPECT_EQ(drive.Second({3000, 14000}, &stubborn).reason,
+  unchanged.engines = as_built;
+  EXPECT_EQ(run.Second({3000, 14000}, &unchanged).reason,
             RoleReason::kTimedOut);
-  EXPECT_TRUE(drive.planner->requested_roles().empty());
+  EXPECT_TRUE(run.planner->requested_roles().empty());
 }
 
-TEST(RolePlannerTest, PrefersAnEngineThatChecksFences) {
+TEST(RolePlannerTest, PrefersAnEngineThatChecksFencingTokens) {
   RolePlannerOptions options;
   options.price = base::Worth(0);
-  Drive drive(options);
-  ObedientFleet fleet(8, 4, 0);
+  PlannerRun run(options);
+  SimulatedFleet fleet(8, 4, 0);
   std::ranges::for_each(fleet.engines,
                         [](PlannedEngine& it) { it.fenced = false; });
   fleet.engines[5].fenced = true;
   RoleDecision decision;
   for (int i = 0; i < 60 && decision.reason != RoleReason::kChange; ++i) {
-    decision = drive.Second({3000, 14000}, &fleet);
+    decision = run.Second({3000, 14000}, &fleet);
   }
   ASSERT_EQ(decision.reason, RoleReason::kChange);
   EXPECT_EQ(decision.move->engine.str(), "e5");
 }
 
-TEST(RolePlannerTest, AContractCannotBendTheMixBeyondItsShare) {
+TEST(RolePlannerTest, ContractDemandAboveItsShareIsLimited) {
   ContractDemand fair{base::ContractId("fair"), 0.5, base::Tokens(6000),
                       base::Tokens(6000), base::Worth(1)};
   ContractDemand flood{base::ContractId("flood"), 0.5, base::Tokens(0),
@@ -275,7 +276,7 @@
   EXPECT_DOUBLE_EQ(alone.decode, 12 * 1500);
 }
 
-TEST(RolePlannerTest, NamesTheOptionThatIsWrong) {
+TEST(RolePlannerTest, CreateReportsTheInvalidOption) {
   const auto fault_of = [](auto change) {
     RolePlannerOptions options;
     change(options);
@@ -316,7 +317,7 @@
   }
 }
 
-TEST(DemandEstimatorTest, FollowsARampAndTrustsItselfLessFurtherAhead) {
+TEST(DemandEstimatorTest, FollowsARampWithDeviationGrowingAhead) {
   DemandEstimator estimator(seconds(10), seconds(40), seconds(60));
   const base::RandomSource random = base::SeededRandom(3);
   double level = 1000;
--- a/tests/process/role_planning_test.cc
+++ b/tests/process/role_planning_test.cc
@@ -19,11 +19,11 @@
 using std::chrono::seconds;
 
 const base::ServiceName kService("llm");
-constexpr int kEnginesAZone = 6;
+constexpr int kEnginesPerZone = 6;
 constexpr base::Duration kChangeTime = seconds(8);
 
 // Two zones, each with its own planning, over one fleet that applies the roles
-// from the instances marked as asked.
+// from the instances marked as holder.
 class TwoZones {
  public:
   TwoZones() {
@@ -36,7 +36,7 @@
     configuration_ =
         std::make_shared<const version::Configuration>(configuration);
     for (const char* zone : {"a", "b"}) {
-      for (int i = 0; i < kEnginesAZone; ++i) {
+      for (int i = 0; i < kEnginesPerZone; ++i) {
         Target target;
         target.id = base::TargetId(zone + std::to_string(i));
         target.service = kService;
@@ -59,8 +59,8 @@
     offered_.worth += base::Worth(5);
     for (const auto& [zone, planning] : planning_) {
       planning->Tick();
-      if (asked[zone]) {
-        Obey(zone, planning->RequestedRoles());
+      if (is_holder[zone]) {
+        ApplyRoles(zone, planning->RequestedRoles());
       }
     }
     EndChanges();
@@ -71,7 +71,7 @@
 
   int Changed(const std::string& zone) const { return changed_.at(zone); }
 
-  std::map<std::string, bool> asked = {{"a", true}, {"b", true}};
+  std::map<std::string, bool> is_holder = {{"a", true}, {"b", true}};
   int most_out = 0;
 
   RolePlanning& planning(const std::string& zone) {
@@ -94,8 +94,8 @@
     return std::make_unique<RolePlanning>(options, hooks);
   }
 
-  void Obey(const std::string& zone,
-            const std::map<base::TargetId, EngineRole>& requested_roles) {
+  void ApplyRoles(const std::string& zone,
+                  const std::map<base::TargetId, EngineRole>& requested_roles) {
     for (Target& it : targets_) {
       const auto requested = requested_roles.find(it.id);
       if (requested == requested_roles.end()) {
@@ -146,9 +146,9 @@
   EXPECT_EQ(zones.most_out, 1);
 }
 
-TEST(RolePlanningTest, AnInstanceThatIsNotTheHolderKeepsNoWishes) {
+TEST(RolePlanningTest, OnlyTheHolderRequestsRoles) {
   TwoZones zones;
-  zones.asked["b"] = false;
+  zones.is_holder["b"] = false;
   for (int i = 0; i < 200; ++i) {
     zones.Second(kPrefill, kDecode);
   }
@@ -161,7 +161,7 @@
       << status;
 }
 
-TEST(RolePlanningTest, ChangesNothingWhenTheSplitFits) {
+TEST(RolePlanningTest, RequestsNoChangeWhenTheSplitFits) {
   TwoZones zones;
   for (int i = 0; i < 300; ++i) {
     zones.Second(18000, 4500);
