--- a/src/process/role_planning.cc
+++ b/src/process/role_planning.cc
@@ -224,7 +224,7 @@
 bool RolePlanning::IsHolder() const {
   const std::lock_guard lock(requested_roles_mutex_);
   return last_requested_ &&
-         hooks_.clock() - *last_requested_ < options_.asked_within;
+         hooks_.clock() - *last_requested_ < options_.holder_timeout;
 }
 
 }  // namespace lynxglade::process
--- a/src/process/role_planning.h
+++ b/src/process/role_planning.h
@@ -48,7 +48,7 @@
   base::Duration turn_guard = std::chrono::seconds(2);
   // An instance counts as holder for this long after a call of
   // RequestedRoles().
-  base::Duration asked_within = std::chrono::seconds(5);
+  base::Duration holder_timeout = std::chrono::seconds(5);
 };
 
 // All must be thread-safe and must not block for long.
