--- a/src/process/call_pool.cc
+++ b/src/process/call_pool.cc
@@ -7,7 +7,7 @@
 
 CallPool::CallPool(int threads) {
   for (int i = 0; i < std::max(threads, 1); ++i) {
-    threads_.emplace_back([this] { Work(); });
+    threads_.emplace_back([this] { RunWorker(); });
   }
 }
 
@@ -27,7 +27,7 @@
   wake_.notify_one();
 }
 
-void CallPool::Work() {
+void CallPool::RunWorker() {
   while (true) {
     std::unique_lock lock(mutex_);
     wake_.wait(lock, [this] { return stopping_ || !calls_.empty(); });
--- a/src/process/call_pool.h
+++ b/src/process/call_pool.h
@@ -24,7 +24,7 @@
   void Run(std::function<void()> call);
 
  private:
-  void Work();
+  void RunWorker();
 
   std::mutex mutex_;
   std::condition_variable wake_;
--- a/src/process/order_service.cc
+++ b/src/process/order_service.cc
@@ -91,7 +91,7 @@
     caf::actor actor;
     std::future<void> stopped;
   };
-  struct Heard {
+  struct PublishedStatus {
     ViewVersion version;
     base::Time as_of{};
     std::string body;
@@ -108,8 +108,8 @@
   std::vector<std::unique_ptr<Shard>> shards;
   std::once_flag stop_once;
 
-  mutable std::mutex heard_mutex;
-  std::map<std::string, Heard> heard;
+  mutable std::mutex published_mutex;
+  std::map<std::string, PublishedStatus> published;
 
   void Start(ControlSystem& control,
              const OrderSettings& settings,
@@ -158,11 +158,11 @@
 Json OrderService::Details::EnginesJson(base::Time now) const {
   std::map<std::string, Json> engines;
   {
-    std::lock_guard lock(heard_mutex);
+    std::lock_guard lock(published_mutex);
     const auto rows = hooks.engines();
     for (const EngineRow& row : rows) {
-      const auto it = heard.find(row.id.str());
-      if (it == heard.end()) {
+      const auto it = published.find(row.id.str());
+      if (it == published.end()) {
         continue;
       }
       Json json = Json::parse(it->second.body, nullptr, false);
@@ -233,10 +233,10 @@
 }
 
 void OrderService::OnTargetView(const ViewItem& item) {
-  std::lock_guard lock(details_->heard_mutex);
-  Details::Heard& heard = details_->heard[item.key];
-  if (heard.version < item.version) {
-    heard = {item.version, item.as_of, item.body};
+  std::lock_guard lock(details_->published_mutex);
+  Details::PublishedStatus& published = details_->published[item.key];
+  if (published.version < item.version) {
+    published = {item.version, item.as_of, item.body};
   }
 }
 
--- a/tests/process/order_service_test.cc
+++ b/tests/process/order_service_test.cc
@@ -19,10 +19,10 @@
 using Json = nlohmann::json;
 
 // Longer than any step takes; reached only when a test fails.
-constexpr base::Duration kPatience = std::chrono::seconds(60);
+constexpr base::Duration kTestTimeout = std::chrono::seconds(60);
 
 // Last published item by target; tests wait for changes.
-class ViewBoard {
+class PublishedStatuses {
  public:
   void Post(const ViewItem& item) {
     std::lock_guard lock(mutex_);
@@ -33,7 +33,7 @@
   bool Await(const std::string& id,
              const std::function<bool(const Json&)>& holds) {
     std::unique_lock lock(mutex_);
-    return wake_.wait_for(lock, kPatience, [&] {
+    return wake_.wait_for(lock, kTestTimeout, [&] {
       const auto it = last_.find(id);
       return it != last_.end() && holds(it->second);
     });
@@ -98,7 +98,7 @@
       return std::map<base::TargetId, request::EngineRole>();
     };
     hooks.weight_loads_per_minute = [] { return 60'000; };
-    hooks.publish = [this](const ViewItem& item) { board_.Post(item); };
+    hooks.publish = [this](const ViewItem& item) { published_.Post(item); };
     return std::make_unique<OrderService>(
         control_, key_value_,
         connection::MakeHttpEngineAdmin(std::chrono::seconds(5)),
@@ -107,13 +107,13 @@
   }
 
   bool AwaitSettled(const std::string& id, const std::string& version) {
-    return board_.Await(id, [&](const Json& body) {
+    return published_.Await(id, [&](const Json& body) {
       return body["step"] == "done" && body["observed"]["version"] == version;
     });
   }
 
   bool AwaitState(const std::string& id, const std::string& state) {
-    return board_.Await(
+    return published_.Await(
         id, [&](const Json& body) { return body["state"] == state; });
   }
 
@@ -125,11 +125,11 @@
   connection::KeyValue key_value_{fakes::MakeInProcessTransport(kv_),
                                   std::chrono::seconds(2)};
   base::Metrics metrics_;
-  ViewBoard board_;
+  PublishedStatuses published_;
   ControlSystem control_;
 };
 
-TEST_F(OrderServiceTest, RollsANewVersionOverTheServiceOneByOne) {
+TEST_F(OrderServiceTest, RollsOutANewVersionOneEngineAtATime) {
   const auto service = MakeService();
   SetVersion("2");
   EXPECT_TRUE(AwaitSettled("e0", "2"));
@@ -150,7 +150,7 @@
   EXPECT_TRUE(lease->entries.empty()) << "lease key still exists after Stop()";
 }
 
-TEST_F(OrderServiceTest, DrainsAndUndrainsOnAnOperatorsCall) {
+TEST_F(OrderServiceTest, DrainsAndUndrainsByAdminCall) {
   const auto service = MakeService();
   ASSERT_TRUE(AwaitState("e0", "serving"));
   connection::ApiCall call;
