--- a/src/process/drain_marks.cc
+++ b/src/process/operator_drains.cc
@@ -1,4 +1,4 @@
-#include "process/drain_marks.h"
+#include "process/operator_drains.h"
 
 #include <optional>
 
@@ -13,8 +13,8 @@
 
 using connection::KvError;
 
-std::string EncodeDrain(const std::string& mark) {
-  const nlohmann::json json = {{"mark", mark},
+std::string EncodeDrain(const std::string& drain_id) {
+  const nlohmann::json json = {{"mark", drain_id},
                                {"set_at_ms", base::WallMillis()}};
   return json.dump();
 }
@@ -29,7 +29,7 @@
 
 DrainResult SetDrain(const OrderStore& store,
                      const base::TargetId& target,
-                     const std::string& mark) {
+                     const std::string& drain_id) {
   const std::string key = DrainKey(target);
   KvError error = KvError::kNone;
   const auto before = store.get(key, &error);
@@ -41,7 +41,7 @@
   }
   const auto result = store.commit(
       {{key, base::Revision(0)}},
-      {{key, EncodeDrain(mark), connection::KvLeaseId(0)}}, &error);
+      {{key, EncodeDrain(drain_id), connection::KvLeaseId(0)}}, &error);
   if (result) {
     return result->committed ? DrainResult::kDone : DrainResult::kConflict;
   }
@@ -51,7 +51,7 @@
   return there ? DrainResult::kDone : lost;
 }
 
-DrainResult LiftDrain(const OrderStore& store, const base::TargetId& target) {
+DrainResult RemoveDrain(const OrderStore& store, const base::TargetId& target) {
   const std::string key = DrainKey(target);
   KvError error = KvError::kNone;
   const auto before = store.get(key, &error);
--- a/src/process/drain_marks.h
+++ b/src/process/operator_drains.h
@@ -1,6 +1,6 @@
 // Sets and removes operators' drains of targets in the key-value service.
-#ifndef LYNXGLADE_PROCESS_DRAIN_MARKS_H_
-#define LYNXGLADE_PROCESS_DRAIN_MARKS_H_
+#ifndef LYNXGLADE_PROCESS_OPERATOR_DRAINS_H_
+#define LYNXGLADE_PROCESS_OPERATOR_DRAINS_H_
 
 #include <string>
 
@@ -25,9 +25,9 @@
 // Sets or removes the drain of a target. Blocks.
 DrainResult SetDrain(const OrderStore& store,
                      const base::TargetId& target,
-                     const std::string& mark);
-DrainResult LiftDrain(const OrderStore& store, const base::TargetId& target);
+                     const std::string& drain_id);
+DrainResult RemoveDrain(const OrderStore& store, const base::TargetId& target);
 
 }  // namespace lynxglade::process
 
-#endif  // LYNXGLADE_PROCESS_DRAIN_MARKS_H_
+#endif  // LYNXGLADE_PROCESS_OPERATOR_DRAINS_H_
--- a/src/process/order_service.cc
+++ b/src/process/order_service.cc
@@ -12,7 +12,7 @@
 #include <nlohmann/json.hpp>
 
 #include "process/call_pool.h"
-#include "process/drain_marks.h"
+#include "process/operator_drains.h"
 #include "process/order_actor.h"
 
 namespace lynxglade::process {
@@ -150,7 +150,7 @@
   const DrainResult result =
       call.verb == DrainVerb::kDrain
           ? SetDrain(*store, call.target, base::RandomHexId(random))
-          : LiftDrain(*store, call.target);
+          : RemoveDrain(*store, call.target);
   return ToAnswer(call, result);
 }
 
