--- a/tests/process/order_interleaving_test.cc
+++ b/tests/process/order_interleaving_test.cc
@@ -14,19 +14,19 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-enum class Move {
+enum class ActionKind {
   kTick,
   kCall,
   kComplete,
   kRunAll,
   kShortTime,
   kLongTime,
-  kNearLapse,
+  kNearExpiry,
   kReplace,
-  kWriteFate,
-  kOrderFate,
-  kLandLate,
-  kDeliverHeld,
+  kWriteOutcome,
+  kOrderOutcome,
+  kApplyLateWrites,
+  kDeliverDelayed,
   kStartRequest,
   kEndRequest,
   kCrash,
@@ -35,85 +35,87 @@
 };
 
 struct Action {
-  Move move = Move::kTick;
+  ActionKind kind = ActionKind::kTick;
   unsigned arg = 0;
 };
 
 std::ostream& operator<<(std::ostream& out, const Action& action) {
-  return out << static_cast<int>(action.move) << ":" << action.arg;
+  return out << static_cast<int>(action.kind) << ":" << action.arg;
 }
 
 rc::Gen<Action> AnyAction() {
-  return rc::gen::map(
-      rc::gen::pair(rc::gen::weightedElement<Move>({{8, Move::kTick},
-                                                    {14, Move::kCall},
-                                                    {14, Move::kComplete},
-                                                    {12, Move::kRunAll},
-                                                    {14, Move::kShortTime},
-                                                    {2, Move::kLongTime},
-                                                    {3, Move::kNearLapse},
-                                                    {1, Move::kReplace},
-                                                    {3, Move::kWriteFate},
-                                                    {4, Move::kOrderFate},
-                                                    {3, Move::kLandLate},
-                                                    {4, Move::kDeliverHeld},
-                                                    {4, Move::kStartRequest},
-                                                    {6, Move::kEndRequest},
-                                                    {2, Move::kCrash},
-                                                    {6, Move::kOutage},
-                                                    {4, Move::kNewModel}}),
-                    rc::gen::inRange(0u, 1000u)),
-      [](const std::pair<Move, unsigned>& it) {
-        return Action{it.first, it.second};
-      });
+  return rc::gen::map(rc::gen::pair(rc::gen::weightedElement<ActionKind>(
+                                        {{8, ActionKind::kTick},
+                                         {14, ActionKind::kCall},
+                                         {14, ActionKind::kComplete},
+                                         {12, ActionKind::kRunAll},
+                                         {14, ActionKind::kShortTime},
+                                         {2, ActionKind::kLongTime},
+                                         {3, ActionKind::kNearExpiry},
+                                         {1, ActionKind::kReplace},
+                                         {3, ActionKind::kWriteOutcome},
+                                         {4, ActionKind::kOrderOutcome},
+                                         {3, ActionKind::kApplyLateWrites},
+                                         {4, ActionKind::kDeliverDelayed},
+                                         {4, ActionKind::kStartRequest},
+                                         {6, ActionKind::kEndRequest},
+                                         {2, ActionKind::kCrash},
+                                         {6, ActionKind::kOutage},
+                                         {4, ActionKind::kNewModel}}),
+                                    rc::gen::inRange(0u, 1000u)),
+                      [](const std::pair<ActionKind, unsigned>& it) {
+                        return Action{it.first, it.second};
+                      });
 }
 
-void Play(const Action& action, std::size_t holders, OrderWorld* world) {
+void Apply(const Action& action, std::size_t holders, OrderWorld* world) {
   const unsigned arg = action.arg;
   const std::size_t holder = arg % holders;
   const std::size_t engine = arg % world->engines().size();
-  constexpr int kWriteFates = 5;
-  constexpr int kOrderFates = 3;
-  switch (action.move) {
-    case Move::kTick:
+  constexpr int kWriteOutcomes = 5;
+  constexpr int kOrderOutcomes = 3;
+  switch (action.kind) {
+    case ActionKind::kTick:
       return world->TickHolder(holder);
-    case Move::kCall:
+    case ActionKind::kCall:
       return world->RunCall(holder, arg / holders);
-    case Move::kComplete:
+    case ActionKind::kComplete:
       return world->Complete(holder, arg / holders);
-    case Move::kRunAll:
+    case ActionKind::kRunAll:
       return world->RunAll();
-    case Move::kShortTime:
+    case ActionKind::kShortTime:
       return world->Advance(milliseconds(arg));
-    case Move::kLongTime:
+    case ActionKind::kLongTime:
       return world->Advance(seconds(arg % 60));
-    case Move::kNearLapse:
-      return world->ApproachLapse(milliseconds(arg * 8) - seconds(2));
-    case Move::kReplace:
+    case ActionKind::kNearExpiry:
+      return world->ApproachExpiry(milliseconds(arg * 8) - seconds(2));
+    case ActionKind::kReplace:
       return world->Replace(holder);
-    case Move::kWriteFate:
-      world->store().fates.push_back(static_cast<WriteFate>(arg % kWriteFates));
+    case ActionKind::kWriteOutcome:
+      world->store().outcomes.push_back(
+          static_cast<WriteOutcome>(arg % kWriteOutcomes));
       return;
-    case Move::kOrderFate:
-      world->order_fates.push_back(static_cast<OrderFate>(arg % kOrderFates));
+    case ActionKind::kOrderOutcome:
+      world->order_outcomes.push_back(
+          static_cast<OrderOutcome>(arg % kOrderOutcomes));
       return;
-    case Move::kLandLate:
-      return world->store().LandLateWrites();
-    case Move::kDeliverHeld:
-      return world->DeliverHeld();
-    case Move::kStartRequest:
+    case ActionKind::kApplyLateWrites:
+      return world->store().ApplyLateWrites();
+    case ActionKind::kDeliverDelayed:
+      return world->DeliverDelayedOrders();
+    case ActionKind::kStartRequest:
       return world->StartRequest(engine);
-    case Move::kEndRequest:
+    case ActionKind::kEndRequest:
       return world->EndRequest(engine);
-    case Move::kCrash:
+    case ActionKind::kCrash:
       world->Crash(engine, arg % 2 == 0);
       // After a crash the engine is no longer draining and accepts work at
       // once.
       return world->StartRequest(engine);
-    case Move::kOutage:
+    case ActionKind::kOutage:
       world->store().down = arg % 4 == 0;
       return;
-    case Move::kNewModel:
+    case ActionKind::kNewModel:
       return world->SetModel(std::to_string(1 + arg % 3));
   }
 }
@@ -122,12 +124,12 @@
 // state.
 bool SettlesWithin(base::Duration limit, OrderWorld* world) {
   world->store().down = false;
-  world->store().fates.clear();
-  world->order_fates.clear();
+  world->store().outcomes.clear();
+  world->order_outcomes.clear();
   for (base::Duration spent{}; spent < limit; spent += milliseconds(250)) {
     world->Advance(milliseconds(250));
-    world->DeliverHeld();
-    world->store().LandLateWrites();
+    world->DeliverDelayedOrders();
+    world->store().ApplyLateWrites();
     for (std::size_t i = 0; i < world->engines().size(); ++i) {
       world->EndRequest(i);
     }
@@ -145,7 +147,9 @@
   return false;
 }
 
-RC_GTEST_PROP(OrderInterleavingTest, NoLostAuthorityActsAndWorkIsFinished, ()) {
+RC_GTEST_PROP(OrderInterleavingTest,
+              OrdersNeedAValidLeaseAndEnginesConverge,
+              ()) {
   constexpr int kActions = 400;
   OrderWorld::Options options;
   options.zones = *rc::gen::inRange(1, 3);
@@ -157,7 +161,7 @@
   OrderWorld world(options);
   world.SetModel("2");
   for (const Action& action : actions) {
-    Play(action, static_cast<std::size_t>(options.holders), &world);
+    Apply(action, static_cast<std::size_t>(options.holders), &world);
     if (!world.violation().empty()) {
       RC_FAIL(world.violation());
     }
@@ -180,49 +184,52 @@
 
 // A holder pauses between its last check and its write, the next holder changes
 // the engine, and then the delayed order arrives.
-std::string SleeperWakes(bool fenced, bool connections_end) {
+std::string DelayedOrderViolation(bool fenced, bool connections_end) {
   OrderWorld::Options options;
   options.fenced = fenced ? 1 : 0;
   options.unfenced = fenced ? 0 : 1;
   options.connections_end = connections_end;
   OrderWorld world(options);
   RunAlone(0, seconds(5), &world);
-  world.order_fates.push_back(OrderFate::kHeldBack);
+  world.order_outcomes.push_back(OrderOutcome::kDelayed);
   world.SetModel("2");
   RunAlone(0, seconds(1), &world);
   EXPECT_EQ(world.accepted_orders, 0);
   RunAlone(1, std::chrono::minutes(3), &world);
   EXPECT_TRUE(world.Settled());
   EXPECT_GT(world.accepted_orders, 0);
-  world.DeliverHeld();
+  world.DeliverDelayedOrders();
   world.RunAll();
   return world.violation();
 }
 
-TEST(OrderAuthorityTest, SleepersOrderDiesWithItsConnection) {
-  EXPECT_EQ(SleeperWakes(/*fenced=*/false, /*connections_end=*/true), "");
-  EXPECT_EQ(SleeperWakes(/*fenced=*/true, /*connections_end=*/true), "");
+TEST(OrderAuthorityTest, ClosedConnectionDropsDelayedOrder) {
+  EXPECT_EQ(DelayedOrderViolation(/*fenced=*/false, /*connections_end=*/true),
+            "");
+  EXPECT_EQ(DelayedOrderViolation(/*fenced=*/true, /*connections_end=*/true),
+            "");
 }
 
-TEST(OrderAuthorityTest, FencedEngineNeedsNoIdleTimeout) {
-  EXPECT_EQ(SleeperWakes(/*fenced=*/true, /*connections_end=*/false), "");
+TEST(OrderAuthorityTest, FencedEngineRejectsDelayedOrderWithoutIdleTimeout) {
+  EXPECT_EQ(DelayedOrderViolation(/*fenced=*/true, /*connections_end=*/false),
+            "");
 }
 
 // A drain order is delayed on its connection, sent again and observed. The next
 // order has to wait until the delayed copy has arrived or its connection
 // closed.
-TEST(OrderAuthorityTest, DifferentOrderWaitsForCopiesThatMayArrive) {
+TEST(OrderAuthorityTest, DifferentOrderWaitsForDelayedCopies) {
   OrderWorld::Options options;
   options.fenced = 0;
   options.unfenced = 1;
   OrderWorld world(options);
   RunAlone(0, seconds(5), &world);
-  world.order_fates.push_back(OrderFate::kHeldBack);
+  world.order_outcomes.push_back(OrderOutcome::kDelayed);
   world.SetModel("2");
   RunAlone(0, seconds(4), &world);
   EXPECT_EQ(world.accepted_orders, 1);
   RunAlone(0, seconds(30), &world);
-  world.DeliverHeld();
+  world.DeliverDelayedOrders();
   EXPECT_TRUE(world.Settled());
   EXPECT_EQ(world.accepted_orders, 3);
   EXPECT_EQ(world.violation(), "");
@@ -230,8 +237,9 @@
 
 // Known limit, see docs/notes/authority.md: an engine that accepts old fencing
 // tokens and never closes idle connections can accept a late order.
-TEST(OrderAuthorityTest, UnfencedEngineThatKeepsConnectionsIsExposed) {
-  EXPECT_NE(SleeperWakes(/*fenced=*/false, /*connections_end=*/false), "");
+TEST(OrderAuthorityTest, UnfencedEngineWithoutIdleTimeoutAcceptsDelayedOrder) {
+  EXPECT_NE(DelayedOrderViolation(/*fenced=*/false, /*connections_end=*/false),
+            "");
 }
 
 }  // namespace
--- a/tests/process/order_world.cc
+++ b/tests/process/order_world.cc
@@ -103,24 +103,25 @@
 
 std::optional<connection::KvTxnResult> SimStore::Commit(const Write& write,
                                                         KvError* error) {
-  WriteFate fate = down ? WriteFate::kUnreachable : WriteFate::kDone;
-  if (!down && !fates.empty()) {
-    fate = fates.front();
-    fates.pop_front();
+  WriteOutcome outcome =
+      down ? WriteOutcome::kUnreachable : WriteOutcome::kDone;
+  if (!down && !outcomes.empty()) {
+    outcome = outcomes.front();
+    outcomes.pop_front();
   }
   *error = KvError::kNone;
-  switch (fate) {
-    case WriteFate::kDone:
+  switch (outcome) {
+    case WriteOutcome::kDone:
       return Apply(write);
-    case WriteFate::kAnswerLost:
+    case WriteOutcome::kAnswerLost:
       Apply(write);
       break;
-    case WriteFate::kRequestLost:
+    case WriteOutcome::kRequestLost:
       break;
-    case WriteFate::kLate:
+    case WriteOutcome::kLate:
       late_.push_back(write);
       break;
-    case WriteFate::kUnreachable:
+    case WriteOutcome::kUnreachable:
       *error = KvError::kUnreachable;
       return std::nullopt;
   }
@@ -128,7 +129,7 @@
   return std::nullopt;
 }
 
-void SimStore::LandLateWrites() {
+void SimStore::ApplyLateWrites() {
   for (const Write& write : std::exchange(late_, {})) {
     Apply(write);
   }
@@ -221,7 +222,7 @@
     : options_(options), store_([this] { return now_; }) {
   SetModel("1");
   store_.on_put = [this](const std::string& key, const std::string& value) {
-    JudgeRecord(key, value);
+    CheckRecord(key, value);
   };
   for (int i = 0; i < options_.fenced + options_.unfenced; ++i) {
     const bool fenced = i < options_.fenced;
@@ -304,7 +305,7 @@
   if (!it.calls.empty()) {
     const BlockingCall call = TakeOne(pick, &it.calls);
     it.completions.push_back(call());
-    JudgeOutages();
+    CheckOutages();
   }
 }
 
@@ -316,7 +317,7 @@
   }
 }
 
-void OrderWorld::ApproachLapse(base::Duration before) {
+void OrderWorld::ApproachExpiry(base::Duration before) {
   const auto expiry = store_.ExpiryOf(LeaseKey(ZoneOf(0), 0));
   store_.down = true;
   if (expiry && *expiry - before > now_) {
@@ -339,8 +340,8 @@
   }
 }
 
-void OrderWorld::DeliverHeld() {
-  for (const HeldOrder& held : std::exchange(held_, {})) {
+void OrderWorld::DeliverDelayedOrders() {
+  for (const DelayedOrder& held : std::exchange(delayed_, {})) {
     SimEngine* const engine = FindUp(held.engine);
     const bool same =
         engine && engine->orders.incarnation() == held.incarnation;
@@ -407,21 +408,21 @@
                       : EngineAdminError::kUnreachable;
       return std::nullopt;
     }
-    OrderFate fate = OrderFate::kDone;
-    if (!order_fates.empty()) {
-      fate = order_fates.front();
-      order_fates.pop_front();
+    OrderOutcome outcome = OrderOutcome::kDone;
+    if (!order_outcomes.empty()) {
+      outcome = order_outcomes.front();
+      order_outcomes.pop_front();
     }
     *error = EngineAdminError::kNone;
-    if (fate == OrderFate::kHeldBack) {
-      held_.push_back({endpoint.address, order,
-                       now_ + options_.connection_bound,
-                       engine->orders.incarnation()});
+    if (outcome == OrderOutcome::kDelayed) {
+      delayed_.push_back({endpoint.address, order,
+                          now_ + options_.connection_bound,
+                          engine->orders.incarnation()});
       *error = EngineAdminError::kAmbiguous;
       return std::nullopt;
     }
     const auto answer = Deliver(*engine, order);
-    if (fate == OrderFate::kAnswerLost) {
+    if (outcome == OrderOutcome::kAnswerLost) {
       *error = EngineAdminError::kAmbiguous;
       return std::nullopt;
     }
@@ -472,12 +473,12 @@
                        : connection::OrderRefusal::kBusy};
   }
   ++accepted_orders;
-  Judge(engine, order);
+  CheckOrder(engine, order);
   return {true, connection::OrderRefusal::kNone};
 }
 
-void OrderWorld::Judge(const SimEngine& engine,
-                       const connection::EngineOrder& order) {
+void OrderWorld::CheckOrder(const SimEngine& engine,
+                            const connection::EngineOrder& order) {
   const auto lease = LeaseOf(engine);
   const bool held =
       lease && lease->create_revision.value() == order.fence.value() &&
@@ -494,7 +495,7 @@
   last = order;
 }
 
-void OrderWorld::JudgeRecord(const std::string& key, const std::string& value) {
+void OrderWorld::CheckRecord(const std::string& key, const std::string& value) {
   const auto engine = std::ranges::find_if(
       engines_, [&](const auto& it) { return JournalKey(it->id) == key; });
   if (engine == engines_.end()) {
@@ -508,7 +509,7 @@
   }
 }
 
-void OrderWorld::JudgeOutages() {
+void OrderWorld::CheckOutages() {
   const auto out = std::ranges::count_if(engines_, [](const auto& engine) {
     return engine->orders.draining() ||
            engine->orders.phase() != fakes::EnginePhase::kReady;
--- a/tests/process/order_world.h
+++ b/tests/process/order_world.h
@@ -21,7 +21,13 @@
 namespace lynxglade::process {
 
 // Outcome of the next write to the key-value service.
-enum class WriteFate { kDone, kAnswerLost, kRequestLost, kLate, kUnreachable };
+enum class WriteOutcome {
+  kDone,
+  kAnswerLost,
+  kRequestLost,
+  kLate,
+  kUnreachable
+};
 
 // In-memory compare-and-swap store with leases.
 class SimStore {
@@ -30,7 +36,7 @@
 
   OrderStore Hooks();
   // Applies the writes whose senders timed out before they arrived.
-  void LandLateWrites();
+  void ApplyLateWrites();
   std::optional<connection::KvEntry> Find(const std::string& key);
   void Put(const std::string& key, const std::string& value);
   void Delete(const std::string& key) { entries_.erase(key); }
@@ -38,7 +44,7 @@
   std::optional<base::Time> ExpiryOf(const std::string& key);
   std::vector<connection::KvEntry> All(const std::string& prefix);
 
-  std::deque<WriteFate> fates;
+  std::deque<WriteOutcome> outcomes;
   bool down = false;
   // Called for every value that is stored.
   std::function<void(const std::string& key, const std::string& value)> on_put;
@@ -85,10 +91,10 @@
 };
 
 // Outcome of the next order that is sent.
-enum class OrderFate { kDone, kAnswerLost, kHeldBack };
+enum class OrderOutcome { kDone, kAnswerLost, kDelayed };
 
 // An order whose sender is paused between its check and its write.
-struct HeldOrder {
+struct DelayedOrder {
   std::string engine;
   connection::EngineOrder order;
   base::Time connection_ends;
@@ -122,10 +128,10 @@
   void RunAll();
   // Makes the key-value service unreachable and advances time to `before` the
   // lease expires.
-  void ApproachLapse(base::Duration before);
+  void ApproachExpiry(base::Duration before);
   // Replaces a crashed instance by a new one.
   void Replace(std::size_t holder);
-  void DeliverHeld();
+  void DeliverDelayedOrders();
   void StartRequest(std::size_t engine);
   void EndRequest(std::size_t engine);
   void Crash(std::size_t engine, bool half_changed);
@@ -143,7 +149,7 @@
     return engines_;
   }
   OrderCoordinator& holder(std::size_t n) { return *holders_[n]->coordinator; }
-  std::deque<OrderFate> order_fates;
+  std::deque<OrderOutcome> order_outcomes;
   int accepted_orders = 0;
   int late_orders = 0;
 
@@ -163,9 +169,10 @@
   connection::EngineState StateOf(const SimEngine& engine) const;
   connection::OrderAnswer Deliver(SimEngine& engine,
                                   const connection::EngineOrder& order);
-  void Judge(const SimEngine& engine, const connection::EngineOrder& order);
-  void JudgeOutages();
-  void JudgeRecord(const std::string& key, const std::string& value);
+  void CheckOrder(const SimEngine& engine,
+                  const connection::EngineOrder& order);
+  void CheckOutages();
+  void CheckRecord(const std::string& key, const std::string& value);
   void Fail(const std::string& text);
 
   const Options options_;
@@ -176,7 +183,7 @@
   std::shared_ptr<version::Configuration> configuration_;
   std::vector<std::unique_ptr<SimEngine>> engines_;
   std::vector<std::unique_ptr<Holder>> holders_;
-  std::vector<HeldOrder> held_;
+  std::vector<DelayedOrder> delayed_;
   // Last accepted order, by engine.
   std::map<std::string, connection::EngineOrder> last_;
   int instances_ = 0;
