--- a/tests/process/order_interleaving_test.cc
+++ b/tests/process/order_interleaving_test.cc
@@ -1,12 +1,12 @@
-// Random interleavings of holders, faults and requests. OrderWorld checks the
-// invariants whenever an engine accepts an order.
+// Random interleavings of holders, faults and requests. OrderSimulation checks
+// the invariants whenever an engine accepts an order.
 
 #include <tuple>
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "process/order_world.h"
+#include "process/order_simulation.h"
 
 namespace lynxglade::process {
 namespace {
@@ -68,79 +68,81 @@
                       });
 }
 
-void Apply(const Action& action, std::size_t holders, OrderWorld* world) {
+void Apply(const Action& action,
+           std::size_t holders,
+           OrderSimulation* simulation) {
   const unsigned arg = action.arg;
   const std::size_t holder = arg % holders;
-  const std::size_t engine = arg % world->engines().size();
+  const std::size_t engine = arg % simulation->engines().size();
   constexpr int kWriteOutcomes = 5;
   constexpr int kOrderOutcomes = 3;
   switch (action.kind) {
     case ActionKind::kTick:
-      return world->TickHolder(holder);
+      return simulation->TickHolder(holder);
     case ActionKind::kCall:
-      return world->RunCall(holder, arg / holders);
+      return simulation->RunCall(holder, arg / holders);
     case ActionKind::kComplete:
-      return world->Complete(holder, arg / holders);
+      return simulation->Complete(holder, arg / holders);
     case ActionKind::kRunAll:
-      return world->RunAll();
+      return simulation->RunAll();
     case ActionKind::kShortTime:
-      return world->Advance(milliseconds(arg));
+      return simulation->Advance(milliseconds(arg));
     case ActionKind::kLongTime:
-      return world->Advance(seconds(arg % 60));
+      return simulation->Advance(seconds(arg % 60));
     case ActionKind::kNearExpiry:
-      return world->ApproachExpiry(milliseconds(arg * 8) - seconds(2));
+      return simulation->ApproachExpiry(milliseconds(arg * 8) - seconds(2));
     case ActionKind::kReplace:
-      return world->Replace(holder);
+      return simulation->Replace(holder);
     case ActionKind::kWriteOutcome:
-      world->store().outcomes.push_back(
+      simulation->store().outcomes.push_back(
           static_cast<WriteOutcome>(arg % kWriteOutcomes));
       return;
     case ActionKind::kOrderOutcome:
-      world->order_outcomes.push_back(
+      simulation->order_outcomes.push_back(
           static_cast<OrderOutcome>(arg % kOrderOutcomes));
       return;
     case ActionKind::kApplyLateWrites:
-      return world->store().ApplyLateWrites();
+      return simulation->store().ApplyLateWrites();
     case ActionKind::kDeliverDelayed:
-      return world->DeliverDelayedOrders();
+      return simulation->DeliverDelayedOrders();
     case ActionKind::kStartRequest:
-      return world->StartRequest(engine);
+      return simulation->StartRequest(engine);
     case ActionKind::kEndRequest:
-      return world->EndRequest(engine);
+      return simulation->EndRequest(engine);
     case ActionKind::kCrash:
-      world->Crash(engine, arg % 2 == 0);
+      simulation->Crash(engine, arg % 2 == 0);
       // After a crash the engine is no longer draining and accepts work at
       // once.
-      return world->StartRequest(engine);
+      return simulation->StartRequest(engine);
     case ActionKind::kOutage:
-      world->store().down = arg % 4 == 0;
+      simulation->store().down = arg % 4 == 0;
       return;
     case ActionKind::kNewModel:
-      return world->SetModel(std::to_string(1 + arg % 3));
+      return simulation->SetModel(std::to_string(1 + arg % 3));
   }
 }
 
 // Ends all faults and runs the holders until every engine is in its desired
 // state.
-bool SettlesWithin(base::Duration limit, OrderWorld* world) {
-  world->store().down = false;
-  world->store().outcomes.clear();
-  world->order_outcomes.clear();
+bool SettlesWithin(base::Duration limit, OrderSimulation* simulation) {
+  simulation->store().down = false;
+  simulation->store().outcomes.clear();
+  simulation->order_outcomes.clear();
   for (base::Duration spent{}; spent < limit; spent += milliseconds(250)) {
-    world->Advance(milliseconds(250));
-    world->DeliverDelayedOrders();
-    world->store().ApplyLateWrites();
-    for (std::size_t i = 0; i < world->engines().size(); ++i) {
-      world->EndRequest(i);
+    simulation->Advance(milliseconds(250));
+    simulation->DeliverDelayedOrders();
+    simulation->store().ApplyLateWrites();
+    for (std::size_t i = 0; i < simulation->engines().size(); ++i) {
+      simulation->EndRequest(i);
     }
-    world->RunAll();
+    simulation->RunAll();
     if (spent == limit / 2) {
       // Restart isolated engines, as an operator would.
-      for (std::size_t i = 0; i < world->engines().size(); ++i) {
-        world->Crash(i, false);
+      for (std::size_t i = 0; i < simulation->engines().size(); ++i) {
+        simulation->Crash(i, false);
       }
     }
-    if (world->Settled()) {
+    if (simulation->Settled()) {
       return true;
     }
   }
@@ -151,56 +153,58 @@
               OrdersNeedAValidLeaseAndEnginesConverge,
               ()) {
   constexpr int kActions = 400;
-  OrderWorld::Options options;
+  OrderSimulation::Options options;
   options.zones = *rc::gen::inRange(1, 3);
   options.holders = *rc::gen::inRange(2, 5);
   options.fenced = *rc::gen::inRange(0, 3);
   options.unfenced = 2;
   const auto actions =
       *rc::gen::container<std::vector<Action>>(kActions, AnyAction());
-  OrderWorld world(options);
-  world.SetModel("2");
+  OrderSimulation simulation(options);
+  simulation.SetModel("2");
   for (const Action& action : actions) {
-    Apply(action, static_cast<std::size_t>(options.holders), &world);
-    if (!world.violation().empty()) {
-      RC_FAIL(world.violation());
+    Apply(action, static_cast<std::size_t>(options.holders), &simulation);
+    if (!simulation.violation().empty()) {
+      RC_FAIL(simulation.violation());
     }
   }
-  const bool settled = SettlesWithin(std::chrono::minutes(20), &world);
-  if (!world.violation().empty()) {
-    RC_FAIL(world.violation());
+  const bool settled = SettlesWithin(std::chrono::minutes(20), &simulation);
+  if (!simulation.violation().empty()) {
+    RC_FAIL(simulation.violation());
   }
   RC_ASSERT(settled);
-  RC_TAG(world.late_orders > 0, world.accepted_orders > 4);
+  RC_TAG(simulation.late_orders > 0, simulation.accepted_orders > 4);
 }
 
 // Runs one holder for `time` while the others are paused.
-void RunAlone(std::size_t holder, base::Duration time, OrderWorld* world) {
+void RunAlone(std::size_t holder,
+              base::Duration time,
+              OrderSimulation* simulation) {
   for (base::Duration spent{}; spent < time; spent += milliseconds(250)) {
-    world->Advance(milliseconds(250));
-    world->Run(holder);
+    simulation->Advance(milliseconds(250));
+    simulation->Run(holder);
   }
 }
 
 // A holder pauses between its last check and its write, the next holder changes
 // the engine, and then the delayed order arrives.
 std::string DelayedOrderViolation(bool fenced, bool connections_end) {
-  OrderWorld::Options options;
+  OrderSimulation::Options options;
   options.fenced = fenced ? 1 : 0;
   options.unfenced = fenced ? 0 : 1;
   options.connections_end = connections_end;
-  OrderWorld world(options);
-  RunAlone(0, seconds(5), &world);
-  world.order_outcomes.push_back(OrderOutcome::kDelayed);
-  world.SetModel("2");
-  RunAlone(0, seconds(1), &world);
-  EXPECT_EQ(world.accepted_orders, 0);
-  RunAlone(1, std::chrono::minutes(3), &world);
-  EXPECT_TRUE(world.Settled());
-  EXPECT_GT(world.accepted_orders, 0);
-  world.DeliverDelayedOrders();
-  world.RunAll();
-  return world.violation();
+  OrderSimulation simulation(options);
+  RunAlone(0, seconds(5), &simulation);
+  simulation.order_outcomes.push_back(OrderOutcome::kDelayed);
+  simulation.SetModel("2");
+  RunAlone(0, seconds(1), &simulation);
+  EXPECT_EQ(simulation.accepted_orders, 0);
+  RunAlone(1, std::chrono::minutes(3), &simulation);
+  EXPECT_TRUE(simulation.Settled());
+  EXPECT_GT(simulation.accepted_orders, 0);
+  simulation.DeliverDelayedOrders();
+  simulation.RunAll();
+  return simulation.violation();
 }
 
 TEST(OrderAuthorityTest, ClosedConnectionDropsDelayedOrder) {
@@ -219,20 +223,20 @@
 // order has to wait until the delayed copy has arrived or its connection
 // closed.
 TEST(OrderAuthorityTest, DifferentOrderWaitsForDelayedCopies) {
-  OrderWorld::Options options;
+  OrderSimulation::Options options;
   options.fenced = 0;
   options.unfenced = 1;
-  OrderWorld world(options);
-  RunAlone(0, seconds(5), &world);
-  world.order_outcomes.push_back(OrderOutcome::kDelayed);
-  world.SetModel("2");
-  RunAlone(0, seconds(4), &world);
-  EXPECT_EQ(world.accepted_orders, 1);
-  RunAlone(0, seconds(30), &world);
-  world.DeliverDelayedOrders();
-  EXPECT_TRUE(world.Settled());
-  EXPECT_EQ(world.accepted_orders, 3);
-  EXPECT_EQ(world.violation(), "");
+  OrderSimulation simulation(options);
+  RunAlone(0, seconds(5), &simulation);
+  simulation.order_outcomes.push_back(OrderOutcome::kDelayed);
+  simulation.SetModel("2");
+  RunAlone(0, seconds(4), &simulation);
+  EXPECT_EQ(simulation.accepted_orders, 1);
+  RunAlone(0, seconds(30), &simulation);
+  simulation.DeliverDelayedOrders();
+  EXPECT_TRUE(simulation.Settled());
+  EXPECT_EQ(simulation.accepted_orders, 3);
+  EXPECT_EQ(simulation.violation(), "");
 }
 
 // Known limit, see docs/notes/authority.md: an engine that accepts old fencing
--- a/tests/process/order_world.cc
+++ b/tests/process/order_simulation.cc
@@ -1,4 +1,4 @@
-#include "process/order_world.h"
+#include "process/order_simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -216,9 +216,10 @@
   return out;
 }
 
-// --- OrderWorld -------------------------------------------------------------
+// --- OrderSimulation
+// -------------------------------------------------------------
 
-OrderWorld::OrderWorld(Options options)
+OrderSimulation::OrderSimulation(Options options)
     : options_(options), store_([this] { return now_; }) {
   SetModel("1");
   store_.on_put = [this](const std::string& key, const std::string& value) {
@@ -241,7 +242,7 @@
   }
 }
 
-void OrderWorld::Start(Holder& holder) {
+void OrderSimulation::Start(Holder& holder) {
   OrderSettings settings;
   settings.lease_ttl = kTtl;
   settings.engine_connection_bound = options_.connection_bound;
@@ -272,35 +273,35 @@
       settings, std::move(deps));
 }
 
-base::ZoneId OrderWorld::ZoneOf(std::size_t n) const {
+base::ZoneId OrderSimulation::ZoneOf(std::size_t n) const {
   return base::ZoneId(
       "zone-" + std::to_string(n % static_cast<std::size_t>(options_.zones)));
 }
 
-std::optional<connection::KvEntry> OrderWorld::LeaseOf(
+std::optional<connection::KvEntry> OrderSimulation::LeaseOf(
     const SimEngine& engine) {
   return store_.Find(LeaseKey(engine.row.zone, 0));
 }
 
-void OrderWorld::Replace(std::size_t holder) {
+void OrderSimulation::Replace(std::size_t holder) {
   Holder& it = *holders_[holder];
   it.calls.clear();
   it.completions.clear();
   Start(it);
 }
 
-void OrderWorld::Advance(base::Duration d) {
+void OrderSimulation::Advance(base::Duration d) {
   now_ += d;
   for (const auto& engine : engines_) {
     engine->orders.Advance(now_);
   }
 }
 
-void OrderWorld::TickHolder(std::size_t holder) {
+void OrderSimulation::TickHolder(std::size_t holder) {
   holders_[holder]->coordinator->Tick();
 }
 
-void OrderWorld::RunCall(std::size_t holder, std::size_t pick) {
+void OrderSimulation::RunCall(std::size_t holder, std::size_t pick) {
   Holder& it = *holders_[holder];
   if (!it.calls.empty()) {
     const BlockingCall call = TakeOne(pick, &it.calls);
@@ -309,7 +310,7 @@
   }
 }
 
-void OrderWorld::Complete(std::size_t holder, std::size_t pick) {
+void OrderSimulation::Complete(std::size_t holder, std::size_t pick) {
   Holder& it = *holders_[holder];
   if (!it.completions.empty()) {
     const Completion done = TakeOne(pick, &it.completions);
@@ -317,7 +318,7 @@
   }
 }
 
-void OrderWorld::ApproachExpiry(base::Duration before) {
+void OrderSimulation::ApproachExpiry(base::Duration before) {
   const auto expiry = store_.ExpiryOf(LeaseKey(ZoneOf(0), 0));
   store_.down = true;
   if (expiry && *expiry - before > now_) {
@@ -325,7 +326,7 @@
   }
 }
 
-void OrderWorld::Run(std::size_t holder) {
+void OrderSimulation::Run(std::size_t holder) {
   constexpr int kRounds = 30;
   TickHolder(holder);
   for (int round = 0; round < kRounds; ++round) {
@@ -334,13 +335,13 @@
   }
 }
 
-void OrderWorld::RunAll() {
+void OrderSimulation::RunAll() {
   for (std::size_t i = 0; i < holders_.size(); ++i) {
     Run(i);
   }
 }
 
-void OrderWorld::DeliverDelayedOrders() {
+void OrderSimulation::DeliverDelayedOrders() {
   for (const DelayedOrder& held : std::exchange(delayed_, {})) {
     SimEngine* const engine = FindUp(held.engine);
     const bool same =
@@ -353,7 +354,7 @@
   }
 }
 
-void OrderWorld::StartRequest(std::size_t engine) {
+void OrderSimulation::StartRequest(std::size_t engine) {
   SimEngine& it = *engines_[engine];
   if (!it.orders.draining() &&
       it.orders.phase() == fakes::EnginePhase::kReady) {
@@ -361,17 +362,17 @@
   }
 }
 
-void OrderWorld::EndRequest(std::size_t engine) {
+void OrderSimulation::EndRequest(std::size_t engine) {
   SimEngine& it = *engines_[engine];
   it.in_flight = std::max(0, it.in_flight - 1);
 }
 
-void OrderWorld::Crash(std::size_t engine, bool half_changed) {
+void OrderSimulation::Crash(std::size_t engine, bool half_changed) {
   engines_[engine]->orders.Crash(half_changed);
   engines_[engine]->in_flight = 0;
 }
 
-void OrderWorld::SetModel(const std::string& version) {
+void OrderSimulation::SetModel(const std::string& version) {
   auto next = std::make_shared<version::Configuration>();
   next->revision = base::Revision(1);
   version::Contract contract;
@@ -386,7 +387,7 @@
   configuration_ = std::move(next);
 }
 
-connection::EngineAdmin OrderWorld::Admin() {
+connection::EngineAdmin OrderSimulation::Admin() {
   connection::EngineAdmin admin;
   admin.read_state =
       [this](
@@ -431,13 +432,14 @@
   return admin;
 }
 
-SimEngine* OrderWorld::FindUp(const std::string& id) {
+SimEngine* OrderSimulation::FindUp(const std::string& id) {
   const auto it = std::ranges::find_if(
       engines_, [&](const auto& engine) { return engine->id.str() == id; });
   return it == engines_.end() || (*it)->down ? nullptr : it->get();
 }
 
-connection::EngineState OrderWorld::StateOf(const SimEngine& engine) const {
+connection::EngineState OrderSimulation::StateOf(
+    const SimEngine& engine) const {
   connection::EngineState state;
   const fakes::EngineSetup& setup = engine.orders.setup();
   state.incarnation = std::to_string(engine.orders.incarnation());
@@ -453,7 +455,7 @@
   return state;
 }
 
-connection::OrderAnswer OrderWorld::Deliver(
+connection::OrderAnswer OrderSimulation::Deliver(
     SimEngine& engine,
     const connection::EngineOrder& order) {
   fakes::EngineOrder given;
@@ -477,8 +479,8 @@
   return {true, connection::OrderRefusal::kNone};
 }
 
-void OrderWorld::CheckOrder(const SimEngine& engine,
-                            const connection::EngineOrder& order) {
+void OrderSimulation::CheckOrder(const SimEngine& engine,
+                                 const connection::EngineOrder& order) {
   const auto lease = LeaseOf(engine);
   const bool held =
       lease && lease->create_revision.value() == order.fence.value() &&
@@ -495,7 +497,8 @@
   last = order;
 }
 
-void OrderWorld::CheckRecord(const std::string& key, const std::string& value) {
+void OrderSimulation::CheckRecord(const std::string& key,
+                                  const std::string& value) {
   const auto engine = std::ranges::find_if(
       engines_, [&](const auto& it) { return JournalKey(it->id) == key; });
   if (engine == engines_.end()) {
@@ -509,7 +512,7 @@
   }
 }
 
-void OrderWorld::CheckOutages() {
+void OrderSimulation::CheckOutages() {
   const auto out = std::ranges::count_if(engines_, [](const auto& engine) {
     return engine->orders.draining() ||
            engine->orders.phase() != fakes::EnginePhase::kReady;
@@ -519,7 +522,7 @@
   }
 }
 
-bool OrderWorld::Settled() {
+bool OrderSimulation::Settled() {
   const std::string& version =
       configuration_->contracts.begin()->second.intents.front().version.str();
   const bool ready = std::ranges::all_of(engines_, [&](const auto& engine) {
@@ -530,7 +533,7 @@
   return ready && store_.All("/lynxglade/permits/").empty();
 }
 
-void OrderWorld::Fail(const std::string& text) {
+void OrderSimulation::Fail(const std::string& text) {
   if (violation_.empty()) {
     violation_ = text;
   }
--- a/tests/process/order_world.h
+++ b/tests/process/order_simulation.h
@@ -1,8 +1,8 @@
 // Simulation for tests of orders: a key-value service, engines with the order
 // model of the fake engine, and coordinators whose blocking calls and
 // completions run when the test calls for it. Virtual time, single thread.
-#ifndef LYNXGLADE_TESTS_PROCESS_ORDER_WORLD_H_
-#define LYNXGLADE_TESTS_PROCESS_ORDER_WORLD_H_
+#ifndef LYNXGLADE_TESTS_PROCESS_ORDER_SIMULATION_H_
+#define LYNXGLADE_TESTS_PROCESS_ORDER_SIMULATION_H_
 
 #include <cstdint>
 #include <deque>
@@ -101,7 +101,7 @@
   std::int64_t incarnation = 0;
 };
 
-class OrderWorld {
+class OrderSimulation {
  public:
   struct Options {
     // Holders and engines are assigned to the zones round-robin.
@@ -114,7 +114,7 @@
     bool connections_end = true;
   };
 
-  explicit OrderWorld(Options options);
+  explicit OrderSimulation(Options options);
 
   // --- Actions of a schedule
   void Advance(base::Duration d);
@@ -192,4 +192,4 @@
 
 }  // namespace lynxglade::process
 
-#endif  // LYNXGLADE_TESTS_PROCESS_ORDER_WORLD_H_
+#endif  // LYNXGLADE_TESTS_PROCESS_ORDER_SIMULATION_H_
