--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -362,7 +362,7 @@
                         context_.settings.guard;
   }
   const std::string result =
-      answer ? std::string(connection::ToString(answer->result))
+      answer ? std::string(connection::ToString(answer->refusal))
              : std::string(connection::ToString(error));
   CountOrder(answer && answer->accepted ? "accepted" : result.c_str());
   base::Log(base::LogLevel::kInfo, "order_sent",
--- a/src/process/role_planner.cc
+++ b/src/process/role_planner.cc
@@ -318,7 +318,7 @@
     return std::ranges::find(fleet, requested.first, &PlannedEngine::id) ==
            fleet.end();
   });
-  if (IsPending(fleet)) {
+  if (UpdatePending(fleet)) {
     if (clock_() - pending_since_ < options_.change_timeout) {
       return RoleReason::kChangeUnderWay;
     }
@@ -339,7 +339,7 @@
   return std::nullopt;
 }
 
-bool RolePlanner::IsPending(const std::vector<PlannedEngine>& fleet) {
+bool RolePlanner::UpdatePending(const std::vector<PlannedEngine>& fleet) {
   if (!pending_) {
     return false;
   }
--- a/src/process/role_planner.h
+++ b/src/process/role_planner.h
@@ -205,8 +205,9 @@
                                 const RoleCounts& after) const;
   std::optional<RoleReason> BlockingReason(
       const std::vector<PlannedEngine>& fleet);
-  // Whether the last requested change is not complete yet.
-  bool IsPending(const std::vector<PlannedEngine>& fleet);
+  // Checks the last requested change against the fleet; returns whether it is
+  // still in progress.
+  bool UpdatePending(const std::vector<PlannedEngine>& fleet);
   Valuation Value(const EngineRates& rates,
                   const RoleCounts& counts,
                   request::EngineRole from,
