--- a/src/process/gossip.cc
+++ b/src/process/gossip.cc
@@ -177,7 +177,7 @@
   FetchMessage fetch;
   for (const SummaryBucket& bucket : message.buckets) {
     Enqueue(link, store_.ItemsNewerThan(bucket));
-    const auto older = store_.ItemsOlderThan(bucket);
+    const auto older = store_.KeyHashesToFetch(bucket);
     fetch.key_hashes.insert(fetch.key_hashes.end(), older.begin(), older.end());
   }
   if (!fetch.key_hashes.empty()) {
--- a/src/process/view_store.cc
+++ b/src/process/view_store.cc
@@ -218,7 +218,7 @@
   return names;
 }
 
-std::vector<std::uint64_t> ViewStore::ItemsOlderThan(
+std::vector<std::uint64_t> ViewStore::KeyHashesToFetch(
     const SummaryBucket& bucket) const {
   std::vector<std::uint64_t> hashes;
   if (bucket.bucket >= kDigestBuckets) {
--- a/src/process/view_store.h
+++ b/src/process/view_store.h
@@ -96,7 +96,8 @@
   std::vector<ViewName> ItemsNewerThan(const SummaryBucket& bucket) const;
   // Key hashes of facts that this store lacks or holds in an older version than
   // the sender of `bucket`.
-  std::vector<std::uint64_t> ItemsOlderThan(const SummaryBucket& bucket) const;
+  std::vector<std::uint64_t> KeyHashesToFetch(
+      const SummaryBucket& bucket) const;
   // Names of the held facts with these key hashes; unknown hashes are skipped.
   std::vector<ViewName> Resolve(
       const std::vector<std::uint64_t>& key_hashes) const;
