--- a/src/process/gossip.cc
+++ b/src/process/gossip.cc
@@ -176,7 +176,7 @@
 void Gossip::Handle(LinkId link, const SummaryMessage& message) {
   FetchMessage fetch;
   for (const SummaryBucket& bucket : message.buckets) {
-    Enqueue(link, store_.ItemsNewerThan(bucket));
+    Enqueue(link, store_.NamesToSend(bucket));
     const auto older = store_.KeyHashesToFetch(bucket);
     fetch.key_hashes.insert(fetch.key_hashes.end(), older.begin(), older.end());
   }
--- a/src/process/view_store.cc
+++ b/src/process/view_store.cc
@@ -196,7 +196,7 @@
   return out;
 }
 
-std::vector<ViewName> ViewStore::ItemsNewerThan(
+std::vector<ViewName> ViewStore::NamesToSend(
     const SummaryBucket& bucket) const {
   std::vector<ViewName> names;
   if (bucket.bucket >= kDigestBuckets) {
--- a/src/process/view_store.h
+++ b/src/process/view_store.h
@@ -93,7 +93,7 @@
   std::vector<SummaryBucket> SummaryOfDifferences(
       const DigestMessage& other) const;
   // Held facts that the sender of `bucket` lacks or holds in an older version.
-  std::vector<ViewName> ItemsNewerThan(const SummaryBucket& bucket) const;
+  std::vector<ViewName> NamesToSend(const SummaryBucket& bucket) const;
   // Key hashes of facts that this store lacks or holds in an older version than
   // the sender of `bucket`.
   std::vector<std::uint64_t> KeyHashesToFetch(
--- a/tests/process/view_store_test.cc
+++ b/tests/process/view_store_test.cc
@@ -80,7 +80,7 @@
 // Brings `to` up to date with `from` by digest, summary and facts.
 void Synchronise(const ViewStore& from, ViewStore* to) {
   for (const SummaryBucket& bucket : to->SummaryOfDifferences(from.Digest())) {
-    for (const ViewName& name : from.ItemsNewerThan(bucket)) {
+    for (const ViewName& name : from.NamesToSend(bucket)) {
       to->Merge(*from.Find(name));
     }
   }
