--- a/src/process/gossip.cc
+++ b/src/process/gossip.cc
@@ -186,7 +186,7 @@
 }
 
 void Gossip::Handle(LinkId link, const FetchMessage& message) {
-  Enqueue(link, store_.Resolve(message.key_hashes));
+  Enqueue(link, store_.NamesOf(message.key_hashes));
 }
 
 void Gossip::Handle(LinkId link, const CloseLinkMessage& /*message*/) {
--- a/src/process/view_store.cc
+++ b/src/process/view_store.cc
@@ -238,7 +238,7 @@
   return hashes;
 }
 
-std::vector<ViewName> ViewStore::Resolve(
+std::vector<ViewName> ViewStore::NamesOf(
     const std::vector<std::uint64_t>& key_hashes) const {
   std::vector<ViewName> names;
   for (const std::uint64_t key_hash : key_hashes) {
--- a/src/process/view_store.h
+++ b/src/process/view_store.h
@@ -99,7 +99,7 @@
   std::vector<std::uint64_t> KeyHashesToFetch(
       const SummaryBucket& bucket) const;
   // Names of the held facts with these key hashes; unknown hashes are skipped.
-  std::vector<ViewName> Resolve(
+  std::vector<ViewName> NamesOf(
       const std::vector<std::uint64_t>& key_hashes) const;
 
  private:
