--- a/src/process/membership.cc
+++ b/src/process/membership.cc
@@ -29,7 +29,7 @@
       random_(std::move(random)) {
   last_tick_ = clock_();
   next_probe_ = last_tick_ + Jittered(options_.probe_interval);
-  // Publish the own fact on the first tick.
+  // Publish the fact about this instance on the first tick.
   next_refresh_ = last_tick_;
 }
 
@@ -51,7 +51,7 @@
     Peer peer;
     peer.fact = {row.zone, row.address, row.peer_port};
     peer.listed = true;
-    peer.heard_at = now;
+    peer.last_received = now;
     peer.known_at = now;
     peer.next_dial =
         row.zone < self_.zone ? now + kRelayDialDelay : base::Time{};
@@ -62,8 +62,8 @@
 void Membership::OnFact(const ViewItem& item) {
   const base::InstanceId id(item.key);
   if (id == self_.id) {
-    // A peer suspects this instance, or holds a fact of our own that is newer
-    // than our version. Refute it with the next even sequence.
+    // A peer suspects this instance, or holds a newer fact about it than
+    // own_version_. Refute it with the next even sequence.
     if (item.version > own_version_ && item.version.epoch == kRunningEpoch &&
         !leaving_) {
       const std::uint64_t next = item.version.sequence | 1;
@@ -80,7 +80,7 @@
   const auto [it, is_new] = peers_.try_emplace(id);
   Peer& peer = it->second;
   if (is_new) {
-    peer.heard_at = now;
+    peer.last_received = now;
     peer.next_dial = fact->zone < self_.zone ? now + kRelayDialDelay : now;
   }
   peer.known_at = now;
@@ -88,8 +88,8 @@
   const bool was_suspect = StateOfPeer(peer) == MemberState::kSuspect;
   peer.version = item.version;
   if (was_suspect && StateOfPeer(peer) == MemberState::kLive) {
-    // The peer refuted the suspicion, though we cannot reach it. Do not suspect
-    // it again for the same lost link.
+    // The peer refuted the suspicion, though this instance cannot reach it. Do
+    // not suspect it again for the same lost link.
     peer.link_lost = false;
   }
 }
@@ -122,7 +122,7 @@
   const auto [it, is_new] = peers_.try_emplace(hello.instance);
   Peer& peer = it->second;
   peer.fact = fact;
-  peer.heard_at = now;
+  peer.last_received = now;
   peer.known_at = now;
   peer.link_lost = false;
   peer.failures = 0;
@@ -151,8 +151,8 @@
   new_link.peer = hello.instance;
   new_link.dialled = dialled;
   new_link.up_since = now;
-  new_link.heard_at = now;
-  new_link.echoed_at = now;
+  new_link.last_received = now;
+  new_link.last_acknowledged = now;
   new_link.next_heartbeat = now;
   links_.emplace(link, new_link);
   return true;
@@ -187,9 +187,9 @@
   if (it == links_.end()) {
     return;
   }
-  it->second.heard_at = clock_();
+  it->second.last_received = clock_();
   if (const auto peer = peers_.find(it->second.peer); peer != peers_.end()) {
-    peer->second.heard_at = it->second.heard_at;
+    peer->second.last_received = it->second.last_received;
   }
 }
 
@@ -201,7 +201,7 @@
   it->second.received = std::max(it->second.received, message.sequence);
   if (message.echo > it->second.last_echo) {
     it->second.last_echo = message.echo;
-    it->second.echoed_at = clock_();
+    it->second.last_acknowledged = clock_();
   }
 }
 
--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -36,7 +36,7 @@
 struct MembershipOptions {
   base::Duration heartbeat_interval = std::chrono::seconds(1);
   // A link is closed when nothing was received on it, or the peer acknowledged
-  // none of our heartbeats, for this long. An unlinked peer that has been
+  // none of the heartbeats sent, for this long. An unlinked peer that has been
   // silent for this long becomes suspect.
   base::Duration silence_timeout = std::chrono::seconds(4);
   // Exponential backoff between dial attempts to one peer, with jitter.
@@ -49,7 +49,7 @@
   // Mean interval between probes of suspect and unreachable peers; each probe
   // dials one of them.
   base::Duration probe_interval = std::chrono::seconds(5);
-  // Mean interval at which this instance republishes its own fact.
+  // Mean interval at which this instance republishes the fact about itself.
   base::Duration refresh_interval = std::chrono::minutes(5);
   // How long a link that neither end selects any more is kept.
   base::Duration unwanted_link_grace = std::chrono::seconds(60);
@@ -151,7 +151,7 @@
     // Whether the latest instance list has a row for it.
     bool listed = false;
     // Last message on a link to it, or when it became known.
-    base::Time heard_at{};
+    base::Time last_received{};
     // Last update by a row, fact or hello message.
     base::Time known_at{};
     // Its last link broke without a deliberate close, and no link is up since.
@@ -166,9 +166,9 @@
     base::InstanceId peer;
     bool dialled = false;
     base::Time up_since{};
-    base::Time heard_at{};
-    // When the peer last acknowledged one of our heartbeats.
-    base::Time echoed_at{};
+    base::Time last_received{};
+    // When the peer last acknowledged a heartbeat.
+    base::Time last_acknowledged{};
     base::Time next_heartbeat{};
     std::uint64_t sent = 0;
     std::uint64_t received = 0;
--- a/src/process/membership_tick.cc
+++ b/src/process/membership_tick.cc
@@ -42,20 +42,20 @@
     return;
   }
   for (auto& [id, link] : links_) {
-    link.heard_at += gap;
-    link.echoed_at += gap;
+    link.last_received += gap;
+    link.last_acknowledged += gap;
   }
   for (auto& [id, peer] : peers_) {
-    peer.heard_at += gap;
+    peer.last_received += gap;
   }
 }
 
 void Membership::CheckLinks(base::Time now, MembershipActions* actions) {
   std::vector<LinkId> broken;
   for (auto& [id, link] : links_) {
-    const bool silent = now - link.heard_at > options_.silence_timeout;
+    const bool silent = now - link.last_received > options_.silence_timeout;
     const bool not_acknowledged =
-        now - link.echoed_at > options_.silence_timeout;
+        now - link.last_acknowledged > options_.silence_timeout;
     if (silent || not_acknowledged) {
       actions->close.push_back({id, silent
                                         ? "nothing received"
@@ -105,7 +105,7 @@
 
 void Membership::SuspectSilent(base::Time now) {
   for (auto& [id, peer] : peers_) {
-    const bool silent = now - peer.heard_at > options_.silence_timeout;
+    const bool silent = now - peer.last_received > options_.silence_timeout;
     const bool tried = peer.failures > 0;
     if (!peer.link_lost || !silent || !tried || !peer.version ||
         StateOf(*peer.version) != MemberState::kLive) {
@@ -197,7 +197,7 @@
 void Membership::EvictStalePeers(base::Time now) {
   std::erase_if(peers_, [&](const auto& entry) {
     const Peer& peer = entry.second;
-    const base::Time last_update = std::max(peer.heard_at, peer.known_at);
+    const base::Time last_update = std::max(peer.last_received, peer.known_at);
     return !peer.listed && !peer.dialling && !IsLinked(entry.first) &&
            now - last_update > options_.stale_peer_retention;
   });
--- a/src/process/peer_messages.h
+++ b/src/process/peer_messages.h
@@ -37,7 +37,7 @@
   int port = 0;
 };
 
-// Shows that the sender runs and, by the echo, that it receives our messages.
+// Shows that the sender runs and, by the echo, that it receives messages.
 struct HeartbeatMessage {
   std::uint64_t sequence = 0;
   // Last sequence received from the peer; 0 for none.
--- a/tests/process/target_registry_test.cc
+++ b/tests/process/target_registry_test.cc
@@ -68,7 +68,7 @@
   EXPECT_EQ(State(), TargetState::kLeaving);
 }
 
-TEST_F(TargetRegistryTest, ViewsOnlyMoveForward) {
+TEST_F(TargetRegistryTest, IgnoresOlderAndMalformedViews) {
   registry_.OnTargetView(View(5, "draining"));
   EXPECT_EQ(State(), TargetState::kDraining);
   registry_.OnTargetView(View(4, "serving"));
@@ -88,14 +88,14 @@
   EXPECT_EQ(State(), TargetState::kServing);
 }
 
-TEST_F(TargetRegistryTest, OlderReportsAreIgnoredAndARestartIsSeen) {
+TEST_F(TargetRegistryTest, IgnoresOlderReportsAndDetectsRestart) {
   EXPECT_FALSE(registry_.OnLoad(Report("a", 1)));
   EXPECT_FALSE(registry_.OnLoad(Report("a", 2)));
   EXPECT_TRUE(registry_.OnLoad(Report("b", 1)));
   EXPECT_FALSE(registry_.OnLoad(Report("b", 2)));
 }
 
-TEST_F(TargetRegistryTest, TargetThatIsNoLongerListedIsGone) {
+TEST_F(TargetRegistryTest, RemovesTargetThatIsNoLongerListed) {
   registry_.SetRows({});
   EXPECT_TRUE(registry_.Index()->table().targets.empty());
   EXPECT_FALSE(registry_.OnLoad(Report("a", 3)));
