--- a/src/process/stage_plan.cc
+++ b/src/process/stage_plan.cc
@@ -96,7 +96,7 @@
   }
   const int wanted =
       static_cast<int>(std::lround(options.decode_share * engines));
-  return std::min(std::max(wanted, options.least_decode), engines - 1);
+  return std::min(std::max(wanted, options.min_decode_engines), engines - 1);
 }
 
 std::vector<StageChange> PlanStages(const std::vector<EngineHandle>& engines,
@@ -118,8 +118,8 @@
               it, to_prefill ? EngineStage::kPrefill : EngineStage::kDecode};
         });
   }
-  if (!idle && changes.size() > options.most_at_once) {
-    changes.resize(options.most_at_once);
+  if (!idle && changes.size() > options.max_concurrent_changes) {
+    changes.resize(options.max_concurrent_changes);
   }
   return changes;
 }
--- a/src/process/stage_plan.h
+++ b/src/process/stage_plan.h
@@ -23,9 +23,9 @@
   double decode_share = 0.25;
   // Engines of a service that generate, if it has more: the loss of one must
   // not leave a service without.
-  int least_decode = 2;
+  int min_decode_engines = 2;
   // Engines of a service that change at a time while requests are served.
-  std::size_t most_at_once = 1;
+  std::size_t max_concurrent_changes = 1;
 };
 
 struct StageChange {
