--- a/src/process/stage_plan.cc
+++ b/src/process/stage_plan.cc
@@ -51,7 +51,7 @@
   if (engines == 0) {
     return wanted;
   }
-  const int total = std::max(DecodeEngines(engines, options),
+  const int total = std::max(DecodeEngineCount(engines, options),
                              std::min(asked_for, engines - 1));
   int given = 0;
   const auto low = [&](const ZoneEngines& zone) {
@@ -90,7 +90,7 @@
 
 }  // namespace
 
-int DecodeEngines(int engines, const StagePlanOptions& options) noexcept {
+int DecodeEngineCount(int engines, const StagePlanOptions& options) noexcept {
   if (engines <= 1) {
     return engines;
   }
--- a/src/process/stage_plan.h
+++ b/src/process/stage_plan.h
@@ -35,7 +35,7 @@
 };
 
 // Engines that should generate, of a service's `engines`.
-int DecodeEngines(int engines, const StagePlanOptions& options) noexcept;
+int DecodeEngineCount(int engines, const StagePlanOptions& options) noexcept;
 
 // The changes that bring one service to its split, each zone to its part of it,
 // none of them to an engine that is leaving. Without requests (`idle`) all at
--- a/tests/process/stage_plan_test.cc
+++ b/tests/process/stage_plan_test.cc
@@ -50,9 +50,9 @@
 // long and answers short.
 TEST(StagePlan, SplitsOfTheUsersServices) {
   const StagePlanOptions options;
-  EXPECT_EQ(DecodeEngines(18, options), 5);
-  EXPECT_EQ(DecodeEngines(12, options), 3);
-  EXPECT_EQ(DecodeEngines(90, options), 23);
+  EXPECT_EQ(DecodeEngineCount(18, options), 5);
+  EXPECT_EQ(DecodeEngineCount(12, options), 3);
+  EXPECT_EQ(DecodeEngineCount(90, options), 23);
 }
 
 // Guards against: the slower kind of a service's engines generates since their
@@ -78,15 +78,15 @@
 
 TEST(StagePlan, AServiceKeepsTwoThatGenerate) {
   const StagePlanOptions options;
-  EXPECT_EQ(DecodeEngines(6, options), 2);
-  EXPECT_EQ(DecodeEngines(3, options), 2);
+  EXPECT_EQ(DecodeEngineCount(6, options), 2);
+  EXPECT_EQ(DecodeEngineCount(3, options), 2);
 }
 
 TEST(StagePlan, AnEngineAloneGenerates) {
   const StagePlanOptions options;
-  EXPECT_EQ(DecodeEngines(1, options), 1);
-  EXPECT_EQ(DecodeEngines(2, options), 1);
-  EXPECT_EQ(DecodeEngines(0, options), 0);
+  EXPECT_EQ(DecodeEngineCount(1, options), 1);
+  EXPECT_EQ(DecodeEngineCount(2, options), 1);
+  EXPECT_EQ(DecodeEngineCount(0, options), 0);
 }
 
 // The load this answers: six engines in each of three zones, one of six
@@ -157,7 +157,7 @@
     changes = PlanStages(engines, false, options);
   }
   const int n = static_cast<int>(engines.size());
-  const int total = DecodeEngines(n, options);
+  const int total = DecodeEngineCount(n, options);
   RC_ASSERT(CountDecode(engines) == total);
   for (const auto& [name, zone] : zones) {
     const int part = total * static_cast<int>(zone.size());
