--- a/src/process/stage_plan.cc
+++ b/src/process/stage_plan.cc
@@ -22,7 +22,7 @@
   }
 };
 
-std::map<base::ZoneId, ZoneEngines> ByZone(
+std::map<base::ZoneId, ZoneEngines> GroupByZone(
     const std::vector<EngineHandle>& engines) {
   std::map<base::ZoneId, ZoneEngines> zones;
   for (const EngineHandle& engine : engines) {
@@ -39,50 +39,52 @@
 // Each zone's engines that should generate. A zone gets its part of the
 // service's, rounded up or down; of the ways to round, one that changes few
 // engines.
-std::map<base::ZoneId, int> DecodeByZone(
+std::map<base::ZoneId, int> DecodeCountByZone(
     const std::map<base::ZoneId, ZoneEngines>& zones,
     const StagePlanOptions& options,
-    int asked_for) {
+    int demanded) {
   int engines = 0;
   for (const auto& [name, zone] : zones) {
     engines += zone.size();
   }
-  std::map<base::ZoneId, int> wanted;
+  std::map<base::ZoneId, int> demanded;
   if (engines == 0) {
-    return wanted;
+    return demanded;
   }
   const int total = std::max(DecodeEngineCount(engines, options),
-                             std::min(asked_for, engines - 1));
-  int given = 0;
-  const auto low = [&](const ZoneEngines& zone) {
+                             std::min(demanded, engines - 1));
+  int assigned = 0;
+  const auto min_count = [&](const ZoneEngines& zone) {
     return total * zone.size() / engines;
   };
-  const auto high = [&](const ZoneEngines& zone) {
+  const auto max_count = [&](const ZoneEngines& zone) {
     return (total * zone.size() + engines - 1) / engines;
   };
   for (const auto& [name, zone] : zones) {
-    const int now = static_cast<int>(zone.decode.size());
-    wanted[name] = std::clamp(now, low(zone), high(zone));
-    given += wanted[name];
+    const int current = static_cast<int>(zone.decode.size());
+    demanded[name] = std::clamp(current, min_count(zone), max_count(zone));
+    assigned += demanded[name];
   }
   for (const auto& [name, zone] : zones) {
-    int& n = wanted[name];
-    const int step = std::clamp(total - given, low(zone) - n, high(zone) - n);
+    int& n = demanded[name];
+    const int step =
+        std::clamp(total - assigned, min_count(zone) - n, max_count(zone) - n);
     n += step;
-    given += step;
+    assigned += step;
   }
-  return wanted;
+  return demanded;
 }
 
 // Engines whose speeds are not known keep their order.
-std::vector<EngineHandle> SlowestFirst(std::vector<EngineHandle> generating) {
+std::vector<EngineHandle> SortSlowestFirst(
+    std::vector<EngineHandle> generating) {
   std::ranges::stable_sort(
       generating, std::ranges::greater(),
       [](const EngineHandle& it) { return it->generation_slowness; });
   return generating;
 }
 
-std::vector<EngineHandle> FastestFirst(std::vector<EngineHandle> reading) {
+std::vector<EngineHandle> SortFastestFirst(std::vector<EngineHandle> reading) {
   std::ranges::stable_sort(reading, {},
                            [](const EngineHandle& it) { return it->slowness; });
   return reading;
@@ -94,23 +96,24 @@
   if (engines <= 1) {
     return engines;
   }
-  const int wanted =
+  const int demanded =
       static_cast<int>(std::lround(options.decode_share * engines));
-  return std::min(std::max(wanted, options.min_decode_engines), engines - 1);
+  return std::min(std::max(demanded, options.min_decode_engines), engines - 1);
 }
 
 std::vector<StageChange> PlanStages(const std::vector<EngineHandle>& engines,
                                     bool idle,
                                     const StagePlanOptions& options,
-                                    int wanted) {
+                                    int demanded) {
   std::vector<StageChange> changes;
-  const auto zones = ByZone(engines);
-  const auto by_zone = DecodeByZone(zones, options, wanted);
+  const auto zones = GroupByZone(engines);
+  const auto by_zone = DecodeCountByZone(zones, options, demanded);
   for (const auto& [name, zone] : zones) {
     const int surplus = static_cast<int>(zone.decode.size()) - by_zone.at(name);
     const bool to_prefill = surplus > 0;
-    const std::vector<EngineHandle> from =
-        to_prefill ? SlowestFirst(zone.decode) : FastestFirst(zone.prefill);
+    const std::vector<EngineHandle> from = to_prefill
+                                               ? SortSlowestFirst(zone.decode)
+                                               : SortFastestFirst(zone.prefill);
     std::ranges::transform(
         from.begin(), from.begin() + std::abs(surplus),
         std::back_inserter(changes), [to_prefill](const EngineHandle& it) {
--- a/src/process/stage_plan.h
+++ b/src/process/stage_plan.h
@@ -45,7 +45,7 @@
     const std::vector<request::passthrough::EngineHandle>& engines,
     bool idle,
     const StagePlanOptions& options,
-    int wanted = 0);
+    int demanded = 0);
 
 }  // namespace lynxglade::process
 
