--- a/src/process/order_authority.cc
+++ b/src/process/order_authority.cc
@@ -78,7 +78,7 @@
 }
 
 // Where the answer is lost, the next list tells whether the write took effect.
-Awaitable<void> OrderAuthority::Claim() {
+Awaitable<void> OrderAuthority::TryAcquire() {
   const auto lease = presence_.lease();
   if (!listed_ || holder_ || !lease || clock_() < claim_at_) {
     co_return;
@@ -102,7 +102,7 @@
   claim_at_ = clock_() + options_.claim_pause;
 }
 
-std::optional<base::FencingToken> OrderAuthority::Held() const {
+std::optional<base::FencingToken> OrderAuthority::HeldToken() const {
   if (!holder_ || !IsOurs(*holder_) ||
       clock_() < held_since_ + options_.quiet) {
     return std::nullopt;
@@ -110,9 +110,9 @@
   return base::FencingToken(holder_->revision.value());
 }
 
-Awaitable<std::optional<base::FencingToken>> OrderAuthority::Confirm(
+Awaitable<std::optional<base::FencingToken>> OrderAuthority::ConfirmHeld(
     base::Time* until) {
-  const auto token = Held();
+  const auto token = HeldToken();
   if (!token) {
     co_return std::nullopt;
   }
--- a/src/process/order_authority.h
+++ b/src/process/order_authority.h
@@ -52,12 +52,12 @@
   void OnChange(const StoreItem& item);
 
   // Tries for a vacant key. Call every few hundred milliseconds.
-  connection::event::Awaitable<void> Claim();
+  connection::event::Awaitable<void> TryAcquire();
   // The token, if the key is this instance's and the quiet time is over, as
   // last heard.
-  std::optional<base::FencingToken> Held() const;
+  std::optional<base::FencingToken> HeldToken() const;
   // Reads the key back. The token may be used until `*until`.
-  connection::event::Awaitable<std::optional<base::FencingToken>> Confirm(
+  connection::event::Awaitable<std::optional<base::FencingToken>> ConfirmHeld(
       base::Time* until);
 
  private:
--- a/src/process/stage_orders.cc
+++ b/src/process/stage_orders.cc
@@ -61,7 +61,7 @@
 
 Awaitable<void> StageOrders::Run() {
   while (!stopped_) {
-    co_await authority_.Claim();
+    co_await authority_.TryAcquire();
     // Whoever takes over knows the demand already.
     ObserveDemand();
     co_await Round();
@@ -70,7 +70,7 @@
 }
 
 Awaitable<void> StageOrders::Round() {
-  if (!authority_.Held()) {
+  if (!authority_.HeldToken()) {
     co_return;
   }
   const base::Time now = clock_();
@@ -128,7 +128,7 @@
     co_return;
   }
   base::Time until{};
-  const auto token = co_await authority_.Confirm(&until);
+  const auto token = co_await authority_.ConfirmHeld(&until);
   if (!token || clock_() >= until) {
     co_return;
   }
--- a/tests/process/order_authority_test.cc
+++ b/tests/process/order_authority_test.cc
@@ -57,18 +57,18 @@
     contender.authority.OnList(items);
   }
 
-  void Claim(Contender& contender) {
+  void TryAcquire(Contender& contender) {
     bool done = false;
-    asio::co_spawn(loop_, contender.authority.Claim(),
+    asio::co_spawn(loop_, contender.authority.TryAcquire(),
                    [&done](std::exception_ptr) { done = true; });
     RunUntil(loop_, [&done] { return done; });
   }
 
-  std::optional<base::FencingToken> Confirm(Contender& contender) {
+  std::optional<base::FencingToken> ConfirmHeld(Contender& contender) {
     bool done = false;
     std::optional<base::FencingToken> token;
     asio::co_spawn(
-        loop_, contender.authority.Confirm(&until_),
+        loop_, contender.authority.ConfirmHeld(&until_),
         [&](std::exception_ptr, const std::optional<base::FencingToken>& it) {
           token = it;
           done = true;
@@ -79,7 +79,7 @@
 
   // `contender` takes the key and its quiet time passes.
   void Take(Contender& contender) {
-    Claim(contender);
+    TryAcquire(contender);
     Show(contender);
     now_ += milliseconds(4500);
   }
@@ -94,31 +94,32 @@
 };
 
 TEST_F(OrderAuthorityTest, TheHolderOrdersAfterTheQuietTime) {
-  Claim(one_);
+  TryAcquire(one_);
   Show(one_);
-  EXPECT_FALSE(one_.authority.Held());
+  EXPECT_FALSE(one_.authority.HeldToken());
   now_ += milliseconds(4499);
-  EXPECT_FALSE(one_.authority.Held());
+  EXPECT_FALSE(one_.authority.HeldToken());
   now_ += milliseconds(1);
-  ASSERT_TRUE(one_.authority.Held());
-  EXPECT_EQ(Confirm(one_)->value(), store_.items().at(kKey).revision.value());
+  ASSERT_TRUE(one_.authority.HeldToken());
+  EXPECT_EQ(ConfirmHeld(one_)->value(),
+            store_.items().at(kKey).revision.value());
   EXPECT_EQ(until_, now_ + milliseconds(300));
 }
 
 TEST_F(OrderAuthorityTest, OnlyOneOfTwoTakesTheKey) {
-  Claim(one_);
-  Claim(two_);
+  TryAcquire(one_);
+  TryAcquire(two_);
   Show(one_);
   Show(two_);
   now_ += milliseconds(4500);
-  EXPECT_TRUE(one_.authority.Held());
-  EXPECT_FALSE(two_.authority.Held());
+  EXPECT_TRUE(one_.authority.HeldToken());
+  EXPECT_FALSE(two_.authority.HeldToken());
 }
 
 TEST_F(OrderAuthorityTest, AClaimWhoseAnswerIsLostIsFoundInTheKey) {
   store_.LoseNextAnswer();
   Take(one_);
-  EXPECT_TRUE(Confirm(one_));
+  EXPECT_TRUE(ConfirmHeld(one_));
 }
 
 // The store takes the keys of an instance away and tells it nothing: what it
@@ -126,12 +127,12 @@
 TEST_F(OrderAuthorityTest, AKeyThatWasTakenAwayUnseenConfirmsNothing) {
   Take(one_);
   store_.Remove(kKey);
-  EXPECT_TRUE(one_.authority.Held());
-  EXPECT_FALSE(Confirm(one_));
+  EXPECT_TRUE(one_.authority.HeldToken());
+  EXPECT_FALSE(ConfirmHeld(one_));
   Show(two_);
   Take(two_);
-  EXPECT_FALSE(Confirm(one_));
-  EXPECT_TRUE(Confirm(two_));
+  EXPECT_FALSE(ConfirmHeld(one_));
+  EXPECT_TRUE(ConfirmHeld(two_));
 }
 
 // Lists may be seconds old: one from before the claim takes nothing away, and
@@ -139,23 +140,23 @@
 TEST_F(OrderAuthorityTest, AnOldListDoesNotTakeTheAuthorityAway) {
   Take(one_);
   one_.authority.OnList({});
-  EXPECT_TRUE(one_.authority.Held());
-  EXPECT_TRUE(Confirm(one_));
+  EXPECT_TRUE(one_.authority.HeldToken());
+  EXPECT_TRUE(ConfirmHeld(one_));
 }
 
 TEST_F(OrderAuthorityTest, AVacantKeyIsClaimedAgainAfterItWasLost) {
   Take(one_);
   store_.Remove(kKey);
-  EXPECT_FALSE(Confirm(one_));
-  EXPECT_FALSE(one_.authority.Held());
+  EXPECT_FALSE(ConfirmHeld(one_));
+  EXPECT_FALSE(one_.authority.HeldToken());
   Take(one_);
-  EXPECT_TRUE(Confirm(one_));
+  EXPECT_TRUE(ConfirmHeld(one_));
 }
 
 TEST_F(OrderAuthorityTest, AStoreThatIsAwayConfirmsNothing) {
   Take(one_);
   store_.Fail(StoreFault::kTimeout);
-  EXPECT_FALSE(Confirm(one_));
+  EXPECT_FALSE(ConfirmHeld(one_));
 }
 
 // A restart under the same name is another holder: its mark differs.
@@ -165,16 +166,16 @@
   store_.Write(kKey, "one/ffff");
   Show(again);
   now_ += milliseconds(4500);
-  EXPECT_FALSE(again.authority.Held());
+  EXPECT_FALSE(again.authority.HeldToken());
 }
 
 TEST_F(OrderAuthorityTest, TokensOfLaterHoldersAreHigher) {
   Take(one_);
-  const auto first = Confirm(one_);
+  const auto first = ConfirmHeld(one_);
   store_.Expire(*one_.presence.lease());
   Show(two_);
   Take(two_);
-  EXPECT_GT(*Confirm(two_), *first);
+  EXPECT_GT(*ConfirmHeld(two_), *first);
 }
 
 }  // namespace
--- a/tests/process/order_schedules_test.cc
+++ b/tests/process/order_schedules_test.cc
@@ -101,7 +101,7 @@
       instance.authority.OnList(old_list_);
       old_list_ = List();
     } else if (draw < 75) {
-      Claim(instance);
+      TryAcquire(instance);
     } else if (draw < 77) {
       store_.Remove(kKey);
     } else if (draw < 78) {
@@ -114,9 +114,9 @@
     }
   }
 
-  void Claim(Instance& instance) {
+  void TryAcquire(Instance& instance) {
     bool done = false;
-    asio::co_spawn(loop_, instance.authority.Claim(),
+    asio::co_spawn(loop_, instance.authority.TryAcquire(),
                    [&done](std::exception_ptr) { done = true; });
     RunUntil(loop_, [&done] { return done; });
   }
@@ -127,7 +127,7 @@
     std::optional<base::FencingToken> token;
     base::Time until{};
     asio::co_spawn(
-        loop_, instance.authority.Confirm(&until),
+        loop_, instance.authority.ConfirmHeld(&until),
         [&](std::exception_ptr, const std::optional<base::FencingToken>& it) {
           token = it;
           done = true;
