--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -184,7 +184,11 @@
           process::MakeAskRelay(loop, channels),
           clock,
           metrics),
-      authority(store, presence, {.quiet = s.order_quiet}, clock, random),
+      authority(store,
+                presence,
+                {.takeover_delay = s.order_quiet},
+                clock,
+                random),
       stage_orders(
           loop,
           views.engines(),
--- a/src/process/order_authority.cc
+++ b/src/process/order_authority.cc
@@ -62,7 +62,7 @@
     holder_.reset();
     claim_at_ =
         clock_() + std::chrono::duration_cast<base::Duration>(
-                       options_.claim_spread * base::UniformReal(random_));
+                       options_.max_acquire_delay * base::UniformReal(random_));
   } else {
     holder_ = item;
   }
@@ -83,7 +83,7 @@
   if (!listed_ || holder_ || !lease || clock_() < claim_at_) {
     co_return;
   }
-  claim_at_ = clock_() + options_.claim_spread;
+  claim_at_ = clock_() + options_.max_acquire_delay;
   StoreFault fault{};
   const auto written =
       co_await store_.Create(options_.key, mark_, *lease, &fault);
@@ -99,12 +99,12 @@
     Log(LogLevel::kInfo, "orders_claim_failed", {{"fault", ToString(fault)}});
   }
   // Another holds it; the next list says who.
-  claim_at_ = clock_() + options_.claim_pause;
+  claim_at_ = clock_() + options_.acquire_retry_delay;
 }
 
 std::optional<base::FencingToken> OrderAuthority::HeldToken() const {
   if (!holder_ || !IsOurs(*holder_) ||
-      clock_() < held_since_ + options_.quiet) {
+      clock_() < held_since_ + options_.takeover_delay) {
     return std::nullopt;
   }
   return base::FencingToken(holder_->revision.value());
@@ -132,7 +132,7 @@
     }
     co_return std::nullopt;
   }
-  *until = asked + options_.order_within;
+  *until = asked + options_.confirmation_validity;
   co_return token;
 }
 
--- a/src/process/order_authority.h
+++ b/src/process/order_authority.h
@@ -24,15 +24,15 @@
 struct OrderAuthorityOptions {
   std::string key = "lynxglade/orders/holder";
   // From taking the key to the first order. At least the platform's bound on
-  // turns between holders, plus `order_within` and an order's way.
-  base::Duration quiet = std::chrono::milliseconds(4500);
+  // turns between holders, plus `confirmation_validity` and an order's way.
+  base::Duration takeover_delay = std::chrono::milliseconds(4500);
   // How long a confirmation lets an order leave.
-  base::Duration order_within = std::chrono::milliseconds(300);
+  base::Duration confirmation_validity = std::chrono::milliseconds(300);
   // A vacant key is tried for after up to this, at random, so that instances
   // do not all write at once.
-  base::Duration claim_spread = std::chrono::milliseconds(400);
+  base::Duration max_acquire_delay = std::chrono::milliseconds(400);
   // After a claim that failed, until the keys have been listed again.
-  base::Duration claim_pause = std::chrono::seconds(4);
+  base::Duration acquire_retry_delay = std::chrono::seconds(4);
 };
 
 // Not thread-safe: lives on the event loop.
--- a/tests/process/order_authority_test.cc
+++ b/tests/process/order_authority_test.cc
@@ -27,7 +27,7 @@
       : presence(loop, store, {.instance = base::InstanceId(name)}, clock),
         authority(store,
                   presence,
-                  {.claim_spread = base::Duration(0)},
+                  {.max_acquire_delay = base::Duration(0)},
                   clock,
                   base::SeededRandom(std::hash<std::string>()(name))) {}
 
--- a/tests/process/order_schedules_test.cc
+++ b/tests/process/order_schedules_test.cc
@@ -67,7 +67,7 @@
                    schedule.clock_),
           authority(schedule.store_,
                     presence,
-                    {.claim_spread = base::Duration(0)},
+                    {.max_acquire_delay = base::Duration(0)},
                     schedule.clock_,
                     base::SeededRandom(std::hash<std::string>()(name))) {}
 
--- a/tests/process/stage_orders_test.cc
+++ b/tests/process/stage_orders_test.cc
@@ -29,12 +29,12 @@
   StageOrdersTest()
       : store_(loop_),
         presence_(loop_, store_, {.instance = base::InstanceId("me")}, clock_),
-        authority_(
-            store_,
-            presence_,
-            {.quiet = base::Duration(0), .claim_spread = base::Duration(0)},
-            clock_,
-            base::SeededRandom(1)),
+        authority_(store_,
+                   presence_,
+                   {.takeover_delay = base::Duration(0),
+                    .max_acquire_delay = base::Duration(0)},
+                   clock_,
+                   base::SeededRandom(1)),
         orders_(
             loop_,
             table_,
