--- a/src/process/order_authority.cc
+++ b/src/process/order_authority.cc
@@ -25,7 +25,8 @@
       options_(std::move(options)),
       clock_(std::move(clock)),
       random_(std::move(random)),
-      mark_(presence.instance().str() + '/' + base::RandomHexId(random_)) {}
+      holder_id_(presence.instance().str() + '/' + base::RandomHexId(random_)) {
+}
 
 // A list that does not show this instance's key may have been read before the
 // key was written. It does not take the authority away: reading the key back
@@ -38,29 +39,29 @@
     return;
   }
   if (!holder_ || !IsOurs(*holder_)) {
-    SetVacant();
+    ClearHolder();
   }
 }
 
 void OrderAuthority::OnChange(const StoreItem& item) {
   const bool older = holder_ && item.revision < holder_->revision;
   if (item.key == options_.key && !older) {
-    Set(item);
+    SetHolder(item);
   }
 }
 
-void OrderAuthority::SetVacant() {
+void OrderAuthority::ClearHolder() {
   StoreItem vacant;
   vacant.key = options_.key;
   vacant.deleted = true;
-  Set(vacant);
+  SetHolder(vacant);
 }
 
-void OrderAuthority::Set(const StoreItem& item) {
+void OrderAuthority::SetHolder(const StoreItem& item) {
   const bool was_ours = holder_ && IsOurs(*holder_);
   if (item.deleted) {
     holder_.reset();
-    claim_at_ =
+    acquire_at_ =
         clock_() + std::chrono::duration_cast<base::Duration>(
                        options_.max_acquire_delay * base::UniformReal(random_));
   } else {
@@ -80,26 +81,26 @@
 // Where the answer is lost, the next list tells whether the write took effect.
 Awaitable<void> OrderAuthority::TryAcquire() {
   const auto lease = presence_.lease();
-  if (!listed_ || holder_ || !lease || clock_() < claim_at_) {
+  if (!listed_ || holder_ || !lease || clock_() < acquire_at_) {
     co_return;
   }
-  claim_at_ = clock_() + options_.max_acquire_delay;
+  acquire_at_ = clock_() + options_.max_acquire_delay;
   StoreFault fault{};
   const auto written =
-      co_await store_.Create(options_.key, mark_, *lease, &fault);
+      co_await store_.Create(options_.key, holder_id_, *lease, &fault);
   if (written) {
     StoreItem item;
     item.key = options_.key;
-    item.value = mark_;
+    item.value = holder_id_;
     item.revision = *written;
-    Set(item);
+    SetHolder(item);
     co_return;
   }
   if (fault != StoreFault::kConflict) {
     Log(LogLevel::kInfo, "orders_claim_failed", {{"fault", ToString(fault)}});
   }
   // Another holds it; the next list says who.
-  claim_at_ = clock_() + options_.acquire_retry_delay;
+  acquire_at_ = clock_() + options_.acquire_retry_delay;
 }
 
 std::optional<base::FencingToken> OrderAuthority::HeldToken() const {
@@ -117,7 +118,7 @@
     co_return std::nullopt;
   }
   // The time before the read counts: the answer may have been under way.
-  const base::Time asked = clock_();
+  const base::Time read_started = clock_();
   StoreFault fault{};
   const auto item = co_await store_.Get(options_.key, &fault);
   const bool ours = item && !item->deleted && IsOurs(*item) &&
@@ -127,17 +128,17 @@
         {{"fault", item ? std::string_view("not_ours") : ToString(fault)},
          {"token", token->value()}});
     if (item) {
-      SetVacant();
+      ClearHolder();
       OnChange(*item);
     }
     co_return std::nullopt;
   }
-  *until = asked + options_.confirmation_validity;
+  *until = read_started + options_.confirmation_validity;
   co_return token;
 }
 
 bool OrderAuthority::IsOurs(const StoreItem& item) const noexcept {
-  return item.value == mark_;
+  return item.value == holder_id_;
 }
 
 }  // namespace lynxglade::process
--- a/src/process/order_authority.h
+++ b/src/process/order_authority.h
@@ -62,8 +62,8 @@
 
  private:
   bool IsOurs(const StoreItem& item) const noexcept;
-  void Set(const StoreItem& item);
-  void SetVacant();
+  void SetHolder(const StoreItem& item);
+  void ClearHolder();
 
   StorePort& store_;
   const InstancePresence& presence_;
@@ -71,11 +71,11 @@
   const base::Clock clock_;
   const base::RandomSource random_;
   // Unlike any other instance's, and any earlier process's of this name.
-  const std::string mark_;
+  const std::string holder_id_;
   bool listed_ = false;
   // Nothing while the key is vacant.
   std::optional<StoreItem> holder_;
-  base::Time claim_at_{};
+  base::Time acquire_at_{};
   base::Time held_since_{};
 };
 
