--- a/src/process/stage_orders.cc
+++ b/src/process/stage_orders.cc
@@ -132,7 +132,7 @@
   if (!token || clock_() >= until) {
     co_return;
   }
-  settling_[engine->entry.id] = clock_() + options_.settle_unknown;
+  settling_[engine->entry.id] = clock_() + options_.settle_time_unknown;
   // A named object: this compiler destroys an aggregate that is made within a
   // co_await expression twice.
   StageOrder order;
@@ -142,7 +142,7 @@
   order.if_orders = report->orders;
   const OrderResult result = co_await hooks_.order(engine, std::move(order));
   if (result != OrderResult::kUnknown) {
-    settling_[engine->entry.id] = clock_() + options_.settle;
+    settling_[engine->entry.id] = clock_() + options_.settle_time;
   }
   metrics_
       .GetCounter("lynxglade_stage_orders_total",
--- a/src/process/stage_orders.h
+++ b/src/process/stage_orders.h
@@ -77,10 +77,10 @@
   base::Duration period = std::chrono::milliseconds(500);
   // After an order, before the engine is judged again: a change takes about
   // three seconds once running requests have ended.
-  base::Duration settle = std::chrono::seconds(6);
+  base::Duration settle_time = std::chrono::seconds(6);
   // After an order without an answer: engines have been seen to carry one out
   // twelve seconds late.
-  base::Duration settle_unknown = std::chrono::seconds(15);
+  base::Duration settle_time_unknown = std::chrono::seconds(15);
   StagePlanOptions plan;
 };
 
