--- a/src/process/stage_orders.cc
+++ b/src/process/stage_orders.cc
@@ -63,58 +63,60 @@
   while (!stopped_) {
     co_await authority_.TryAcquire();
     // Whoever takes over knows the demand already.
-    ObserveDemand();
-    co_await Round();
+    UpdateDemand();
+    co_await ReconcileOnce();
     co_await SleepFor(loop_, options_.period);
   }
 }
 
-Awaitable<void> StageOrders::Round() {
+Awaitable<void> StageOrders::ReconcileOnce() {
   if (!authority_.HeldToken()) {
     co_return;
   }
   const base::Time now = clock_();
-  std::erase_if(settling_, [now](const auto& it) { return it.second <= now; });
+  std::erase_if(settling_until_,
+                [now](const auto& it) { return it.second <= now; });
   for (const base::ServiceName& service : services_()) {
-    for (const StageChange& change : Due(service)) {
+    for (const StageChange& change : DueChanges(service)) {
       if (stopped_) {
         co_return;
       }
-      co_await Give(change);
+      co_await SendOrder(change);
     }
   }
 }
 
-GenerationDemand& StageOrders::Demand(const base::ServiceName& service) {
+GenerationDemand& StageOrders::DemandOf(const base::ServiceName& service) {
   return demand_.try_emplace(service, GenerationDemandOptions(), room_)
       .first->second;
 }
 
-void StageOrders::ObserveDemand() {
+void StageOrders::UpdateDemand() {
   for (const base::ServiceName& service : services_()) {
-    Demand(service).Observe(engines_.OfService(service), backlog_(service),
-                            clock_());
+    DemandOf(service).Observe(engines_.OfService(service), backlog_(service),
+                              clock_());
   }
 }
 
 // Engines that are changing count as what they will be, so that none is
 // ordered to make up for them.
-std::vector<StageChange> StageOrders::Due(const base::ServiceName& service) {
+std::vector<StageChange> StageOrders::DueChanges(
+    const base::ServiceName& service) {
   const bool idle = idle_();
-  if (!idle && !settling_.empty()) {
+  if (!idle && !settling_until_.empty()) {
     return {};
   }
   // Nothing is asked for while nothing is served.
-  const int wanted = idle ? 0 : Demand(service).Wanted();
+  const int demanded = idle ? 0 : DemandOf(service).Wanted();
   std::vector<StageChange> changes =
-      PlanStages(engines_.OfService(service), idle, options_.plan, wanted);
+      PlanStages(engines_.OfService(service), idle, options_.plan, demanded);
   std::erase_if(changes, [this](const StageChange& it) {
-    return settling_.contains(it.engine->entry.id);
+    return settling_until_.contains(it.engine->entry.id);
   });
   return changes;
 }
 
-Awaitable<void> StageOrders::Give(StageChange change) {
+Awaitable<void> StageOrders::SendOrder(StageChange change) {
   const EngineHandle engine = change.engine;
   const auto report = co_await hooks_.report(engine);
   if (!report || report->changing || report->stage == change.to) {
@@ -132,7 +134,7 @@
   if (!token || clock_() >= until) {
     co_return;
   }
-  settling_[engine->entry.id] = clock_() + options_.settle_time_unknown;
+  settling_until_[engine->entry.id] = clock_() + options_.settle_time_unknown;
   // A named object: this compiler destroys an aggregate that is made within a
   // co_await expression twice.
   StageOrder order;
@@ -142,14 +144,14 @@
   order.if_orders = report->orders;
   const OrderResult result = co_await hooks_.order(engine, std::move(order));
   if (result != OrderResult::kUnknown) {
-    settling_[engine->entry.id] = clock_() + options_.settle_time;
+    settling_until_[engine->entry.id] = clock_() + options_.settle_time;
   }
   metrics_
       .GetCounter("lynxglade_stage_orders_total",
                   {{"result", std::string(ToString(result))}})
       .Add();
   // Its entry may have been written anew meanwhile, for any service.
-  const GenerationDemand& demand = Demand(engine->entry.service);
+  const GenerationDemand& demand = DemandOf(engine->entry.service);
   Log(LogLevel::kInfo, "stage_order",
       {{"target", engine->entry.id.str()},
        {"stage", ToString(change.to)},
--- a/src/process/stage_orders.h
+++ b/src/process/stage_orders.h
@@ -109,11 +109,11 @@
   void Stop() noexcept { stopped_ = true; }
 
  private:
-  connection::event::Awaitable<void> Round();
-  connection::event::Awaitable<void> Give(StageChange change);
-  std::vector<StageChange> Due(const base::ServiceName& service);
-  void ObserveDemand();
-  GenerationDemand& Demand(const base::ServiceName& service);
+  connection::event::Awaitable<void> ReconcileOnce();
+  connection::event::Awaitable<void> SendOrder(StageChange change);
+  std::vector<StageChange> DueChanges(const base::ServiceName& service);
+  void UpdateDemand();
+  GenerationDemand& DemandOf(const base::ServiceName& service);
 
   connection::event::asio::io_context& loop_;
   const request::passthrough::EngineTable& engines_;
@@ -129,7 +129,7 @@
   bool stopped_ = false;
   std::map<base::ServiceName, GenerationDemand> demand_;
   // Engines that are left alone until then.
-  std::map<base::TargetId, base::Time> settling_;
+  std::map<base::TargetId, base::Time> settling_until_;
 };
 
 }  // namespace lynxglade::process
