--- a/fuzz/loan_messages.cc
+++ b/fuzz/loan_messages.cc
@@ -8,17 +8,19 @@
   using namespace lynxglade;
   const auto bytes = fuzz::TextOf(data, size);
   if (const auto loan = process::DecodeLoan(bytes)) {
-    fuzz::Check(loan->arrivals >= 0 && loan->arrivals <= process::kMostLent,
-                "a bounded loan");
+    fuzz::Check(
+        loan->arrivals >= 0 && loan->arrivals <= process::kMaxLoanArrivals,
+        "a bounded loan");
     const auto again = process::DecodeLoan(process::EncodeLoan(*loan));
     fuzz::Check(again && again->number == loan->number &&
                     again->arrivals <= loan->arrivals,
                 "no more than was lent");
   }
-  if (const auto question = process::DecodeLoanQuestion(bytes)) {
-    fuzz::Check(question->wanted <= process::kMostLent, "a bounded question");
+  if (const auto question = process::DecodeLoanRequest(bytes)) {
+    fuzz::Check(question->wanted <= process::kMaxLoanArrivals,
+                "a bounded question");
     const auto again =
-        process::DecodeLoanQuestion(process::EncodeLoanQuestion(*question));
+        process::DecodeLoanRequest(process::EncodeLoanRequest(*question));
     fuzz::Check(again && again->service == question->service,
                 "the same service");
   }
--- a/src/process/loan_messages.cc
+++ b/src/process/loan_messages.cc
@@ -16,7 +16,7 @@
 using nlohmann::json;
 
 constexpr std::uint64_t kVersion = 1;
-constexpr std::size_t kQuestionParts = 4;
+constexpr std::size_t kRequestParts = 4;
 constexpr std::size_t kLoanParts = 3;
 constexpr std::size_t kMaxServiceBytes = 200;
 constexpr double kThousandths = 1000;
@@ -25,12 +25,13 @@
                                          .max_elements = 8};
 
 std::uint64_t ThousandthsOf(double arrivals) {
-  const double most = std::clamp(arrivals, 0.0, kMostLent);
+  const double most = std::clamp(arrivals, 0.0, kMaxLoanArrivals);
   return static_cast<std::uint64_t>(std::floor(most * kThousandths));
 }
 
 std::optional<double> ReadArrivals(const json& value) {
-  constexpr auto kMost = static_cast<std::uint64_t>(kMostLent * kThousandths);
+  constexpr auto kMost =
+      static_cast<std::uint64_t>(kMaxLoanArrivals * kThousandths);
   const auto thousandths = CborWhole(value, kMost);
   if (!thousandths) {
     return std::nullopt;
@@ -47,34 +48,34 @@
   return message;
 }
 
-std::optional<QuestionNumber> ReadNumber(const json& value) {
+std::optional<LoanRequestId> ReadRequestId(const json& value) {
   const auto number =
       CborWhole(value, std::numeric_limits<std::uint64_t>::max());
   if (!number) {
     return std::nullopt;
   }
-  return QuestionNumber(*number);
+  return LoanRequestId(*number);
 }
 
 }  // namespace
 
-std::string EncodeLoanQuestion(const LoanQuestion& question) {
+std::string EncodeLoanRequest(const LoanRequest& question) {
   return connection::EncodeCbor(
       json::array({kVersion, question.number.value(), question.service.str(),
                    ThousandthsOf(question.wanted)}));
 }
 
-std::optional<LoanQuestion> DecodeLoanQuestion(std::string_view bytes) {
-  const auto message = DecodeParts(bytes, kQuestionParts);
+std::optional<LoanRequest> DecodeLoanRequest(std::string_view bytes) {
+  const auto message = DecodeParts(bytes, kRequestParts);
   if (!message || !(*message)[2].is_string()) {
     return std::nullopt;
   }
-  const auto number = ReadNumber((*message)[1]);
+  const auto number = ReadRequestId((*message)[1]);
   const auto wanted = ReadArrivals((*message)[3]);
   if (!number || !wanted) {
     return std::nullopt;
   }
-  return LoanQuestion{
+  return LoanRequest{
       *number, base::ServiceName((*message)[2].get<std::string>()), *wanted};
 }
 
@@ -88,7 +89,7 @@
   if (!message) {
     return std::nullopt;
   }
-  const auto number = ReadNumber((*message)[1]);
+  const auto number = ReadRequestId((*message)[1]);
   const auto arrivals = ReadArrivals((*message)[2]);
   if (!number || !arrivals) {
     return std::nullopt;
--- a/src/process/loan_messages.h
+++ b/src/process/loan_messages.h
@@ -13,29 +13,29 @@
 namespace lynxglade::process {
 
 // Names a question of one instance; a loan answers one.
-using QuestionNumber =
-    base::StrongNumber<struct QuestionNumberTag, std::uint64_t>;
+using LoanRequestId =
+    base::StrongNumber<struct LoanRequestIdTag, std::uint64_t>;
 
 // More is neither asked for nor lent at once, in arrivals.
-inline constexpr double kMostLent = 100;
+inline constexpr double kMaxLoanArrivals = 100;
 
-struct LoanQuestion {
-  QuestionNumber number;
+struct LoanRequest {
+  LoanRequestId number;
   base::ServiceName service = base::ServiceName("");
   // Arrivals.
   double wanted = 0;
 };
 
 struct Loan {
-  QuestionNumber number;
+  LoanRequestId number;
   // Arrivals.
   double arrivals = 0;
 };
 
 // An array of version, number, service and thousandths of arrivals, rounded
 // down. Decoding gives nothing for other bytes.
-std::string EncodeLoanQuestion(const LoanQuestion& question);
-std::optional<LoanQuestion> DecodeLoanQuestion(std::string_view bytes);
+std::string EncodeLoanRequest(const LoanRequest& question);
+std::optional<LoanRequest> DecodeLoanRequest(std::string_view bytes);
 
 // The same without the service.
 std::string EncodeLoan(const Loan& loan);
--- a/src/process/peer_datagrams.h
+++ b/src/process/peer_datagrams.h
@@ -27,7 +27,7 @@
   // What an instance has engines read (read_sharing).
   kReads = 1,
   // Retries asked for and lent (retry_loans).
-  kLoanQuestion = 2,
+  kLoanRequest = 2,
   kLoan = 3,
   // Targets that an instance avoids (avoidance_sharing).
   kAvoided = 4,
--- a/src/process/retry_loans.cc
+++ b/src/process/retry_loans.cc
@@ -30,7 +30,7 @@
       metrics_(metrics) {}
 
 void RetryLoans::Start() {
-  datagrams_.Handle(DatagramKind::kLoanQuestion,
+  datagrams_.Handle(DatagramKind::kLoanRequest,
                     [this](const InstancePeer& from, std::string_view body) {
                       return TakeQuestion(from, body);
                     });
@@ -54,13 +54,13 @@
   last.answered = false;
   last.asked_at = now;
   // By chance, so that no loan for an earlier life of this process fits.
-  last.number = QuestionNumber(random_());
+  last.number = LoanRequestId(random_());
   last.open.clear();
   const std::string question =
-      EncodeLoanQuestion({last.number, service, wanted});
+      EncodeLoanRequest({last.number, service, wanted});
   for (const InstancePeer& peer : peers) {
     last.open.insert(peer.instance);
-    datagrams_.Send(peer, DatagramKind::kLoanQuestion, question);
+    datagrams_.Send(peer, DatagramKind::kLoanRequest, question);
     Count("asked");
   }
 }
@@ -77,7 +77,7 @@
 }
 
 bool RetryLoans::TakeQuestion(const InstancePeer& from, std::string_view body) {
-  const auto question = DecodeLoanQuestion(body);
+  const auto question = DecodeLoanRequest(body);
   if (!question) {
     return false;
   }
--- a/src/process/retry_loans.h
+++ b/src/process/retry_loans.h
@@ -68,7 +68,7 @@
  private:
   // The last question for a service.
   struct Question {
-    QuestionNumber number;
+    LoanRequestId number;
     base::Time asked_at{};
     base::Duration pause{};
     // Instances whose loan is still open.
--- a/tests/process/loan_messages_test.cc
+++ b/tests/process/loan_messages_test.cc
@@ -13,7 +13,7 @@
 
 // Of what is lent a message never says more.
 RC_GTEST_PROP(LoanMessages, AreReadAsTheyWereWritten, ()) {
-  const QuestionNumber number(*rc::gen::arbitrary<std::uint64_t>());
+  const LoanRequestId number(*rc::gen::arbitrary<std::uint64_t>());
   const double arrivals = *rc::gen::inRange(0, 100'000) / 1000.0;
   const auto loan = DecodeLoan(EncodeLoan({number, arrivals}));
   RC_ASSERT(loan.has_value());
@@ -22,7 +22,7 @@
   RC_ASSERT(loan->arrivals > arrivals - 0.0011);
   const base::ServiceName service("s" + std::to_string(number.value()));
   const auto question =
-      DecodeLoanQuestion(EncodeLoanQuestion({number, service, arrivals}));
+      DecodeLoanRequest(EncodeLoanRequest({number, service, arrivals}));
   RC_ASSERT(question.has_value());
   RC_ASSERT(question->number == number);
   RC_ASSERT(question->service == service);
@@ -30,34 +30,35 @@
 }
 
 TEST(LoanMessages, AmountsAreBounded) {
-  const QuestionNumber number(1);
-  EXPECT_EQ(DecodeLoan(EncodeLoan({number, 1e9}))->arrivals, kMostLent);
+  const LoanRequestId number(1);
+  EXPECT_EQ(DecodeLoan(EncodeLoan({number, 1e9}))->arrivals, kMaxLoanArrivals);
   EXPECT_EQ(DecodeLoan(EncodeLoan({number, -1}))->arrivals, 0);
 }
 
 RC_GTEST_PROP(LoanMessages,
               BytesOfAnotherOriginAreRefusedOrBounded,
               (std::string bytes)) {
-  std::string loan = EncodeLoan({QuestionNumber(7), 2.5});
+  std::string loan = EncodeLoan({LoanRequestId(7), 2.5});
   loan[*rc::gen::inRange<std::size_t>(0, loan.size())] =
       static_cast<char>(*rc::gen::inRange(0, 256));
   for (const std::string_view it :
        {std::string_view(bytes), std::string_view(loan)}) {
     const auto read = DecodeLoan(it);
-    RC_ASSERT((!read || (read->arrivals >= 0 && read->arrivals <= kMostLent)));
-    const auto question = DecodeLoanQuestion(it);
-    RC_ASSERT((!question || question->wanted <= kMostLent));
+    RC_ASSERT(
+        (!read || (read->arrivals >= 0 && read->arrivals <= kMaxLoanArrivals)));
+    const auto question = DecodeLoanRequest(it);
+    RC_ASSERT((!question || question->wanted <= kMaxLoanArrivals));
   }
 }
 
 TEST(LoanMessages, OneIsNotTakenForTheOther) {
-  const QuestionNumber number(7);
+  const LoanRequestId number(7);
   const base::ServiceName service("s");
-  EXPECT_FALSE(DecodeLoan(EncodeLoanQuestion({number, service, 1})));
-  EXPECT_FALSE(DecodeLoanQuestion(EncodeLoan({number, 1})));
+  EXPECT_FALSE(DecodeLoan(EncodeLoanRequest({number, service, 1})));
+  EXPECT_FALSE(DecodeLoanRequest(EncodeLoan({number, 1})));
   const std::string long_name(400, 's');
-  EXPECT_FALSE(DecodeLoanQuestion(
-      EncodeLoanQuestion({number, base::ServiceName(long_name), 1})));
+  EXPECT_FALSE(DecodeLoanRequest(
+      EncodeLoanRequest({number, base::ServiceName(long_name), 1})));
 }
 
 }  // namespace
--- a/tests/process/retry_loans_test.cc
+++ b/tests/process/retry_loans_test.cc
@@ -85,7 +85,7 @@
 
 TEST_F(RetryLoansTest, ALoanThatNobodyAskedForCountsForNothing) {
   rich_.datagrams.Send(poor_.Peer(), DatagramKind::kLoan,
-                       EncodeLoan({QuestionNumber(5), 3}));
+                       EncodeLoan({LoanRequestId(5), 3}));
   RunUntil(loop_, [this] { return poor_.Counted("late") == 1; });
   EXPECT_FALSE(PoorCanHold());
 }
