--- a/src/process/retry_loans.cc
+++ b/src/process/retry_loans.cc
@@ -48,9 +48,9 @@
   }
   const auto peers = Choose();
   const base::Duration longer =
-      std::min(2 * last.pause, options_.longest_pause);
-  last.pause =
-      last.answered ? options_.pause : std::max(longer, options_.pause);
+      std::min(2 * last.pause, options_.max_request_interval);
+  last.pause = last.answered ? options_.min_request_interval
+                             : std::max(longer, options_.min_request_interval);
   last.answered = false;
   last.asked_at = now;
   // By chance, so that no loan for an earlier life of this process fits.
@@ -67,7 +67,7 @@
 
 std::vector<InstancePeer> RetryLoans::Choose() const {
   std::vector<InstancePeer> peers = hooks_.peers();
-  const std::size_t n = std::min(options_.asked, peers.size());
+  const std::size_t n = std::min(options_.max_asked_peers, peers.size());
   for (std::size_t i = 0; i < n; ++i) {
     const auto other = i + base::UniformBelow(random_, peers.size() - i);
     std::swap(peers[i], peers[other]);
@@ -103,9 +103,10 @@
   const auto asked = std::ranges::find_if(questions_, [&loan](const auto& it) {
     return it.second.number == loan->number;
   });
-  const bool fits = asked != questions_.end() &&
-                    clock_() <= asked->second.asked_at + options_.patience &&
-                    asked->second.open.erase(from.instance) > 0;
+  const bool fits =
+      asked != questions_.end() &&
+      clock_() <= asked->second.asked_at + options_.request_timeout &&
+      asked->second.open.erase(from.instance) > 0;
   if (!fits) {
     Count("late");
     return true;
--- a/src/process/retry_loans.h
+++ b/src/process/retry_loans.h
@@ -27,15 +27,15 @@
 
 struct RetryLoansOptions {
   // Instances asked at once, each for all that is missing.
-  std::size_t asked = 2;
+  std::size_t max_asked_peers = 2;
   // Between questions for a service: a few times the way to another instance
   // and back. Twice as long after each that brought nothing, up to the longest,
   // so that a fleet without any to spare does not ask itself busy.
-  base::Duration pause = std::chrono::milliseconds(20);
-  base::Duration longest_pause = std::chrono::milliseconds(160);
+  base::Duration min_request_interval = std::chrono::milliseconds(20);
+  base::Duration max_request_interval = std::chrono::milliseconds(160);
   // A loan that comes later is left alone. Its lender does not get it back
   // before its life is over.
-  base::Duration patience = std::chrono::milliseconds(1000);
+  base::Duration request_timeout = std::chrono::milliseconds(1000);
 };
 
 struct RetryLoansHooks {
