--- a/src/process/retry_loans.cc
+++ b/src/process/retry_loans.cc
@@ -40,7 +40,7 @@
                     });
 }
 
-void RetryLoans::Ask(const base::ServiceName& service, double wanted) {
+void RetryLoans::RequestLoan(const base::ServiceName& service, double wanted) {
   const base::Time now = clock_();
   Question& last = questions_[service];
   if (last.asked_at != base::Time{} && now < last.asked_at + last.pause) {
--- a/src/process/retry_loans.h
+++ b/src/process/retry_loans.h
@@ -63,7 +63,7 @@
   // Takes questions and loans from now on.
   void Start();
   // Asks for so many arrivals, unless it has just done so.
-  void Ask(const base::ServiceName& service, double wanted);
+  void RequestLoan(const base::ServiceName& service, double wanted);
 
  private:
   // The last question for a service.
--- a/tests/process/retry_loans_test.cc
+++ b/tests/process/retry_loans_test.cc
@@ -70,14 +70,14 @@
 
 TEST_F(RetryLoansTest, WhatOneHasLeftIsLent) {
   EXPECT_FALSE(PoorCanHold());
-  poor_.loans.Ask(kService, 1);
+  poor_.loans.RequestLoan(kService, 1);
   RunUntil(loop_, [this] { return poor_.Counted("borrowed") == 1; });
   EXPECT_TRUE(PoorCanHold());
   EXPECT_EQ(rich_.Counted("lent"), 1);
 }
 
 TEST_F(RetryLoansTest, ALoanThatComesLateCountsForNothing) {
-  poor_.loans.Ask(kService, 1);
+  poor_.loans.RequestLoan(kService, 1);
   now_ += milliseconds(1001);
   RunUntil(loop_, [this] { return poor_.Counted("late") == 1; });
   EXPECT_FALSE(PoorCanHold());
@@ -91,7 +91,7 @@
 }
 
 TEST_F(RetryLoansTest, ServicesThatAreNotServedAreNotLentFor) {
-  poor_.loans.Ask(base::ServiceName("other"), 1);
+  poor_.loans.RequestLoan(base::ServiceName("other"), 1);
   RunUntil(loop_, [this] { return rich_.Counted("other_service") == 1; });
   EXPECT_EQ(rich_.Counted("lent"), 0);
 }
@@ -101,7 +101,7 @@
                                          1, now_));
   // At 0, 20, 60, 140 and 300 ms, then every 160 ms.
   for (int ms = 0; ms <= 2300; ms += 10) {
-    poor_.loans.Ask(kService, 1);
+    poor_.loans.RequestLoan(kService, 1);
     now_ += milliseconds(10);
   }
   EXPECT_EQ(poor_.Counted("asked"), 17);
