--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -165,7 +165,7 @@
                  .window = s.retry_window},
                 [this](const base::ServiceName& service, double missing) {
                   if (retry_loans) {
-                    retry_loans->Ask(service, missing);
+                    retry_loans->RequestLoan(service, missing);
                   }
                 }),
       presence(loop,
