--- a/src/process/retry_loans.cc
+++ b/src/process/retry_loans.cc
@@ -32,40 +32,42 @@
 void RetryLoans::Start() {
   datagrams_.Handle(DatagramKind::kLoanRequest,
                     [this](const InstancePeer& from, std::string_view body) {
-                      return TakeQuestion(from, body);
+                      return HandleRequest(from, body);
                     });
   datagrams_.Handle(DatagramKind::kLoan,
                     [this](const InstancePeer& from, std::string_view body) {
-                      return TakeLoan(from, body);
+                      return HandleLoan(from, body);
                     });
 }
 
 void RetryLoans::RequestLoan(const base::ServiceName& service, double wanted) {
   const base::Time now = clock_();
-  Question& last = questions_[service];
-  if (last.asked_at != base::Time{} && now < last.asked_at + last.pause) {
+  PendingRequest& pending = requests_[service];
+  if (pending.sent_at != base::Time{} &&
+      now < pending.sent_at + pending.interval) {
     return;
   }
-  const auto peers = Choose();
-  const base::Duration longer =
-      std::min(2 * last.pause, options_.max_request_interval);
-  last.pause = last.answered ? options_.min_request_interval
-                             : std::max(longer, options_.min_request_interval);
-  last.answered = false;
-  last.asked_at = now;
+  const auto peers = ChoosePeers();
+  const base::Duration doubled =
+      std::min(2 * pending.interval, options_.max_request_interval);
+  pending.interval = pending.answered
+                         ? options_.min_request_interval
+                         : std::max(doubled, options_.min_request_interval);
+  pending.answered = false;
+  pending.sent_at = now;
   // By chance, so that no loan for an earlier life of this process fits.
-  last.number = LoanRequestId(random_());
-  last.open.clear();
-  const std::string question =
-      EncodeLoanRequest({last.number, service, wanted});
+  pending.number = LoanRequestId(random_());
+  pending.pending_lenders.clear();
+  const std::string request =
+      EncodeLoanRequest({pending.number, service, wanted});
   for (const InstancePeer& peer : peers) {
-    last.open.insert(peer.instance);
-    datagrams_.Send(peer, DatagramKind::kLoanRequest, question);
-    Count("asked");
+    pending.pending_lenders.insert(peer.instance);
+    datagrams_.Send(peer, DatagramKind::kLoanRequest, request);
+    CountOutcome("asked");
   }
 }
 
-std::vector<InstancePeer> RetryLoans::Choose() const {
+std::vector<InstancePeer> RetryLoans::ChoosePeers() const {
   std::vector<InstancePeer> peers = hooks_.peers();
   const std::size_t n = std::min(options_.max_asked_peers, peers.size());
   for (std::size_t i = 0; i < n; ++i) {
@@ -76,39 +78,40 @@
   return peers;
 }
 
-bool RetryLoans::TakeQuestion(const InstancePeer& from, std::string_view body) {
-  const auto question = DecodeLoanRequest(body);
-  if (!question) {
+bool RetryLoans::HandleRequest(const InstancePeer& from,
+                               std::string_view body) {
+  const auto request = DecodeLoanRequest(body);
+  if (!request) {
     return false;
   }
-  if (!hooks_.is_served(question->service)) {
-    Count("other_service");
+  if (!hooks_.is_served(request->service)) {
+    CountOutcome("other_service");
     return true;
   }
-  const double lent = allowance_.Lend(question->service, question->wanted,
+  const double lent = allowance_.Lend(request->service, request->wanted,
                                       hooks_.instances(), clock_());
   if (lent > 0) {
     datagrams_.Send(from, DatagramKind::kLoan,
-                    EncodeLoan({question->number, lent}));
+                    EncodeLoan({request->number, lent}));
   }
-  Count(lent > 0 ? "lent" : "none_to_spare");
+  CountOutcome(lent > 0 ? "lent" : "none_to_spare");
   return true;
 }
 
-bool RetryLoans::TakeLoan(const InstancePeer& from, std::string_view body) {
+bool RetryLoans::HandleLoan(const InstancePeer& from, std::string_view body) {
   const auto loan = DecodeLoan(body);
   if (!loan) {
     return false;
   }
-  const auto asked = std::ranges::find_if(questions_, [&loan](const auto& it) {
+  const auto asked = std::ranges::find_if(requests_, [&loan](const auto& it) {
     return it.second.number == loan->number;
   });
   const bool fits =
-      asked != questions_.end() &&
-      clock_() <= asked->second.asked_at + options_.request_timeout &&
-      asked->second.open.erase(from.instance) > 0;
+      asked != requests_.end() &&
+      clock_() <= asked->second.sent_at + options_.request_timeout &&
+      asked->second.pending_lenders.erase(from.instance) > 0;
   if (!fits) {
-    Count("late");
+    CountOutcome("late");
     return true;
   }
   asked->second.answered = true;
@@ -116,13 +119,13 @@
       {{"service", asked->first.str()},
        {"lender", from.instance.str()},
        {"arrivals", loan->arrivals},
-       {"age_ms", base::ToMillis(clock_() - asked->second.asked_at)}});
-  allowance_.Borrow(asked->first, loan->arrivals, asked->second.asked_at);
-  Count("borrowed");
+       {"age_ms", base::ToMillis(clock_() - asked->second.sent_at)}});
+  allowance_.Borrow(asked->first, loan->arrivals, asked->second.sent_at);
+  CountOutcome("borrowed");
   return true;
 }
 
-void RetryLoans::Count(const char* outcome) {
+void RetryLoans::CountOutcome(const char* outcome) {
   metrics_.GetCounter("lynxglade_retry_loans_total", {{"outcome", outcome}})
       .Add();
 }
--- a/src/process/retry_loans.h
+++ b/src/process/retry_loans.h
@@ -67,19 +67,19 @@
 
  private:
   // The last question for a service.
-  struct Question {
+  struct PendingRequest {
     LoanRequestId number;
-    base::Time asked_at{};
-    base::Duration pause{};
+    base::Time sent_at{};
+    base::Duration interval{};
     // Instances whose loan is still open.
-    std::set<base::InstanceId> open;
+    std::set<base::InstanceId> pending_lenders;
     bool answered = false;
   };
 
-  std::vector<InstancePeer> Choose() const;
-  bool TakeQuestion(const InstancePeer& from, std::string_view body);
-  bool TakeLoan(const InstancePeer& from, std::string_view body);
-  void Count(const char* outcome);
+  std::vector<InstancePeer> ChoosePeers() const;
+  bool HandleRequest(const InstancePeer& from, std::string_view body);
+  bool HandleLoan(const InstancePeer& from, std::string_view body);
+  void CountOutcome(const char* outcome);
 
   request::passthrough::SharedRetryBudget& allowance_;
   PeerDatagrams& datagrams_;
@@ -88,7 +88,7 @@
   const base::Clock clock_;
   const base::RandomSource random_;
   base::Metrics& metrics_;
-  std::map<base::ServiceName, Question> questions_;
+  std::map<base::ServiceName, PendingRequest> requests_;
 };
 
 }  // namespace lynxglade::process
