--- a/fuzz/loan_messages.cc
+++ b/fuzz/loan_messages.cc
@@ -12,16 +12,16 @@
         loan->arrivals >= 0 && loan->arrivals <= process::kMaxLoanArrivals,
         "a bounded loan");
     const auto again = process::DecodeLoan(process::EncodeLoan(*loan));
-    fuzz::Check(again && again->number == loan->number &&
+    fuzz::Check(again && again->request_id == loan->request_id &&
                     again->arrivals <= loan->arrivals,
                 "no more than was lent");
   }
-  if (const auto question = process::DecodeLoanRequest(bytes)) {
-    fuzz::Check(question->wanted <= process::kMaxLoanArrivals,
+  if (const auto request = process::DecodeLoanRequest(bytes)) {
+    fuzz::Check(request->wanted <= process::kMaxLoanArrivals,
                 "a bounded question");
     const auto again =
-        process::DecodeLoanRequest(process::EncodeLoanRequest(*question));
-    fuzz::Check(again && again->service == question->service,
+        process::DecodeLoanRequest(process::EncodeLoanRequest(*request));
+    fuzz::Check(again && again->service == request->service,
                 "the same service");
   }
   return 0;
--- a/src/process/loan_messages.cc
+++ b/src/process/loan_messages.cc
@@ -49,20 +49,20 @@
 }
 
 std::optional<LoanRequestId> ReadRequestId(const json& value) {
-  const auto number =
+  const auto request_id =
       CborWhole(value, std::numeric_limits<std::uint64_t>::max());
-  if (!number) {
+  if (!request_id) {
     return std::nullopt;
   }
-  return LoanRequestId(*number);
+  return LoanRequestId(*request_id);
 }
 
 }  // namespace
 
-std::string EncodeLoanRequest(const LoanRequest& question) {
+std::string EncodeLoanRequest(const LoanRequest& request) {
   return connection::EncodeCbor(
-      json::array({kVersion, question.number.value(), question.service.str(),
-                   ThousandthsOf(question.wanted)}));
+      json::array({kVersion, request.request_id.value(), request.service.str(),
+                   ThousandthsOf(request.wanted)}));
 }
 
 std::optional<LoanRequest> DecodeLoanRequest(std::string_view bytes) {
@@ -70,18 +70,19 @@
   if (!message || !(*message)[2].is_string()) {
     return std::nullopt;
   }
-  const auto number = ReadRequestId((*message)[1]);
+  const auto request_id = ReadRequestId((*message)[1]);
   const auto wanted = ReadArrivals((*message)[3]);
-  if (!number || !wanted) {
+  if (!request_id || !wanted) {
     return std::nullopt;
   }
-  return LoanRequest{
-      *number, base::ServiceName((*message)[2].get<std::string>()), *wanted};
+  return LoanRequest{*request_id,
+                     base::ServiceName((*message)[2].get<std::string>()),
+                     *wanted};
 }
 
 std::string EncodeLoan(const Loan& loan) {
   return connection::EncodeCbor(json::array(
-      {kVersion, loan.number.value(), ThousandthsOf(loan.arrivals)}));
+      {kVersion, loan.request_id.value(), ThousandthsOf(loan.arrivals)}));
 }
 
 std::optional<Loan> DecodeLoan(std::string_view bytes) {
@@ -89,12 +90,12 @@
   if (!message) {
     return std::nullopt;
   }
-  const auto number = ReadRequestId((*message)[1]);
+  const auto request_id = ReadRequestId((*message)[1]);
   const auto arrivals = ReadArrivals((*message)[2]);
-  if (!number || !arrivals) {
+  if (!request_id || !arrivals) {
     return std::nullopt;
   }
-  return Loan{*number, *arrivals};
+  return Loan{*request_id, *arrivals};
 }
 
 }  // namespace lynxglade::process
--- a/src/process/loan_messages.h
+++ b/src/process/loan_messages.h
@@ -20,21 +20,21 @@
 inline constexpr double kMaxLoanArrivals = 100;
 
 struct LoanRequest {
-  LoanRequestId number;
+  LoanRequestId request_id;
   base::ServiceName service = base::ServiceName("");
   // Arrivals.
   double wanted = 0;
 };
 
 struct Loan {
-  LoanRequestId number;
+  LoanRequestId request_id;
   // Arrivals.
   double arrivals = 0;
 };
 
 // An array of version, number, service and thousandths of arrivals, rounded
 // down. Decoding gives nothing for other bytes.
-std::string EncodeLoanRequest(const LoanRequest& question);
+std::string EncodeLoanRequest(const LoanRequest& request);
 std::optional<LoanRequest> DecodeLoanRequest(std::string_view bytes);
 
 // The same without the service.
--- a/src/process/retry_loans.cc
+++ b/src/process/retry_loans.cc
@@ -56,10 +56,10 @@
   pending.answered = false;
   pending.sent_at = now;
   // By chance, so that no loan for an earlier life of this process fits.
-  pending.number = LoanRequestId(random_());
+  pending.request_id = LoanRequestId(random_());
   pending.pending_lenders.clear();
   const std::string request =
-      EncodeLoanRequest({pending.number, service, wanted});
+      EncodeLoanRequest({pending.request_id, service, wanted});
   for (const InstancePeer& peer : peers) {
     pending.pending_lenders.insert(peer.instance);
     datagrams_.Send(peer, DatagramKind::kLoanRequest, request);
@@ -92,7 +92,7 @@
                                       hooks_.instances(), clock_());
   if (lent > 0) {
     datagrams_.Send(from, DatagramKind::kLoan,
-                    EncodeLoan({request->number, lent}));
+                    EncodeLoan({request->request_id, lent}));
   }
   CountOutcome(lent > 0 ? "lent" : "none_to_spare");
   return true;
@@ -104,7 +104,7 @@
     return false;
   }
   const auto asked = std::ranges::find_if(requests_, [&loan](const auto& it) {
-    return it.second.number == loan->number;
+    return it.second.request_id == loan->request_id;
   });
   const bool fits =
       asked != requests_.end() &&
--- a/src/process/retry_loans.h
+++ b/src/process/retry_loans.h
@@ -68,7 +68,7 @@
  private:
   // The last question for a service.
   struct PendingRequest {
-    LoanRequestId number;
+    LoanRequestId request_id;
     base::Time sent_at{};
     base::Duration interval{};
     // Instances whose loan is still open.
--- a/tests/process/loan_messages_test.cc
+++ b/tests/process/loan_messages_test.cc
@@ -13,26 +13,27 @@
 
 // Of what is lent a message never says more.
 RC_GTEST_PROP(LoanMessages, AreReadAsTheyWereWritten, ()) {
-  const LoanRequestId number(*rc::gen::arbitrary<std::uint64_t>());
+  const LoanRequestId request_id(*rc::gen::arbitrary<std::uint64_t>());
   const double arrivals = *rc::gen::inRange(0, 100'000) / 1000.0;
-  const auto loan = DecodeLoan(EncodeLoan({number, arrivals}));
+  const auto loan = DecodeLoan(EncodeLoan({request_id, arrivals}));
   RC_ASSERT(loan.has_value());
-  RC_ASSERT(loan->number == number);
+  RC_ASSERT(loan->request_id == request_id);
   RC_ASSERT(loan->arrivals <= arrivals);
   RC_ASSERT(loan->arrivals > arrivals - 0.0011);
-  const base::ServiceName service("s" + std::to_string(number.value()));
-  const auto question =
-      DecodeLoanRequest(EncodeLoanRequest({number, service, arrivals}));
-  RC_ASSERT(question.has_value());
-  RC_ASSERT(question->number == number);
-  RC_ASSERT(question->service == service);
-  RC_ASSERT(question->wanted <= arrivals);
+  const base::ServiceName service("s" + std::to_string(request_id.value()));
+  const auto request =
+      DecodeLoanRequest(EncodeLoanRequest({request_id, service, arrivals}));
+  RC_ASSERT(request.has_value());
+  RC_ASSERT(request->request_id == request_id);
+  RC_ASSERT(request->service == service);
+  RC_ASSERT(request->wanted <= arrivals);
 }
 
 TEST(LoanMessages, AmountsAreBounded) {
-  const LoanRequestId number(1);
-  EXPECT_EQ(DecodeLoan(EncodeLoan({number, 1e9}))->arrivals, kMaxLoanArrivals);
-  EXPECT_EQ(DecodeLoan(EncodeLoan({number, -1}))->arrivals, 0);
+  const LoanRequestId request_id(1);
+  EXPECT_EQ(DecodeLoan(EncodeLoan({request_id, 1e9}))->arrivals,
+            kMaxLoanArrivals);
+  EXPECT_EQ(DecodeLoan(EncodeLoan({request_id, -1}))->arrivals, 0);
 }
 
 RC_GTEST_PROP(LoanMessages,
@@ -46,19 +47,19 @@
     const auto read = DecodeLoan(it);
     RC_ASSERT(
         (!read || (read->arrivals >= 0 && read->arrivals <= kMaxLoanArrivals)));
-    const auto question = DecodeLoanRequest(it);
-    RC_ASSERT((!question || question->wanted <= kMaxLoanArrivals));
+    const auto request = DecodeLoanRequest(it);
+    RC_ASSERT((!request || request->wanted <= kMaxLoanArrivals));
   }
 }
 
 TEST(LoanMessages, OneIsNotTakenForTheOther) {
-  const LoanRequestId number(7);
+  const LoanRequestId request_id(7);
   const base::ServiceName service("s");
-  EXPECT_FALSE(DecodeLoan(EncodeLoanRequest({number, service, 1})));
-  EXPECT_FALSE(DecodeLoanRequest(EncodeLoan({number, 1})));
+  EXPECT_FALSE(DecodeLoan(EncodeLoanRequest({request_id, service, 1})));
+  EXPECT_FALSE(DecodeLoanRequest(EncodeLoan({request_id, 1})));
   const std::string long_name(400, 's');
   EXPECT_FALSE(DecodeLoanRequest(
-      EncodeLoanRequest({number, base::ServiceName(long_name), 1})));
+      EncodeLoanRequest({request_id, base::ServiceName(long_name), 1})));
 }
 
 }  // namespace
