--- a/src/process/loan_messages.cc
+++ b/src/process/loan_messages.cc
@@ -24,15 +24,15 @@
                                          .max_depth = 1,
                                          .max_elements = 8};
 
-std::uint64_t ThousandthsOf(double arrivals) {
-  const double most = std::clamp(arrivals, 0.0, kMaxLoanArrivals);
-  return static_cast<std::uint64_t>(std::floor(most * kThousandths));
+std::uint64_t ToThousandths(double arrivals) {
+  const double limited = std::clamp(arrivals, 0.0, kMaxLoanArrivals);
+  return static_cast<std::uint64_t>(std::floor(limited * kThousandths));
 }
 
 std::optional<double> ReadArrivals(const json& value) {
-  constexpr auto kMost =
+  constexpr auto kMaxThousandths =
       static_cast<std::uint64_t>(kMaxLoanArrivals * kThousandths);
-  const auto thousandths = CborWhole(value, kMost);
+  const auto thousandths = CborWhole(value, kMaxThousandths);
   if (!thousandths) {
     return std::nullopt;
   }
@@ -62,7 +62,7 @@
 std::string EncodeLoanRequest(const LoanRequest& request) {
   return connection::EncodeCbor(
       json::array({kVersion, request.request_id.value(), request.service.str(),
-                   ThousandthsOf(request.wanted)}));
+                   ToThousandths(request.wanted)}));
 }
 
 std::optional<LoanRequest> DecodeLoanRequest(std::string_view bytes) {
@@ -82,7 +82,7 @@
 
 std::string EncodeLoan(const Loan& loan) {
   return connection::EncodeCbor(json::array(
-      {kVersion, loan.request_id.value(), ThousandthsOf(loan.arrivals)}));
+      {kVersion, loan.request_id.value(), ToThousandths(loan.arrivals)}));
 }
 
 std::optional<Loan> DecodeLoan(std::string_view bytes) {
