--- a/src/process/generation_demand.cc
+++ b/src/process/generation_demand.cc
@@ -22,7 +22,8 @@
                                 base::Time now) const {
   const double slots = std::max(engine.entry.slots, 1);
   const double room = room_ ? room_(engine, now) : slots;
-  return std::min(options_.most_filled * slots, options_.most_of_room * room);
+  return std::min(options_.max_slot_fill * slots,
+                  options_.max_room_fill * room);
 }
 
 void GenerationDemand::Observe(const std::vector<EngineHandle>& engines,
@@ -44,14 +45,14 @@
   }
   // A backlog of minutes, or no reader at all, is not remembered for longer.
   constexpr int kMostBusy = 4;
-  backlog = std::min(backlog, kMostBusy * options_.busy_backlog);
+  backlog = std::min(backlog, kMostBusy * options_.max_backlog);
   if (first_at_ == base::Time{}) {
     first_at_ = now;
     answers_ = answers;
     backlog_ = backlog;
   }
   const double fade = std::exp(-base::ToFineMillis(now - last_at_) /
-                               base::ToFineMillis(options_.memory));
+                               base::ToFineMillis(options_.averaging_time));
   last_at_ = now;
   answers_ = fade * answers_ + (1 - fade) * answers;
   backlog_ = base::FromFineMillis(fade * base::ToFineMillis(backlog_) +
@@ -59,16 +60,16 @@
 }
 
 int GenerationDemand::Wanted() const {
-  if (last_at_ - first_at_ < options_.memory) {
+  if (last_at_ - first_at_ < options_.averaging_time) {
     return generating_;
   }
   const double asked = answers_ / target_;
-  const bool readers_busy = backlog_ > options_.busy_backlog;
+  const bool readers_busy = backlog_ > options_.max_backlog;
   if (asked > generating_ && !readers_busy) {
     return static_cast<int>(std::ceil(asked));
   }
   const int enough =
-      static_cast<int>(std::ceil(asked * options_.margin_to_fewer));
+      static_cast<int>(std::ceil(asked * options_.scale_down_margin));
   if (enough < generating_ && readers_busy) {
     return enough;
   }
--- a/src/process/generation_demand.h
+++ b/src/process/generation_demand.h
@@ -17,19 +17,19 @@
 
 struct GenerationDemandOptions {
   // Answers at a time that an engine is to generate, in parts of its slots.
-  double most_filled = 0.6;
+  double max_slot_fill = 0.6;
   // The same in parts of its room, beyond which answers are refused: another
   // engine is asked for before that.
-  double most_of_room = 0.9;
+  double max_room_fill = 0.9;
   // Fewer engines are asked for only once so many times the answers would fit
   // them: a change back and forth costs two times three seconds of an engine.
-  double margin_to_fewer = 1.4;
+  double scale_down_margin = 1.4;
   // Over which counts are averaged: answers last for seconds, and a swing of
   // the mix is over in five.
-  base::Duration memory = std::chrono::seconds(2);
+  base::Duration averaging_time = std::chrono::seconds(2);
   // Prompts that wait for longer on average want their engines themselves; a
   // reader is not taken away then, and one is given back if it can be spared.
-  base::Duration busy_backlog = std::chrono::milliseconds(40);
+  base::Duration max_backlog = std::chrono::milliseconds(40);
 };
 
 // Not thread-safe: lives on the event loop.
