--- a/src/process/generation_demand.cc
+++ b/src/process/generation_demand.cc
@@ -59,7 +59,7 @@
                                   (1 - fade) * base::ToFineMillis(backlog));
 }
 
-int GenerationDemand::Wanted() const {
+int GenerationDemand::DesiredEngines() const {
   if (last_at_ - first_at_ < options_.averaging_time) {
     return generating_;
   }
--- a/src/process/generation_demand.h
+++ b/src/process/generation_demand.h
@@ -48,7 +48,7 @@
                base::Time now);
 
   // Engines that should generate; as many as do while too little was seen.
-  int Wanted() const;
+  int DesiredEngines() const;
 
   // Answers under way, averaged.
   double answers() const noexcept { return answers_; }
--- a/src/process/stage_orders.cc
+++ b/src/process/stage_orders.cc
@@ -107,7 +107,7 @@
     return {};
   }
   // Nothing is asked for while nothing is served.
-  const int demanded = idle ? 0 : DemandOf(service).Wanted();
+  const int demanded = idle ? 0 : DemandOf(service).DesiredEngines();
   std::vector<StageChange> changes =
       PlanStages(engines_.OfService(service), idle, options_.plan, demanded);
   std::erase_if(changes, [this](const StageChange& it) {
--- a/tests/process/generation_demand_test.cc
+++ b/tests/process/generation_demand_test.cc
@@ -64,7 +64,7 @@
 
 TEST_F(GenerationDemandTest, KeepsWhatIsThereUntilEnoughWasSeen) {
   Run(190, kCalm, seconds(1));
-  EXPECT_EQ(demand_.Wanted(), 3);
+  EXPECT_EQ(demand_.DesiredEngines(), 3);
 }
 
 // The pattern: long answers come for ten seconds, 190 at a time where three
@@ -72,33 +72,33 @@
 // engines bring them to 38 each.
 TEST_F(GenerationDemandTest, AnswersThatFillTheirEnginesAskForMore) {
   Run(190, kCalm, seconds(8));
-  EXPECT_EQ(demand_.Wanted(), 5);
+  EXPECT_EQ(demand_.DesiredEngines(), 5);
 }
 
 TEST_F(GenerationDemandTest, NoReaderIsTakenFromPromptsThatWait) {
   Run(190, kBusy, seconds(8));
-  EXPECT_EQ(demand_.Wanted(), 3);
+  EXPECT_EQ(demand_.DesiredEngines(), 3);
 }
 
 // Prompts come instead: engines go back as soon as the answers fit the rest.
 TEST_F(GenerationDemandTest, EnginesGoBackToPromptsThatWait) {
   Generate(6);
   Run(60, kBusy, seconds(8));
-  EXPECT_EQ(demand_.Wanted(), 3);
+  EXPECT_EQ(demand_.DesiredEngines(), 3);
 }
 
 // Nothing is gained by a change that nobody waits for.
 TEST_F(GenerationDemandTest, EnginesStayWhileNoPromptWaits) {
   Generate(6);
   Run(10, kCalm, seconds(8));
-  EXPECT_EQ(demand_.Wanted(), 6);
+  EXPECT_EQ(demand_.DesiredEngines(), 6);
 }
 
 // A burst of a second is over before an engine has changed.
 TEST_F(GenerationDemandTest, AShortBurstAsksForNothing) {
   Run(60, kCalm, seconds(8));
   Run(150, kCalm, milliseconds(1'000));
-  EXPECT_EQ(demand_.Wanted(), 3);
+  EXPECT_EQ(demand_.DesiredEngines(), 3);
 }
 
 // Guards against: slow engines that are filled until their largest answers end
@@ -106,13 +106,13 @@
 // engines of 64 slots, and many for three that are to have 20 each.
 TEST_F(GenerationDemandTest, AnswersThatFillTheRoomAskForMore) {
   Run(80, kCalm, seconds(8));
-  EXPECT_EQ(demand_.Wanted(), 3);
+  EXPECT_EQ(demand_.DesiredEngines(), 3);
   GenerationDemand slow({}, [](const Engine&, base::Time) { return 20.0; });
   for (int i = 0; i < 16; ++i) {
     Run(80, kCalm, milliseconds(500));
     slow.Observe(engines_, kCalm, now_);
   }
-  EXPECT_EQ(slow.Wanted(), 5);
+  EXPECT_EQ(slow.DesiredEngines(), 5);
 }
 
 // However the load stands still, the plan does, too: following it once leaves
@@ -122,7 +122,9 @@
   const base::Duration backlog = *rc::gen::element(kCalm, kBusy);
   Run(answers, backlog, seconds(30));
   // One engine generates and one reads at least, whatever is asked for.
-  const auto planned = [this] { return std::clamp(demand_.Wanted(), 1, 11); };
+  const auto planned = [this] {
+    return std::clamp(demand_.DesiredEngines(), 1, 11);
+  };
   const int first = planned();
   Generate(first);
   Run(answers, backlog, seconds(30));
