--- a/src/process/generation_demand.cc
+++ b/src/process/generation_demand.cc
@@ -18,8 +18,9 @@
                                    request::passthrough::EngineCapacity room)
     : options_(options), room_(std::move(room)) {}
 
-double GenerationDemand::Target(const request::passthrough::Engine& engine,
-                                base::Time now) const {
+double GenerationDemand::TargetAnswers(
+    const request::passthrough::Engine& engine,
+    base::Time now) const {
   const double slots = std::max(engine.entry.slots, 1);
   const double room = room_ ? room_(engine, now) : slots;
   return std::min(options_.max_slot_fill * slots,
@@ -29,51 +30,51 @@
 void GenerationDemand::Observe(const std::vector<EngineHandle>& engines,
                                base::Duration backlog,
                                base::Time now) {
-  generating_ = 0;
-  double targets = 0;
+  generating_engines_ = 0;
+  double target_answers = 0;
   int answers = 0;
   for (const EngineHandle& engine : engines) {
     if (engine->entry.stage == EngineStage::kDecode &&
         !engine->entry.draining) {
-      ++generating_;
+      ++generating_engines_;
       answers += KnownLoad(*engine, now);
-      targets += Target(*engine, now);
+      target_answers += TargetAnswers(*engine, now);
     }
   }
-  if (generating_ > 0) {
-    target_ = std::max(targets / generating_, 1.0);
+  if (generating_engines_ > 0) {
+    answers_per_engine_ = std::max(target_answers / generating_engines_, 1.0);
   }
   // A backlog of minutes, or no reader at all, is not remembered for longer.
-  constexpr int kMostBusy = 4;
-  backlog = std::min(backlog, kMostBusy * options_.max_backlog);
-  if (first_at_ == base::Time{}) {
-    first_at_ = now;
+  constexpr int kMaxBacklogFactor = 4;
+  backlog = std::min(backlog, kMaxBacklogFactor * options_.max_backlog);
+  if (first_observed_at_ == base::Time{}) {
+    first_observed_at_ = now;
     answers_ = answers;
     backlog_ = backlog;
   }
-  const double fade = std::exp(-base::ToFineMillis(now - last_at_) /
-                               base::ToFineMillis(options_.averaging_time));
-  last_at_ = now;
-  answers_ = fade * answers_ + (1 - fade) * answers;
-  backlog_ = base::FromFineMillis(fade * base::ToFineMillis(backlog_) +
-                                  (1 - fade) * base::ToFineMillis(backlog));
+  const double decay = std::exp(-base::ToFineMillis(now - last_observed_at_) /
+                                base::ToFineMillis(options_.averaging_time));
+  last_observed_at_ = now;
+  answers_ = decay * answers_ + (1 - decay) * answers;
+  backlog_ = base::FromFineMillis(decay * base::ToFineMillis(backlog_) +
+                                  (1 - decay) * base::ToFineMillis(backlog));
 }
 
 int GenerationDemand::DesiredEngines() const {
-  if (last_at_ - first_at_ < options_.averaging_time) {
-    return generating_;
+  if (last_observed_at_ - first_observed_at_ < options_.averaging_time) {
+    return generating_engines_;
   }
-  const double asked = answers_ / target_;
-  const bool readers_busy = backlog_ > options_.max_backlog;
-  if (asked > generating_ && !readers_busy) {
-    return static_cast<int>(std::ceil(asked));
+  const double needed = answers_ / answers_per_engine_;
+  const bool prefill_busy = backlog_ > options_.max_backlog;
+  if (needed > generating_engines_ && !prefill_busy) {
+    return static_cast<int>(std::ceil(needed));
   }
   const int enough =
-      static_cast<int>(std::ceil(asked * options_.scale_down_margin));
-  if (enough < generating_ && readers_busy) {
+      static_cast<int>(std::ceil(needed * options_.scale_down_margin));
+  if (enough < generating_engines_ && prefill_busy) {
     return enough;
   }
-  return generating_;
+  return generating_engines_;
 }
 
 }  // namespace lynxglade::process
--- a/src/process/generation_demand.h
+++ b/src/process/generation_demand.h
@@ -56,19 +56,19 @@
 
  private:
   // Answers that an engine is to generate at a time.
-  double Target(const request::passthrough::Engine& engine,
-                base::Time now) const;
+  double TargetAnswers(const request::passthrough::Engine& engine,
+                       base::Time now) const;
 
   const GenerationDemandOptions options_;
   const request::passthrough::EngineCapacity room_;
-  base::Time first_at_{};
-  base::Time last_at_{};
+  base::Time first_observed_at_{};
+  base::Time last_observed_at_{};
   double answers_ = 0;
   base::Duration backlog_{};
   // Of the last observation.
-  int generating_ = 0;
+  int generating_engines_ = 0;
   // Answers that one is to generate, on average.
-  double target_ = 1;
+  double answers_per_engine_ = 1;
 };
 
 }  // namespace lynxglade::process
