--- a/src/process/instance_presence.cc
+++ b/src/process/instance_presence.cc
@@ -34,8 +34,8 @@
 Awaitable<void> InstancePresence::Run() {
   while (!stopped_) {
     co_await Renew();
-    co_await SleepFor(
-        loop_, key_written_ ? options_.renew_every : options_.retry_every);
+    co_await SleepFor(loop_, key_written_ ? options_.renew_interval
+                                          : options_.retry_interval);
   }
 }
 
@@ -139,7 +139,7 @@
 void InstancePresence::NoteCount() {
   const int n = static_cast<int>(keys_.size());
   const base::Time now = clock_();
-  if (n >= highest_ || now - highest_at_ > options_.count_memory) {
+  if (n >= highest_ || now - highest_at_ > options_.count_hold_time) {
     highest_ = n;
     highest_at_ = now;
   }
--- a/src/process/instance_presence.h
+++ b/src/process/instance_presence.h
@@ -30,14 +30,14 @@
   std::string prefix = "lynxglade/instances/";
   // A dead instance is counted for this long at most.
   base::Duration lease_ttl = std::chrono::seconds(10);
-  base::Duration renew_every = std::chrono::seconds(3);
+  base::Duration renew_interval = std::chrono::seconds(3);
   // While there is no lease or no key.
-  base::Duration retry_every = std::chrono::milliseconds(500);
+  base::Duration retry_interval = std::chrono::milliseconds(500);
   // Assumed before the first list.
   int assumed_instances = 16;
   // A count that was higher so long ago still holds: instances that the store
   // lost sight of may be serving.
-  base::Duration count_memory = std::chrono::seconds(15);
+  base::Duration count_hold_time = std::chrono::seconds(15);
 };
 
 // Another instance, as its key in the store describes it.
--- a/tests/process/instance_presence_test.cc
+++ b/tests/process/instance_presence_test.cc
@@ -20,8 +20,8 @@
         presence_(loop_,
                   store_,
                   {.instance = base::InstanceId("me"),
-                   .renew_every = std::chrono::milliseconds(1),
-                   .retry_every = std::chrono::milliseconds(1)},
+                   .renew_interval = std::chrono::milliseconds(1),
+                   .retry_interval = std::chrono::milliseconds(1)},
                   [this] { return now_; }) {
     asio::co_spawn(loop_, presence_.Run(), asio::detached);
   }
