--- a/src/process/instance_presence.cc
+++ b/src/process/instance_presence.cc
@@ -42,8 +42,8 @@
 Awaitable<void> InstancePresence::Renew() {
   StoreFault fault{};
   if (lease_) {
-    const auto kept = co_await store_.KeepLease(*lease_, &fault);
-    if (!kept && fault == StoreFault::kNoLease) {
+    const auto renewed = co_await store_.KeepLease(*lease_, &fault);
+    if (!renewed && fault == StoreFault::kNoLease) {
       Log(LogLevel::kWarning, "presence_lapsed", {});
       lease_.reset();
     }
@@ -57,7 +57,7 @@
   const bool missing = listed_ && !keys_.contains(key);
   if (lease_ && !stopped_ && (!key_written_ || missing)) {
     const auto written =
-        co_await store_.Put(key, Description(), *lease_, &fault);
+        co_await store_.Put(key, SerializeSelf(), *lease_, &fault);
     key_written_ = written.has_value();
   }
 }
@@ -66,8 +66,8 @@
   Stop();
   if (lease_) {
     StoreFault fault{};
-    const auto ended = co_await store_.EndLease(*lease_, &fault);
-    if (!ended) {
+    const auto revoked = co_await store_.EndLease(*lease_, &fault);
+    if (!revoked) {
       Log(LogLevel::kInfo, "presence_not_ended", {{"fault", ToString(fault)}});
     }
   }
@@ -76,17 +76,17 @@
 void InstancePresence::OnList(const std::vector<StoreItem>& items) {
   keys_.clear();
   peers_.clear();
-  std::ranges::for_each(items, [this](const StoreItem& it) { Take(it); });
+  std::ranges::for_each(items, [this](const StoreItem& it) { ApplyItem(it); });
   listed_ = true;
-  NoteCount();
+  UpdateCount();
 }
 
 void InstancePresence::OnChange(const StoreItem& item) {
-  Take(item);
-  NoteCount();
+  ApplyItem(item);
+  UpdateCount();
 }
 
-void InstancePresence::Take(const StoreItem& item) {
+void InstancePresence::ApplyItem(const StoreItem& item) {
   if (!item.key.starts_with(options_.prefix)) {
     return;
   }
@@ -99,12 +99,12 @@
     return;
   }
   keys_.insert(item.key);
-  if (auto peer = ReadPeer(item)) {
+  if (auto peer = ParsePeer(item)) {
     peers_.push_back(std::move(*peer));
   }
 }
 
-std::string InstancePresence::Description() const {
+std::string InstancePresence::SerializeSelf() const {
   json text{{"zone", options_.zone.str()}};
   if (options_.peer_endpoint) {
     text["peer"] = options_.peer_endpoint->address + ':' +
@@ -114,7 +114,7 @@
 }
 
 // Nothing for an instance that hears no others.
-std::optional<InstancePeer> InstancePresence::ReadPeer(
+std::optional<InstancePeer> InstancePresence::ParsePeer(
     const StoreItem& item) const {
   const auto text = base::ParseBoundedJson(item.value);
   if (!text || !text->is_object()) {
@@ -136,12 +136,12 @@
                        static_cast<std::uint16_t>(endpoint->port)}};
 }
 
-void InstancePresence::NoteCount() {
+void InstancePresence::UpdateCount() {
   const int n = static_cast<int>(keys_.size());
   const base::Time now = clock_();
-  if (n >= highest_ || now - highest_at_ > options_.count_hold_time) {
-    highest_ = n;
-    highest_at_ = now;
+  if (n >= peak_count_ || now - peak_seen_at_ > options_.count_hold_time) {
+    peak_count_ = n;
+    peak_seen_at_ = now;
   }
 }
 
@@ -149,7 +149,7 @@
   if (!listed_) {
     return options_.assumed_instances;
   }
-  return std::max(highest_, 1);
+  return std::max(peak_count_, 1);
 }
 
 }  // namespace lynxglade::process
--- a/src/process/instance_presence.h
+++ b/src/process/instance_presence.h
@@ -81,10 +81,10 @@
  private:
   connection::event::Awaitable<void> Renew();
   // One key, written or gone.
-  void Take(const StoreItem& item);
-  void NoteCount();
-  std::string Description() const;
-  std::optional<InstancePeer> ReadPeer(const StoreItem& item) const;
+  void ApplyItem(const StoreItem& item);
+  void UpdateCount();
+  std::string SerializeSelf() const;
+  std::optional<InstancePeer> ParsePeer(const StoreItem& item) const;
 
   connection::event::asio::io_context& loop_;
   StorePort& store_;
@@ -97,8 +97,8 @@
   std::vector<InstancePeer> peers_;
   bool listed_ = false;
   // The highest count lately, and when it was last seen.
-  int highest_ = 0;
-  base::Time highest_at_{};
+  int peak_count_ = 0;
+  base::Time peak_seen_at_{};
 };
 
 }  // namespace lynxglade::process
