--- a/src/process/watch_sharing.cc
+++ b/src/process/watch_sharing.cc
@@ -45,16 +45,16 @@
       zone.push_back(peer.instance);
     }
   }
-  if (zone.size() < options.least_instances) {
+  if (zone.size() < options.min_instances) {
     return {};
   }
   const auto rank = [](const base::InstanceId& it) {
     return std::pair(base::Hash64(it.str()), it);
   };
   std::ranges::partial_sort(
-      zone, zone.begin() + static_cast<std::ptrdiff_t>(options.relays), {},
+      zone, zone.begin() + static_cast<std::ptrdiff_t>(options.relay_count), {},
       rank);
-  zone.resize(options.relays);
+  zone.resize(options.relay_count);
   return zone;
 }
 
@@ -153,7 +153,7 @@
     base::Revision after) {
   for (const InstancePeer& relay : relays) {
     RelayFault fault{};
-    auto changes = co_await ask_(relay, after, options_.wait, &fault);
+    auto changes = co_await ask_(relay, after, options_.watch_timeout, &fault);
     if (changes) {
       co_return changes;
     }
@@ -167,8 +167,8 @@
 
 WatchSharing::Result<StoreItems> WatchSharing::WatchStore(base::Revision after,
                                                           StoreFault* fault) {
-  auto changes =
-      co_await store_.Watch(std::string(), after, options_.wait, fault);
+  auto changes = co_await store_.Watch(std::string(), after,
+                                       options_.watch_timeout, fault);
   if (changes) {
     Hear(after, *changes);
   }
@@ -192,15 +192,15 @@
   const base::Time now = clock_();
   std::erase_if(avoided_until_,
                 [now](const auto& it) { return it.second <= now; });
-  avoided_until_[relay.instance] = now + options_.avoid;
+  avoided_until_[relay.instance] = now + options_.relay_backoff;
   Log(LogLevel::kInfo, "relay_avoided",
       {{"relay", relay.instance.str()},
        {"fault", ToString(fault)},
-       {"ms", base::ToMillis(options_.avoid)}});
+       {"ms", base::ToMillis(options_.relay_backoff)}});
 }
 
 base::Time WatchSharing::FreshUntil() const {
-  return heard_ ? *heard_ + options_.most_age : base::Time::min();
+  return heard_ ? *heard_ + options_.max_staleness : base::Time::min();
 }
 
 void WatchSharing::Count(const char* source) {
--- a/src/process/watch_sharing.h
+++ b/src/process/watch_sharing.h
@@ -34,18 +34,18 @@
   base::ZoneId zone = base::ZoneId("");
   // In a zone of fewer instances each watches for itself: with two relays
   // there is little left to share.
-  std::size_t least_instances = 8;
+  std::size_t min_instances = 8;
   // A zone's relays: the loss of one costs nobody more than a time-out.
-  std::size_t relays = 2;
+  std::size_t relay_count = 2;
   // Of a watch, at the store and at a relay. Bounds how long a silent
   // connection goes unnoticed.
-  base::Duration wait = std::chrono::milliseconds(1000);
+  base::Duration watch_timeout = std::chrono::milliseconds(1000);
   // A relay that has not heard the store for longer does not answer for it:
   // a wait, the pause between watches and a slow answer. Changes have to be in
   // force within three seconds at an instance that still reaches the store.
-  base::Duration most_age = std::chrono::milliseconds(1700);
+  base::Duration max_staleness = std::chrono::milliseconds(1700);
   // A relay that failed is not asked for so long.
-  base::Duration avoid = std::chrono::milliseconds(2000);
+  base::Duration relay_backoff = std::chrono::milliseconds(2000);
 };
 
 // Why a relay did not say what changed.
