--- a/src/process/watch_sharing.cc
+++ b/src/process/watch_sharing.cc
@@ -36,9 +36,10 @@
   return "malformed";
 }
 
-std::vector<base::InstanceId> RelaysOf(const std::vector<InstancePeer>& peers,
-                                       const base::InstanceId& self,
-                                       const WatchSharingOptions& options) {
+std::vector<base::InstanceId> SelectRelays(
+    const std::vector<InstancePeer>& peers,
+    const base::InstanceId& self,
+    const WatchSharingOptions& options) {
   std::vector<base::InstanceId> zone{self};
   for (const InstancePeer& peer : peers) {
     if (peer.zone == options.zone && peer.instance != self) {
@@ -105,7 +106,7 @@
 }
 
 std::vector<base::InstanceId> WatchSharing::Relays() const {
-  return RelaysOf(peers_(), options_.instance, options_);
+  return SelectRelays(peers_(), options_.instance, options_);
 }
 
 std::vector<InstancePeer> WatchSharing::RelaysToAsk(
--- a/src/process/watch_sharing.h
+++ b/src/process/watch_sharing.h
@@ -75,9 +75,10 @@
 // The instances of `zone` that relay, of `peers` and this one (`self`); empty
 // where each watches for itself. The same at all instances that know the same
 // peers, and little changed when one comes or goes.
-std::vector<base::InstanceId> RelaysOf(const std::vector<InstancePeer>& peers,
-                                       const base::InstanceId& self,
-                                       const WatchSharingOptions& options);
+std::vector<base::InstanceId> SelectRelays(
+    const std::vector<InstancePeer>& peers,
+    const base::InstanceId& self,
+    const WatchSharingOptions& options);
 
 // Watches of all keys are shared; lists, and watches of some keys, are the
 // store's. Not thread-safe: lives on the event loop.
--- a/tests/process/watch_sharing_test.cc
+++ b/tests/process/watch_sharing_test.cc
@@ -41,36 +41,36 @@
 
 // --- Who relays
 
-TEST(RelaysOf, InASmallZoneEachWatchesForItself) {
+TEST(SelectRelays, InASmallZoneEachWatchesForItself) {
   const WatchSharingOptions options{.zone = kZone};
-  EXPECT_TRUE(RelaysOf(Peers(7), base::InstanceId("i0"), options).empty());
-  EXPECT_EQ(RelaysOf(Peers(8), base::InstanceId("i0"), options).size(), 2U);
+  EXPECT_TRUE(SelectRelays(Peers(7), base::InstanceId("i0"), options).empty());
+  EXPECT_EQ(SelectRelays(Peers(8), base::InstanceId("i0"), options).size(), 2U);
 }
 
-TEST(RelaysOf, InstancesOfOtherZonesDoNotRelayHere) {
+TEST(SelectRelays, InstancesOfOtherZonesDoNotRelayHere) {
   const WatchSharingOptions options{.zone = kZone};
   std::vector<InstancePeer> peers = Peers(8);
   for (int i = 0; i < 50; ++i) {
     peers.push_back(Peer("o" + std::to_string(i), base::ZoneId("b")));
   }
-  for (const auto& it : RelaysOf(peers, base::InstanceId("i0"), options)) {
+  for (const auto& it : SelectRelays(peers, base::InstanceId("i0"), options)) {
     EXPECT_TRUE(it.str().starts_with("i"));
   }
 }
 
 // All agree, and who comes or goes takes no other's place as a relay.
-RC_GTEST_PROP(RelaysOf, AllAgreeAndOneThatGoesIsReplacedAlone, ()) {
+RC_GTEST_PROP(SelectRelays, AllAgreeAndOneThatGoesIsReplacedAlone, ()) {
   const WatchSharingOptions options{.zone = kZone};
   const int n = *rc::gen::inRange(10, 80);
   std::vector<InstancePeer> peers = Peers(n);
-  const auto relays = RelaysOf(peers, peers[0].instance, options);
+  const auto relays = SelectRelays(peers, peers[0].instance, options);
   for (const InstancePeer& peer : peers) {
-    RC_ASSERT(RelaysOf(peers, peer.instance, options) == relays);
+    RC_ASSERT(SelectRelays(peers, peer.instance, options) == relays);
   }
   const auto gone = *rc::gen::inRange(0, n);
   const base::InstanceId gone_id = peers[gone].instance;
   peers.erase(peers.begin() + gone);
-  const auto after = RelaysOf(peers, peers[0].instance, options);
+  const auto after = SelectRelays(peers, peers[0].instance, options);
   for (const base::InstanceId& it : relays) {
     RC_ASSERT(it == gone_id || std::ranges::find(after, it) != after.end());
   }
@@ -190,7 +190,7 @@
   }
 
   std::vector<base::InstanceId> Relays() const {
-    return RelaysOf(peers_, peers_[0].instance, {.zone = kZone});
+    return SelectRelays(peers_, peers_[0].instance, {.zone = kZone});
   }
 
   std::map<std::string, std::string> Stored() const {
