--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -181,7 +181,7 @@
           [this]() -> const std::vector<process::InstancePeer>& {
             return presence.Peers();
           },
-          process::MakeAskRelay(loop, channels),
+          process::MakeQueryRelay(loop, channels),
           clock,
           metrics),
       authority(store,
--- a/src/process/change_relay.cc
+++ b/src/process/change_relay.cc
@@ -73,8 +73,8 @@
 
 }  // namespace
 
-AskRelay MakeAskRelay(asio::io_context& loop,
-                      connection::event::ChannelPool& channels) {
+QueryRelay MakeQueryRelay(asio::io_context& loop,
+                          connection::event::ChannelPool& channels) {
   return [&loop, &channels](
              InstancePeer relay, base::Revision after, base::Duration wait,
              RelayFault* fault) -> Awaitable<std::optional<StoreItems>> {
--- a/src/process/change_relay.h
+++ b/src/process/change_relay.h
@@ -15,8 +15,8 @@
 namespace lynxglade::process {
 
 // Asks relays over the pool's connections.
-AskRelay MakeAskRelay(connection::event::asio::io_context& loop,
-                      connection::event::ChannelPool& channels);
+QueryRelay MakeQueryRelay(connection::event::asio::io_context& loop,
+                          connection::event::ChannelPool& channels);
 
 // Answers the instances that ask this one. It tells what any instance may read
 // in the store, and changes nothing.
--- a/src/process/watch_sharing.cc
+++ b/src/process/watch_sharing.cc
@@ -64,7 +64,7 @@
     ChangeSource& store,
     WatchSharingOptions options,
     std::function<const std::vector<InstancePeer>&()> peers,
-    AskRelay ask,
+    QueryRelay ask,
     base::Clock clock,
     base::Metrics& metrics)
     : loop_(loop),
--- a/src/process/watch_sharing.h
+++ b/src/process/watch_sharing.h
@@ -65,7 +65,7 @@
 
 // Asks a relay for the changes after a revision; waits up to `wait` for the
 // first.
-using AskRelay =
+using QueryRelay =
     std::function<connection::event::Awaitable<std::optional<StoreItems>>(
         InstancePeer relay,
         base::Revision after,
@@ -88,7 +88,7 @@
                ChangeSource& store,
                WatchSharingOptions options,
                std::function<const std::vector<InstancePeer>&()> peers,
-               AskRelay ask,
+               QueryRelay ask,
                base::Clock clock,
                base::Metrics& metrics);
   WatchSharing(const WatchSharing&) = delete;
@@ -131,7 +131,7 @@
   ChangeSource& store_;
   const WatchSharingOptions options_;
   const std::function<const std::vector<InstancePeer>&()> peers_;
-  const AskRelay ask_;
+  const QueryRelay ask_;
   const base::Clock clock_;
   base::Metrics& metrics_;
   ChangeHistory history_;
--- a/tests/process/watch_sharing_test.cc
+++ b/tests/process/watch_sharing_test.cc
@@ -84,7 +84,7 @@
            FakeStorePort& store,
            std::string name,
            const std::vector<InstancePeer>& peers,
-           AskRelay ask,
+           QueryRelay ask,
            const base::Time& now)
       : watches(
             loop,
@@ -156,7 +156,7 @@
     ExpectAllSee();
   }
 
-  AskRelay Ask() {
+  QueryRelay Ask() {
     return [this](InstancePeer relay, base::Revision after, base::Duration wait,
                   RelayFault* fault) -> Awaitable<std::optional<StoreItems>> {
       ++asked_[relay.instance];
@@ -379,7 +379,7 @@
   // Asks over a connection; nothing and the fault, or the changes.
   std::optional<StoreItems> AskOverConnection(std::int64_t after,
                                               RelayFault* fault) {
-    const AskRelay ask = MakeAskRelay(loop_, channels_);
+    const QueryRelay ask = MakeQueryRelay(loop_, channels_);
     InstancePeer peer = Peer("r");
     peer.endpoint.port(relay_->port());
     std::optional<StoreItems> changes;
@@ -425,7 +425,7 @@
 
 TEST_F(ChangeRelayTest, NobodyListeningIsUnreachable) {
   const auto port = relay_->port();
-  const AskRelay ask = MakeAskRelay(loop_, channels_);
+  const QueryRelay ask = MakeQueryRelay(loop_, channels_);
   InstancePeer peer = Peer("r");
   peer.endpoint.port(static_cast<std::uint16_t>(port == 1 ? 2 : 1));
   RelayFault fault{};
