--- a/src/process/watch_sharing.cc
+++ b/src/process/watch_sharing.cc
@@ -71,7 +71,7 @@
       store_(store),
       options_(std::move(options)),
       peers_(std::move(peers)),
-      ask_(std::move(ask)),
+      query_relay_(std::move(ask)),
       clock_(std::move(clock)),
       metrics_(metrics) {}
 
@@ -94,10 +94,10 @@
       co_return changes;
     }
     asio::steady_timer timer(loop_, std::min(end, FreshUntil()) - now);
-    waiting_.insert(&timer);
+    waiting_timers_.insert(&timer);
     ErrorCode ec;
     co_await timer.async_wait(Into(ec));
-    waiting_.erase(&timer);
+    waiting_timers_.erase(&timer);
   }
 }
 
@@ -109,15 +109,15 @@
   return SelectRelays(peers_(), options_.instance, options_);
 }
 
-std::vector<InstancePeer> WatchSharing::RelaysToAsk(
+std::vector<InstancePeer> WatchSharing::RelaysToQuery(
     const std::vector<base::InstanceId>& relays) const {
   const base::Time now = clock_();
   std::vector<InstancePeer> peers;
   std::ranges::copy_if(
       peers_(), std::back_inserter(peers), [&](const InstancePeer& it) {
-        const auto avoided = avoided_until_.find(it.instance);
+        const auto backoff = backoff_until_.find(it.instance);
         return std::ranges::find(relays, it.instance) != relays.end() &&
-               (avoided == avoided_until_.end() || avoided->second <= now);
+               (backoff == backoff_until_.end() || backoff->second <= now);
       });
   std::ranges::sort(peers, {}, [this](const InstancePeer& it) {
     return base::HashPair(options_.instance.str(), it.instance.str());
@@ -133,32 +133,33 @@
   if (!prefix.empty() || relays.empty()) {
     co_return co_await store_.Watch(std::move(prefix), after, wait, fault);
   }
-  const bool relays_itself =
+  const bool is_relay =
       std::ranges::find(relays, options_.instance) != relays.end();
-  if (!relays_itself) {
-    const auto asked = RelaysToAsk(relays);
-    auto changes = co_await AskRelays(asked, after);
+  if (!is_relay) {
+    const auto candidates = RelaysToQuery(relays);
+    auto changes = co_await QueryRelays(candidates, after);
     if (changes) {
-      Count("relay");
+      CountWatch("relay");
       co_return changes;
     }
   }
-  Count("store");
+  CountWatch("store");
   co_return co_await WatchStore(after, fault);
 }
 
 // After a time-out the store is asked at once: another relay's would follow
 // it, and changes are to be in force within a bound.
-Awaitable<std::optional<StoreItems>> WatchSharing::AskRelays(
+Awaitable<std::optional<StoreItems>> WatchSharing::QueryRelays(
     const std::vector<InstancePeer>& relays,
     base::Revision after) {
   for (const InstancePeer& relay : relays) {
     RelayFault fault{};
-    auto changes = co_await ask_(relay, after, options_.watch_timeout, &fault);
+    auto changes =
+        co_await query_relay_(relay, after, options_.watch_timeout, &fault);
     if (changes) {
       co_return changes;
     }
-    NoteFailed(relay, fault);
+    BackOffFromRelay(relay, fault);
     if (fault == RelayFault::kTimeout || fault == RelayFault::kAskStore) {
       break;
     }
@@ -171,18 +172,20 @@
   auto changes = co_await store_.Watch(std::string(), after,
                                        options_.watch_timeout, fault);
   if (changes) {
-    Hear(after, *changes);
+    RecordChanges(after, *changes);
   }
   co_return changes;
 }
 
-void WatchSharing::Hear(base::Revision after, const StoreItems& changes) {
-  heard_ = clock_();
+void WatchSharing::RecordChanges(base::Revision after,
+                                 const StoreItems& changes) {
+  last_store_read_ = clock_();
   history_.Add(after, changes);
-  std::ranges::for_each(waiting_, [](auto* it) { it->cancel(); });
+  std::ranges::for_each(waiting_timers_, [](auto* it) { it->cancel(); });
 }
 
-void WatchSharing::NoteFailed(const InstancePeer& relay, RelayFault fault) {
+void WatchSharing::BackOffFromRelay(const InstancePeer& relay,
+                                    RelayFault fault) {
   metrics_
       .GetCounter("lynxglade_relay_faults_total",
                   {{"fault", std::string(ToString(fault))}})
@@ -191,9 +194,9 @@
     return;
   }
   const base::Time now = clock_();
-  std::erase_if(avoided_until_,
+  std::erase_if(backoff_until_,
                 [now](const auto& it) { return it.second <= now; });
-  avoided_until_[relay.instance] = now + options_.relay_backoff;
+  backoff_until_[relay.instance] = now + options_.relay_backoff;
   Log(LogLevel::kInfo, "relay_avoided",
       {{"relay", relay.instance.str()},
        {"fault", ToString(fault)},
@@ -201,10 +204,11 @@
 }
 
 base::Time WatchSharing::FreshUntil() const {
-  return heard_ ? *heard_ + options_.max_staleness : base::Time::min();
+  return last_store_read_ ? *last_store_read_ + options_.max_staleness
+                          : base::Time::min();
 }
 
-void WatchSharing::Count(const char* source) {
+void WatchSharing::CountWatch(const char* source) {
   metrics_.GetCounter("lynxglade_watches_total", {{"source", source}}).Add();
 }
 
@@ -216,7 +220,7 @@
   if (listed && all) {
     StoreItems none;
     none.at = listed->at;
-    Hear(listed->at, none);
+    RecordChanges(listed->at, none);
   }
   co_return listed;
 }
--- a/src/process/watch_sharing.h
+++ b/src/process/watch_sharing.h
@@ -115,31 +115,31 @@
   std::vector<base::InstanceId> Relays() const;
   // The relays to ask now, half of the zone's instances the one first and half
   // the other.
-  std::vector<InstancePeer> RelaysToAsk(
+  std::vector<InstancePeer> RelaysToQuery(
       const std::vector<base::InstanceId>& relays) const;
-  connection::event::Awaitable<std::optional<StoreItems>> AskRelays(
+  connection::event::Awaitable<std::optional<StoreItems>> QueryRelays(
       const std::vector<InstancePeer>& relays,
       base::Revision after);
   Result<StoreItems> WatchStore(base::Revision after, StoreFault* fault);
   // The store itself said what changed after a revision.
-  void Hear(base::Revision after, const StoreItems& changes);
-  void NoteFailed(const InstancePeer& relay, RelayFault fault);
+  void RecordChanges(base::Revision after, const StoreItems& changes);
+  void BackOffFromRelay(const InstancePeer& relay, RelayFault fault);
   base::Time FreshUntil() const;
-  void Count(const char* source);
+  void CountWatch(const char* source);
 
   connection::event::asio::io_context& loop_;
   ChangeSource& store_;
   const WatchSharingOptions options_;
   const std::function<const std::vector<InstancePeer>&()> peers_;
-  const QueryRelay ask_;
+  const QueryRelay query_relay_;
   const base::Clock clock_;
   base::Metrics& metrics_;
   ChangeHistory history_;
   // The store itself was last heard, by a list or watch of this instance.
-  std::optional<base::Time> heard_;
-  std::map<base::InstanceId, base::Time> avoided_until_;
+  std::optional<base::Time> last_store_read_;
+  std::map<base::InstanceId, base::Time> backoff_until_;
   // Of instances that wait for a change here.
-  std::set<connection::event::asio::steady_timer*> waiting_;
+  std::set<connection::event::asio::steady_timer*> waiting_timers_;
 };
 
 }  // namespace lynxglade::process
