--- a/src/process/change_history.cc
+++ b/src/process/change_history.cc
@@ -39,8 +39,8 @@
 
 // Changes of one revision go together.
 void ChangeHistory::Trim() {
-  while (changes_.size() > options_.most_changes ||
-         bytes_ > options_.most_bytes) {
+  while (changes_.size() > options_.max_changes ||
+         bytes_ > options_.max_bytes) {
     start_ = changes_.front().revision;
     while (!changes_.empty() && changes_.front().revision == *start_) {
       bytes_ -= changes_.front().value.size();
--- a/src/process/change_history.h
+++ b/src/process/change_history.h
@@ -16,8 +16,8 @@
   // Changes and bytes of values that are kept; beyond either the oldest go. A
   // start of 300 instances writes 300 keys of about 60 bytes; an instance may
   // have 160 MB for all.
-  std::size_t most_changes = 2000;
-  std::size_t most_bytes = std::size_t{2} * 1024 * 1024;
+  std::size_t max_changes = 2000;
+  std::size_t max_bytes = std::size_t{2} * 1024 * 1024;
 };
 
 // Not thread-safe.
--- a/tests/process/change_history_test.cc
+++ b/tests/process/change_history_test.cc
@@ -29,7 +29,7 @@
 // Whatever overlaps, whoever asks gets each change once and in order, or is
 // told to ask the store.
 RC_GTEST_PROP(ChangeHistory, GivesEachChangeOnceOrNothing, ()) {
-  ChangeHistory history({.most_changes = 12, .most_bytes = 10});
+  ChangeHistory history({.max_changes = 12, .max_bytes = 10});
   std::int64_t newest = 0;
   for (int step = 0; step < 40; ++step) {
     const auto after = *rc::gen::inRange<std::int64_t>(0, newest + 3);
