--- a/src/process/order_authority.cc
+++ b/src/process/order_authority.cc
@@ -28,9 +28,8 @@
       holder_id_(presence.instance().str() + '/' + base::RandomHexId(random_)) {
 }
 
-// A list that does not show this instance's key may have been read before the
-// key was written. It does not take the authority away: reading the key back
-// before an order tells.
+// A listing without this instance's key may predate the write, so it does not
+// revoke the authority; ConfirmHeld() detects a lost key.
 void OrderAuthority::OnList(const std::vector<StoreItem>& items) {
   listed_ = true;
   const auto it = std::ranges::find(items, options_.key, &StoreItem::key);
@@ -78,7 +77,8 @@
   }
 }
 
-// Where the answer is lost, the next list tells whether the write took effect.
+// If the response is lost, the next listing shows whether the write took
+// effect.
 Awaitable<void> OrderAuthority::TryAcquire() {
   const auto lease = presence_.lease();
   if (!listed_ || holder_ || !lease || clock_() < acquire_at_) {
@@ -99,7 +99,7 @@
   if (fault != StoreFault::kConflict) {
     Log(LogLevel::kInfo, "orders_claim_failed", {{"fault", ToString(fault)}});
   }
-  // Another holds it; the next list says who.
+  // If another instance holds the key, the next listing shows which.
   acquire_at_ = clock_() + options_.acquire_retry_delay;
 }
 
@@ -117,7 +117,7 @@
   if (!token) {
     co_return std::nullopt;
   }
-  // The time before the read counts: the answer may have been under way.
+  // Valid from the start of the read: the response may have been delayed.
   const base::Time read_started = clock_();
   StoreFault fault{};
   const auto item = co_await store_.Get(options_.key, &fault);
--- a/src/process/order_authority.h
+++ b/src/process/order_authority.h
@@ -1,11 +1,11 @@
-// Which instance may give orders to the engines.
+// Elects the one instance that may send orders to engines.
 //
-// The holder is the one whose mark lies in a key of the store, bound to its
-// lease. The revision at which the key was written is the fencing token. Not
-// all engines check tokens, so two more things hold: a new holder gives no
-// order for a quiet time, and a holder reads the key back right before each
-// order. An order of the old holder has then arrived, or never will, before
-// the new one gives its first.
+// The holder is the instance whose id is stored under a key that is bound to
+// its lease. The revision at which the key was written is the fencing token.
+// Since not all engines check the token, a new holder waits for
+// `takeover_delay` before its first order, and a holder reads the key back
+// right before each order. Together these keep a late order of the previous
+// holder from reaching an engine after the new holder's first.
 #ifndef LYNXGLADE_PROCESS_ORDER_AUTHORITY_H_
 #define LYNXGLADE_PROCESS_ORDER_AUTHORITY_H_
 
@@ -23,19 +23,20 @@
 
 struct OrderAuthorityOptions {
   std::string key = "lynxglade/orders/holder";
-  // From taking the key to the first order. At least the platform's bound on
-  // turns between holders, plus `confirmation_validity` and an order's way.
+  // Time from acquiring the key to the first order. At least the platform's
+  // minimum gap between orders of two holders, plus `confirmation_validity` and
+  // the time that an order takes to arrive.
   base::Duration takeover_delay = std::chrono::milliseconds(4500);
-  // How long a confirmation lets an order leave.
+  // How long after a confirmation an order may be sent.
   base::Duration confirmation_validity = std::chrono::milliseconds(300);
-  // A vacant key is tried for after up to this, at random, so that instances
-  // do not all write at once.
+  // Upper bound of the random delay before a vacant key is acquired, so that
+  // instances do not all write at once.
   base::Duration max_acquire_delay = std::chrono::milliseconds(400);
-  // After a claim that failed, until the keys have been listed again.
+  // Delay after a failed attempt; the keys are listed again within it.
   base::Duration acquire_retry_delay = std::chrono::seconds(4);
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: runs on the event loop.
 class OrderAuthority {
  public:
   OrderAuthority(StorePort& store,
@@ -46,17 +47,19 @@
   OrderAuthority(const OrderAuthority&) = delete;
   OrderAuthority& operator=(const OrderAuthority&) = delete;
 
-  // For a follower of the key's prefix.
+  // Takes a full listing of the key's prefix.
   void OnList(const std::vector<StoreItem>& items);
-  // What was heard of the key counts unless something newer was.
+  // Takes a change of a key; ignored if older than the last one seen.
   void OnChange(const StoreItem& item);
 
-  // Tries for a vacant key. Call every few hundred milliseconds.
+  // Tries to acquire the key if it is vacant. Call every few hundred
+  // milliseconds.
   connection::event::Awaitable<void> TryAcquire();
-  // The token, if the key is this instance's and the quiet time is over, as
-  // last heard.
+  // The token if, as last observed, this instance holds the key and the
+  // takeover delay has passed.
   std::optional<base::FencingToken> HeldToken() const;
-  // Reads the key back. The token may be used until `*until`.
+  // Reads the key from the store. The returned token may be used until
+  // `*until`.
   connection::event::Awaitable<std::optional<base::FencingToken>> ConfirmHeld(
       base::Time* until);
 
@@ -70,10 +73,11 @@
   const OrderAuthorityOptions options_;
   const base::Clock clock_;
   const base::RandomSource random_;
-  // Unlike any other instance's, and any earlier process's of this name.
+  // Unique to this process: an earlier process of the same instance name has
+  // another.
   const std::string holder_id_;
   bool listed_ = false;
-  // Nothing while the key is vacant.
+  // Empty while the key is vacant.
   std::optional<StoreItem> holder_;
   base::Time acquire_at_{};
   base::Time held_since_{};
--- a/src/process/stage_orders.cc
+++ b/src/process/stage_orders.cc
@@ -62,7 +62,7 @@
 Awaitable<void> StageOrders::Run() {
   while (!stopped_) {
     co_await authority_.TryAcquire();
-    // Whoever takes over knows the demand already.
+    // Tracked without the authority too, so that a new holder can plan at once.
     UpdateDemand();
     co_await ReconcileOnce();
     co_await SleepFor(loop_, options_.period);
@@ -98,15 +98,15 @@
   }
 }
 
-// Engines that are changing count as what they will be, so that none is
-// ordered to make up for them.
+// Under load no order is sent while any engine is settling, as the plan would
+// otherwise replace engines that are still changing.
 std::vector<StageChange> StageOrders::DueChanges(
     const base::ServiceName& service) {
   const bool idle = idle_();
   if (!idle && !settling_until_.empty()) {
     return {};
   }
-  // Nothing is asked for while nothing is served.
+  // Without requests no answers are in flight that need decode engines.
   const int demanded = idle ? 0 : DemandOf(service).DesiredEngines();
   std::vector<StageChange> changes =
       PlanStages(engines_.OfService(service), idle, options_.plan, demanded);
@@ -122,11 +122,11 @@
   if (!report || report->changing || report->stage == change.to) {
     co_return;
   }
-  // The plan was made for another life of the engine.
+  // The engine has restarted since the plan was made.
   if (report->born != engine->entry.born) {
     Log(LogLevel::kInfo, "stage_order_withheld",
         {{"target", engine->entry.id.str()},
-         {"reason", "target was born again"}});
+         {"reason", "target restarted after the order was planned"}});
     co_return;
   }
   base::Time until{};
@@ -135,8 +135,8 @@
     co_return;
   }
   settling_until_[engine->entry.id] = clock_() + options_.settle_time_unknown;
-  // A named object: this compiler destroys an aggregate that is made within a
-  // co_await expression twice.
+  // A named object, as GCC 12 destroys an aggregate temporary in a co_await
+  // expression twice.
   StageOrder order;
   order.stage = change.to;
   order.holder = options_.instance.str();
@@ -150,7 +150,7 @@
       .GetCounter("lynxglade_stage_orders_total",
                   {{"result", std::string(ToString(result))}})
       .Add();
-  // Its entry may have been written anew meanwhile, for any service.
+  // Looked up again: the engine's service may have changed during the co_await.
   const GenerationDemand& demand = DemandOf(engine->entry.service);
   Log(LogLevel::kInfo, "stage_order",
       {{"target", engine->entry.id.str()},
--- a/src/process/stage_orders.h
+++ b/src/process/stage_orders.h
@@ -1,9 +1,10 @@
-// Gives the engines the orders that bring about the stage plan.
+// Orders engines to change stage (prefill or decode) as the stage plan says.
 //
-// One order at a time and engine, each tied to the engine's life and to the
-// count of orders it has accepted, so that a copy that arrives late does
-// nothing. An order whose answer was lost is not repeated before the engine
-// would have carried out the lost one.
+// Each engine has at most one order in flight. An order carries the number of
+// orders that the engine had accepted, so a delayed duplicate has no effect,
+// and it is withheld if the engine has restarted since the plan was made. An
+// order without a response is not repeated until the engine would have carried
+// it out.
 #ifndef LYNXGLADE_PROCESS_STAGE_ORDERS_H_
 #define LYNXGLADE_PROCESS_STAGE_ORDERS_H_
 
@@ -26,15 +27,15 @@
 
 namespace lynxglade::process {
 
-// An engine as it reports itself, some hundred milliseconds old.
+// The state that an engine reports; may be a few hundred milliseconds old.
 struct EngineReport {
   request::passthrough::EngineStage stage =
       request::passthrough::EngineStage::kDecode;
-  // An order is being carried out.
+  // A stage change is in progress.
   bool changing = false;
-  // Orders accepted since the engine's start.
+  // Number of orders accepted since the engine started.
   std::int64_t orders = 0;
-  // As in the engine's entry.
+  // Start time of the engine process, as in its table entry.
   std::optional<base::BornMillis> born;
 };
 
@@ -43,25 +44,26 @@
       request::passthrough::EngineStage::kDecode;
   std::string holder;
   base::FencingToken token;
-  // The order is void once the engine has accepted another.
+  // The engine accepts the order only if it has accepted this many so far.
   std::int64_t if_orders = 0;
 };
 
 enum class OrderResult {
-  // Being carried out, or already so.
+  // In progress, or the engine is in that stage already.
   kTaken,
-  // Another order came first, or is under way.
+  // Another order was accepted first, or is in progress.
   kConflict,
-  // The engine has seen a higher token: this holder is no longer it.
+  // The engine has seen a higher fencing token: another instance now holds the
+  // authority.
   kFenced,
-  // Not that engine, or not an order it knows.
+  // The engine is another one, or does not support the order.
   kRefused,
-  // No answer; it may have been taken, or be taken later.
+  // No response; the engine may have accepted the order or may do so later.
   kUnknown,
 };
 std::string_view ToString(OrderResult result) noexcept;
 
-// Calls to one engine, spelled by the platform's adapter.
+// Calls to one engine, implemented by the platform adapter.
 struct OrderHooks {
   std::function<connection::event::Awaitable<std::optional<EngineReport>>(
       request::passthrough::EngineHandle)>
@@ -75,16 +77,16 @@
 struct StageOrdersOptions {
   base::InstanceId instance;
   base::Duration period = std::chrono::milliseconds(500);
-  // After an order, before the engine is judged again: a change takes about
-  // three seconds once running requests have ended.
+  // Time after an order in which the engine gets no other. A change takes about
+  // three seconds once the running requests have ended.
   base::Duration settle_time = std::chrono::seconds(6);
-  // After an order without an answer: engines have been seen to carry one out
-  // twelve seconds late.
+  // The same after an order without a response, which an engine may carry out
+  // up to twelve seconds late.
   base::Duration settle_time_unknown = std::chrono::seconds(15);
   StagePlanOptions plan;
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: runs on the event loop.
 class StageOrders {
  public:
   StageOrders(connection::event::asio::io_context& loop,
@@ -92,11 +94,11 @@
               OrderAuthority& authority,
               OrderHooks hooks,
               StageOrdersOptions options,
-              // Language model services in force, and whether this instance
-              // has seen no request for a while.
+              // The configured services whose engines have stages.
               std::function<std::vector<base::ServiceName>()> services,
+              // Whether this instance has received no request for a while.
               std::function<bool()> idle,
-              // How long a prompt would wait to be read now, on average.
+              // The current average wait of a prompt for prefill.
               std::function<base::Duration(const base::ServiceName&)> backlog,
               request::passthrough::EngineCapacity room,
               base::Clock clock,
@@ -104,7 +106,7 @@
   StageOrders(const StageOrders&) = delete;
   StageOrders& operator=(const StageOrders&) = delete;
 
-  // Until Stop().
+  // Runs until Stop().
   connection::event::Awaitable<void> Run();
   void Stop() noexcept { stopped_ = true; }
 
@@ -128,7 +130,7 @@
   base::Metrics& metrics_;
   bool stopped_ = false;
   std::map<base::ServiceName, GenerationDemand> demand_;
-  // Engines that are left alone until then.
+  // Engines that get no order before the given time.
   std::map<base::TargetId, base::Time> settling_until_;
 };
 
--- a/src/process/stage_plan.cc
+++ b/src/process/stage_plan.cc
@@ -12,7 +12,7 @@
 using request::passthrough::EngineHandle;
 using request::passthrough::EngineStage;
 
-// The engines of one zone that serve, by stage.
+// The staged engines of one zone that are not draining.
 struct ZoneEngines {
   std::vector<EngineHandle> decode;
   std::vector<EngineHandle> prefill;
@@ -36,9 +36,8 @@
   return zones;
 }
 
-// Each zone's engines that should generate. A zone gets its part of the
-// service's, rounded up or down; of the ways to round, one that changes few
-// engines.
+// The number of decode engines per zone. Each zone gets its proportional part
+// of the service's total, rounded up or down so that few engines change.
 std::map<base::ZoneId, int> DecodeCountByZone(
     const std::map<base::ZoneId, ZoneEngines>& zones,
     const StagePlanOptions& options,
@@ -47,9 +46,9 @@
   for (const auto& [name, zone] : zones) {
     engines += zone.size();
   }
-  std::map<base::ZoneId, int> demanded;
+  std::map<base::ZoneId, int> by_zone;
   if (engines == 0) {
-    return demanded;
+    return by_zone;
   }
   const int total = std::max(DecodeEngineCount(engines, options),
                              std::min(demanded, engines - 1));
@@ -62,32 +61,31 @@
   };
   for (const auto& [name, zone] : zones) {
     const int current = static_cast<int>(zone.decode.size());
-    demanded[name] = std::clamp(current, min_count(zone), max_count(zone));
-    assigned += demanded[name];
+    by_zone[name] = std::clamp(current, min_count(zone), max_count(zone));
+    assigned += by_zone[name];
   }
   for (const auto& [name, zone] : zones) {
-    int& n = demanded[name];
+    int& n = by_zone[name];
     const int step =
         std::clamp(total - assigned, min_count(zone) - n, max_count(zone) - n);
     n += step;
     assigned += step;
   }
-  return demanded;
+  return by_zone;
 }
 
-// Engines whose speeds are not known keep their order.
-std::vector<EngineHandle> SortSlowestFirst(
-    std::vector<EngineHandle> generating) {
+// Both sorts are stable: engines of unknown speed keep their order.
+std::vector<EngineHandle> SortSlowestFirst(std::vector<EngineHandle> decode) {
   std::ranges::stable_sort(
-      generating, std::ranges::greater(),
+      decode, std::ranges::greater(),
       [](const EngineHandle& it) { return it->generation_slowness; });
-  return generating;
+  return decode;
 }
 
-std::vector<EngineHandle> SortFastestFirst(std::vector<EngineHandle> reading) {
-  std::ranges::stable_sort(reading, {},
+std::vector<EngineHandle> SortFastestFirst(std::vector<EngineHandle> prefill) {
+  std::ranges::stable_sort(prefill, {},
                            [](const EngineHandle& it) { return it->slowness; });
-  return reading;
+  return prefill;
 }
 
 }  // namespace
@@ -96,9 +94,9 @@
   if (engines <= 1) {
     return engines;
   }
-  const int demanded =
+  const int by_share =
       static_cast<int>(std::lround(options.decode_share * engines));
-  return std::min(std::max(demanded, options.min_decode_engines), engines - 1);
+  return std::min(std::max(by_share, options.min_decode_engines), engines - 1);
 }
 
 std::vector<StageChange> PlanStages(const std::vector<EngineHandle>& engines,
--- a/src/process/stage_plan.h
+++ b/src/process/stage_plan.h
@@ -1,11 +1,9 @@
-// How many engines of a service read prompts and how many generate.
+// Plans how the engines of a service are split between prefill and decode.
 //
-// A prefill engine reads a prompt at full speed and disturbs nobody; a decode
-// engine reads at half speed between the tokens of the requests that it
-// generates for. Generating needs far less of an engine than reading where
-// prompts are long and answers short, so the split follows the work offered.
-// What an engine generates slows down with its load faster than its reading
-// does, so the fastest engines known generate.
+// A prefill engine processes prompts at full speed. A decode engine processes
+// them at half speed, interleaved with the tokens that it generates. Decoding
+// slows down faster with load than prefill does, so the fastest engines are
+// assigned to decode.
 #ifndef LYNXGLADE_PROCESS_STAGE_PLAN_H_
 #define LYNXGLADE_PROCESS_STAGE_PLAN_H_
 
@@ -19,12 +17,13 @@
 namespace lynxglade::process {
 
 struct StagePlanOptions {
-  // The part of a service's engines that generate at least.
+  // Minimum fraction of a service's engines that decode.
   double decode_share = 0.25;
-  // Engines of a service that generate, if it has more: the loss of one must
-  // not leave a service without.
+  // Minimum number of decode engines of a service that has more engines than
+  // this, so that losing one leaves another.
   int min_decode_engines = 2;
-  // Engines of a service that change at a time while requests are served.
+  // Engines of a service that change stage at a time while it is serving
+  // requests.
   std::size_t max_concurrent_changes = 1;
 };
 
@@ -34,13 +33,14 @@
       request::passthrough::EngineStage::kDecode;
 };
 
-// Engines that should generate, of a service's `engines`.
+// The number of a service's `engines` that should decode, by share alone.
 int DecodeEngineCount(int engines, const StagePlanOptions& options) noexcept;
 
-// The changes that bring one service to its split, each zone to its part of it,
-// none of them to an engine that is leaving. Without requests (`idle`) all at
-// once, else the first few. `wanted`: engines that the answers under way ask
-// for, if these are more than the share.
+// Returns the changes that bring one service, and each of its zones in
+// proportion, to the planned split; draining engines are left out. All changes
+// if `idle`, else at most `max_concurrent_changes`. `demanded` is the number of
+// decode engines that in-flight answers need; the larger of it and the share
+// applies.
 std::vector<StageChange> PlanStages(
     const std::vector<request::passthrough::EngineHandle>& engines,
     bool idle,
--- a/tests/process/order_authority_test.cc
+++ b/tests/process/order_authority_test.cc
@@ -17,8 +17,8 @@
 
 constexpr char kKey[] = "lynxglade/orders/holder";
 
-// One instance: presence with its lease, and authority. What the store holds
-// is shown to it by hand, so that a test can show it late.
+// One instance with its lease and authority. A test passes it the contents of
+// the store explicitly, so that it can do so late.
 struct Contender {
   Contender(asio::io_context& loop,
             FakeStorePort& store,
@@ -77,7 +77,7 @@
     return token;
   }
 
-  // `contender` takes the key and its quiet time passes.
+  // `contender` acquires the key and its takeover delay passes.
   void Take(Contender& contender) {
     TryAcquire(contender);
     Show(contender);
@@ -93,7 +93,7 @@
   base::Time until_{};
 };
 
-TEST_F(OrderAuthorityTest, TheHolderOrdersAfterTheQuietTime) {
+TEST_F(OrderAuthorityTest, HolderGetsTokenAfterTakeoverDelay) {
   TryAcquire(one_);
   Show(one_);
   EXPECT_FALSE(one_.authority.HeldToken());
@@ -106,7 +106,7 @@
   EXPECT_EQ(until_, now_ + milliseconds(300));
 }
 
-TEST_F(OrderAuthorityTest, OnlyOneOfTwoTakesTheKey) {
+TEST_F(OrderAuthorityTest, OnlyOneOfTwoAcquiresTheKey) {
   TryAcquire(one_);
   TryAcquire(two_);
   Show(one_);
@@ -116,15 +116,15 @@
   EXPECT_FALSE(two_.authority.HeldToken());
 }
 
-TEST_F(OrderAuthorityTest, AClaimWhoseAnswerIsLostIsFoundInTheKey) {
+TEST_F(OrderAuthorityTest, AcquisitionWithLostResponseIsFoundInListing) {
   store_.LoseNextAnswer();
   Take(one_);
   EXPECT_TRUE(ConfirmHeld(one_));
 }
 
-// The store takes the keys of an instance away and tells it nothing: what it
-// last heard says that it holds, reading back says that it does not.
-TEST_F(OrderAuthorityTest, AKeyThatWasTakenAwayUnseenConfirmsNothing) {
+// The store may delete an instance's key without notice: the last observed
+// state still shows it as holder, while reading the key back does not.
+TEST_F(OrderAuthorityTest, KeyDeletedUnnoticedIsNotConfirmed) {
   Take(one_);
   store_.Remove(kKey);
   EXPECT_TRUE(one_.authority.HeldToken());
@@ -135,16 +135,16 @@
   EXPECT_TRUE(ConfirmHeld(two_));
 }
 
-// Lists may be seconds old: one from before the claim takes nothing away, and
-// the quiet time does not begin again.
-TEST_F(OrderAuthorityTest, AnOldListDoesNotTakeTheAuthorityAway) {
+// Listings may be seconds old. One from before the acquisition neither revokes
+// the authority nor restarts the takeover delay.
+TEST_F(OrderAuthorityTest, StaleListingDoesNotRevokeAuthority) {
   Take(one_);
   one_.authority.OnList({});
   EXPECT_TRUE(one_.authority.HeldToken());
   EXPECT_TRUE(ConfirmHeld(one_));
 }
 
-TEST_F(OrderAuthorityTest, AVacantKeyIsClaimedAgainAfterItWasLost) {
+TEST_F(OrderAuthorityTest, LostKeyIsAcquiredAgain) {
   Take(one_);
   store_.Remove(kKey);
   EXPECT_FALSE(ConfirmHeld(one_));
@@ -153,14 +153,14 @@
   EXPECT_TRUE(ConfirmHeld(one_));
 }
 
-TEST_F(OrderAuthorityTest, AStoreThatIsAwayConfirmsNothing) {
+TEST_F(OrderAuthorityTest, UnreachableStoreConfirmsNothing) {
   Take(one_);
   store_.Fail(StoreFault::kTimeout);
   EXPECT_FALSE(ConfirmHeld(one_));
 }
 
-// A restart under the same name is another holder: its mark differs.
-TEST_F(OrderAuthorityTest, ARestartedInstanceDoesNotTakeItselfForTheHolder) {
+// A process restarted under the same instance name has another holder id.
+TEST_F(OrderAuthorityTest, RestartedInstanceIsNotTheHolder) {
   Take(one_);
   Contender again(loop_, store_, "one", clock_);
   store_.Write(kKey, "one/ffff");
@@ -169,7 +169,7 @@
   EXPECT_FALSE(again.authority.HeldToken());
 }
 
-TEST_F(OrderAuthorityTest, TokensOfLaterHoldersAreHigher) {
+TEST_F(OrderAuthorityTest, LaterHolderGetsHigherToken) {
   Take(one_);
   const auto first = ConfirmHeld(one_);
   store_.Expire(*one_.presence.lease());
--- a/tests/process/order_schedules_test.cc
+++ b/tests/process/order_schedules_test.cc
@@ -1,6 +1,6 @@
-// Who gives orders while instances pause, lists come late, answers are lost and
-// keys are taken away: never two holders to one engine within the time for
-// which the engines cannot tell them apart.
+// Random schedules of instance pauses, stale listings, lost responses and
+// deleted keys: orders of two holders are never closer than the gap that the
+// platform requires, and tokens rise.
 #include <algorithm>
 #include <chrono>
 #include <cstdint>
@@ -23,8 +23,8 @@
 using std::chrono::milliseconds;
 namespace asio = connection::event::asio;
 
-// The platform's bound on turns between holders (users' sheets).
-constexpr base::Duration kTurns = milliseconds(3000);
+// The platform's minimum gap between orders of two holders.
+constexpr base::Duration kMinHolderGap = milliseconds(3000);
 constexpr char kKey[] = "lynxglade/orders/holder";
 
 struct Given {
@@ -33,7 +33,7 @@
   base::Time at{};
 };
 
-// One run: three instances, one store, a clock that moves by steps.
+// One run: three instances, one store, and a clock that advances in steps.
 class Schedule {
  public:
   explicit Schedule(std::uint64_t seed) : random_(base::SeededRandom(seed)) {
@@ -93,7 +93,7 @@
     if (draw < 15) {
       now_ += milliseconds(Draw(300));
     } else if (draw < 35) {
-      // A pause, or a wait for the quiet time.
+      // An instance pause, or the takeover delay.
       now_ += milliseconds(Draw(6000));
     } else if (draw < 55) {
       instance.authority.OnList(List());
@@ -121,7 +121,7 @@
     RunUntil(loop_, [&done] { return done; });
   }
 
-  // The order leaves at any moment up to the end of its confirmation.
+  // The order is sent at a random time within the confirmation's validity.
   void Order(Instance& instance) {
     bool done = false;
     std::optional<base::FencingToken> token;
@@ -151,8 +151,7 @@
   std::vector<Given> given_;
 };
 
-// 50 schedules a case, 10,000 in all.
-RC_GTEST_PROP(OrderSchedules, HoldersDoNotTakeTurnsAndTokensRise, ()) {
+RC_GTEST_PROP(OrderSchedules, HoldersKeepTheGapAndTokensRise, ()) {
   constexpr int kSchedules = 50;
   constexpr int kSteps = 250;
   const auto seed =
@@ -167,15 +166,14 @@
           continue;
         }
         RC_ASSERT(given[a].token < given[b].token);
-        RC_ASSERT(given[b].at - given[a].at >= kTurns);
+        RC_ASSERT(given[b].at - given[a].at >= kMinHolderGap);
       }
     }
   }
 }
 
-// The schedules above are no use if nobody ever gives an order in them, or one
-// holder gives all.
-TEST(OrderSchedules, HoldersChangeInThem) {
+// Ensures that the schedules above contain changes of the holder.
+TEST(OrderSchedules, HolderChangesOccur) {
   int changes = 0;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Schedule schedule(seed);
--- a/tests/process/stage_orders_test.cc
+++ b/tests/process/stage_orders_test.cc
@@ -23,7 +23,7 @@
 
 const base::ServiceName kService("llm");
 
-// Engines that take orders, and one holder of the authority over them.
+// Six decode engines and one instance that can hold the authority.
 class StageOrdersTest : public testing::Test {
  protected:
   StageOrdersTest()
@@ -108,16 +108,16 @@
   std::map<std::string, EngineReport> reports_;
   std::vector<std::pair<std::string, StageOrder>> given_;
   OrderResult answer_ = OrderResult::kTaken;
-  // What happens while an order is under way.
+  // Runs while an order is in flight.
   std::function<void(const EngineHandle&)> before_answer_ =
       [](const EngineHandle&) {};
   bool idle_ = true;
-  // All engines generate at first, so every prompt waits.
+  // All engines start in decode, so prompts are backlogged.
   base::Duration backlog_ = seconds(1);
   StageOrders orders_;
 };
 
-TEST_F(StageOrdersTest, BringsAnIdleFleetToItsSplit) {
+TEST_F(StageOrdersTest, BringsAnIdleServiceToItsSplit) {
   Start();
   RunUntil(loop_, [this] { return given_.size() == 4; });
   RunRounds(5);
@@ -126,11 +126,11 @@
   EXPECT_GT(given_[0].second.token.value(), 0);
 }
 
-TEST_F(StageOrdersTest, UnderLoadTheNextWaitsUntilTheLastHasSettled) {
+TEST_F(StageOrdersTest, UnderLoadTheNextOrderWaitsForTheSettleTime) {
   idle_ = false;
   Start();
   RunRounds(2);
-  // Long enough to know what is asked for.
+  // The demand estimate needs its averaging time.
   now_ += seconds(2);
   RunUntil(loop_, [this] { return given_.size() == 1; });
   RunRounds(5);
@@ -139,10 +139,9 @@
   RunUntil(loop_, [this] { return given_.size() == 2; });
 }
 
-// Engines have carried out an order twelve seconds after it was sent, and
-// after newer ones; an order is tied to the count of orders before it, and
-// its repeat waits.
-TEST_F(StageOrdersTest, AnOrderWithoutAnAnswerIsNotRepeatedSoon) {
+// An engine may carry out an order twelve seconds late, after newer ones: the
+// order carries the count of accepted orders, and its repeat is delayed.
+TEST_F(StageOrdersTest, OrderWithoutResponseIsRepeatedOnlyAfterSettleTime) {
   answer_ = OrderResult::kUnknown;
   Start();
   RunUntil(loop_, [this] { return given_.size() == 4; });
@@ -154,8 +153,8 @@
   EXPECT_EQ(given_.back().second.if_orders, 0);
 }
 
-// Another instance has taken the key, and this one has not heard of it.
-TEST_F(StageOrdersTest, WithoutTheKeyNoOrderLeaves) {
+// Another instance has taken the key, and this one has not observed it yet.
+TEST_F(StageOrdersTest, SendsNoOrderAfterLosingTheKey) {
   Start();
   RunUntil(loop_, [this] { return given_.size() == 4; });
   store_.Write("lynxglade/orders/holder", "other/1");
@@ -170,9 +169,9 @@
   EXPECT_EQ(given_.size(), 4U);
 }
 
-// The plan was made by the entry of the life before: the new one counts its
-// orders anew, so an order could be taken twice.
-TEST_F(StageOrdersTest, AnEngineThatWasBornAgainGetsNoOrderForItsLifeBefore) {
+// The plan was made from the table entry of the previous process. A restarted
+// engine counts orders from zero, so it could accept an order twice.
+TEST_F(StageOrdersTest, RestartedEngineGetsNoOrderPlannedBeforeTheRestart) {
   for (auto& [id, report] : reports_) {
     report.born = base::BornMillis(5);
   }
@@ -181,8 +180,9 @@
   EXPECT_TRUE(given_.empty());
 }
 
-// Something else writes under the engine's key while its order is under way.
-TEST_F(StageOrdersTest, AnEntryOfAnotherServiceEndsNothing) {
+// The engine's table entry is rewritten for an unknown service while an order
+// to it is in flight.
+TEST_F(StageOrdersTest, SurvivesAServiceChangeDuringAnOrder) {
   answer_ = OrderResult::kConflict;
   before_answer_ = [this](const EngineHandle& it) {
     EngineEntry entry = it->entry;
@@ -195,7 +195,7 @@
   EXPECT_LE(table_.OfService(kService).size(), 2U);
 }
 
-TEST_F(StageOrdersTest, AnEngineThatIsChangingIsLeftAlone) {
+TEST_F(StageOrdersTest, EngineThatIsChangingGetsNoOrder) {
   for (auto& [id, report] : reports_) {
     report.changing = true;
   }
--- a/tests/process/stage_plan_test.cc
+++ b/tests/process/stage_plan_test.cc
@@ -46,18 +46,16 @@
       }));
 }
 
-// Services as the users have them: 18 engines, 12, and 90. Prompts there are
-// long and answers short.
-TEST(StagePlan, SplitsOfTheUsersServices) {
+TEST(StagePlan, DecodeCountFollowsTheShare) {
   const StagePlanOptions options;
   EXPECT_EQ(DecodeEngineCount(18, options), 5);
   EXPECT_EQ(DecodeEngineCount(12, options), 3);
   EXPECT_EQ(DecodeEngineCount(90, options), 23);
 }
 
-// Guards against: the slower kind of a service's engines generates since their
-// ids come first, and the largest answers end late.
-TEST(StagePlan, TheFastestReadersGenerate) {
+// Guards against choosing decode engines by id order, which may pick slow
+// engines and make long answers miss their time limit.
+TEST(StagePlan, FastestPrefillEngineMovesToDecode) {
   auto engines = Zone("a", 9, 3);
   engines[0]->slowness = 1.2;
   engines[5]->slowness = 0.8;
@@ -67,7 +65,7 @@
   EXPECT_EQ(changes.front().to, EngineStage::kDecode);
 }
 
-TEST(StagePlan, TheSlowestThatGenerateGoBackToReading) {
+TEST(StagePlan, SlowestDecodeEngineMovesToPrefill) {
   auto engines = Zone("a", 7, 5);
   engines[10]->generation_slowness = 1.3;
   const auto changes = PlanStages(engines, false, {}, 3);
@@ -76,24 +74,22 @@
   EXPECT_EQ(changes.front().to, EngineStage::kPrefill);
 }
 
-TEST(StagePlan, AServiceKeepsTwoThatGenerate) {
+TEST(StagePlan, KeepsAtLeastTwoDecodeEngines) {
   const StagePlanOptions options;
   EXPECT_EQ(DecodeEngineCount(6, options), 2);
   EXPECT_EQ(DecodeEngineCount(3, options), 2);
 }
 
-TEST(StagePlan, AnEngineAloneGenerates) {
+TEST(StagePlan, SingleEngineDecodes) {
   const StagePlanOptions options;
   EXPECT_EQ(DecodeEngineCount(1, options), 1);
   EXPECT_EQ(DecodeEngineCount(2, options), 1);
   EXPECT_EQ(DecodeEngineCount(0, options), 0);
 }
 
-// The load this answers: six engines in each of three zones, one of six
-// generating. When one crashed, its zone had none, and the other two were
-// asked for 50 streams a second each, with KV cache that took twice as long to
-// arrive: 224 callers of 2,090 left before their first event.
-TEST(StagePlan, ZonesTogetherKeepEnoughWhenOneIsLost) {
+// Guards against rounding per zone instead of per service: with one decode
+// engine per zone, the loss of one leaves its zone without any.
+TEST(StagePlan, SplitIsRoundedOverAllZonesTogether) {
   std::vector<EngineHandle> engines;
   for (const char* zone : {"a", "b", "c"}) {
     const auto more = Zone(zone, 0, 6);
@@ -103,9 +99,9 @@
   EXPECT_EQ(CountDecode(engines), 5);
 }
 
-// Three of twelve in four zones: no zone has two, and which has none changes
-// no engine.
-TEST(StagePlan, FewerThanZonesAreSpread) {
+// Three decode engines over four zones: no zone gets two, and the zone without
+// one is chosen so that no engine changes.
+TEST(StagePlan, FewerDecodeEnginesThanZonesAreSpread) {
   std::vector<EngineHandle> engines = Zone("a", 3, 0);
   for (const char* zone : {"b", "c", "d"}) {
     const auto more = Zone(zone, 2, 1);
@@ -114,7 +110,7 @@
   EXPECT_TRUE(PlanStages(engines, true, {}).empty());
 }
 
-TEST(StagePlan, WithoutRequestsAllChangeAtOnce) {
+TEST(StagePlan, IdleServiceChangesAllEnginesAtOnce) {
   const auto engines = Zone("a", 2, 4);
   const auto changes = PlanStages(engines, true, {});
   EXPECT_EQ(changes.size(), 2U);
@@ -122,11 +118,11 @@
   EXPECT_TRUE(PlanStages(engines, true, {}).empty());
 }
 
-TEST(StagePlan, UnderLoadOneChangesAtATime) {
+TEST(StagePlan, BusyServiceChangesOneEngineAtATime) {
   EXPECT_EQ(PlanStages(Zone("a", 0, 6), false, {}).size(), 1U);
 }
 
-TEST(StagePlan, EnginesThatLeaveDoNotCount) {
+TEST(StagePlan, DrainingEnginesDoNotCount) {
   auto engines = Zone("a", 4, 2);
   engines[4]->entry.draining = true;
   engines[5]->entry.draining = true;
@@ -136,9 +132,9 @@
   EXPECT_EQ(changes[1].to, EngineStage::kDecode);
 }
 
-// Whatever the start, the plan ends at its split, each engine changes at most
-// once, and no zone has more than its part, rounded up, or less, rounded down.
-RC_GTEST_PROP(StagePlan, EndsAtTheSplitAndStaysThere, ()) {
+// From any start the plan converges to its split, each engine changes at most
+// once, and each zone gets its proportional part, rounded up or down.
+RC_GTEST_PROP(StagePlan, ConvergesToTheSplit, ()) {
   std::vector<EngineHandle> engines;
   std::map<std::string, std::vector<EngineHandle>> zones;
   for (const char* zone : {"a", "b", "c"}) {
