--- a/src/process/change_history.cc
+++ b/src/process/change_history.cc
@@ -37,7 +37,8 @@
   return found;
 }
 
-// Changes of one revision go together.
+// Changes of one revision are evicted together, so that After() never returns
+// part of a revision.
 void ChangeHistory::Trim() {
   while (changes_.size() > options_.max_changes ||
          bytes_ > options_.max_bytes) {
--- a/src/process/change_history.h
+++ b/src/process/change_history.h
@@ -1,5 +1,5 @@
-// The newest changes of the store, as one instance has heard them, for others
-// that ask what changed after a revision.
+// A bounded history of the latest store changes, from which a relay serves
+// other instances' queries for the changes after a revision.
 #ifndef LYNXGLADE_PROCESS_CHANGE_HISTORY_H_
 #define LYNXGLADE_PROCESS_CHANGE_HISTORY_H_
 
@@ -13,9 +13,9 @@
 namespace lynxglade::process {
 
 struct ChangeHistoryOptions {
-  // Changes and bytes of values that are kept; beyond either the oldest go. A
-  // start of 300 instances writes 300 keys of about 60 bytes; an instance may
-  // have 160 MB for all.
+  // Limits on the number of changes and on the bytes of their values; the
+  // oldest are evicted when either is exceeded. Sized to hold the keys that
+  // hundreds of instances write when they start together.
   std::size_t max_changes = 2000;
   std::size_t max_bytes = std::size_t{2} * 1024 * 1024;
 };
@@ -27,22 +27,23 @@
   ChangeHistory(const ChangeHistory&) = delete;
   ChangeHistory& operator=(const ChangeHistory&) = delete;
 
-  // What a watch from `after` brought. Where it does not join what is held,
-  // the history begins anew at `after`.
+  // Appends the result of a watch from `after`. If there is a gap between the
+  // history and `after`, the history restarts at `after`.
   void Add(base::Revision after, const StoreItems& changes);
 
-  // All changes after a revision; nothing if the history does not reach back
-  // so far. A revision that is newer than the history has no changes yet.
+  // Returns all changes after a revision, or nullopt if the history does not
+  // reach back to it. Empty for a revision newer than the history.
   std::optional<StoreItems> After(base::Revision revision) const;
 
-  // The revision up to which changes are known.
+  // The revision up to which the history is complete.
   base::Revision at() const noexcept { return at_; }
 
  private:
   void Trim();
 
   const ChangeHistoryOptions options_;
-  // Changes up to this one are not held; nothing while nothing was heard.
+  // The history holds changes after this revision; empty before the first
+  // Add().
   std::optional<base::Revision> start_;
   base::Revision at_;
   std::deque<StoreItem> changes_;
--- a/src/process/change_relay.cc
+++ b/src/process/change_relay.cc
@@ -26,14 +26,13 @@
 namespace asio = connection::event::asio;
 namespace http = connection::event::http;
 
-// The question: kPath, the revision, '/', milliseconds to wait.
+// A query's target is kPath, the revision, '/' and the wait in milliseconds.
 constexpr std::string_view kPath = "/v1/changes-after/";
 constexpr std::int64_t kMaxWaitMs = 10'000;
-// Beyond the wait, for the way there and back and a relay that is busy.
+// Added to the wait for the round trip and a busy relay.
 constexpr base::Duration kAnswerSlack = std::chrono::milliseconds(400);
 constexpr std::size_t kMaxAnswerBytes = std::size_t{512} * 1024;
-// The instances of a zone that ask here at once; a zone of the largest fleet
-// that is planned for has 30.
+// Connections from instances of the zone; far more than a zone has instances.
 constexpr std::size_t kMaxAskers = 512;
 constexpr unsigned kHttp11 = 11;
 
@@ -91,7 +90,7 @@
         {.timeout = wait + kAnswerSlack, .max_answer_bytes = kMaxAnswerBytes},
         &end);
     if (!answer) {
-      // Its other connections may be as silent.
+      // Other pooled connections to the relay may be dead as well.
       channels.Forget(endpoint);
       *fault = end == ExchangeState::kCancelled ? RelayFault::kTimeout
                                                 : RelayFault::kUnreachable;
--- a/src/process/change_relay.h
+++ b/src/process/change_relay.h
@@ -1,5 +1,5 @@
-// Both ends of asking another instance what changed in the store: HTTP with a
-// CBOR body, held until there is a change.
+// Client and server of the query for store changes between instances: an HTTP
+// long poll with a CBOR response.
 #ifndef LYNXGLADE_PROCESS_CHANGE_RELAY_H_
 #define LYNXGLADE_PROCESS_CHANGE_RELAY_H_
 
@@ -14,12 +14,13 @@
 
 namespace lynxglade::process {
 
-// Asks relays over the pool's connections.
+// Queries relays over connections of the pool. `loop` and `channels` must
+// outlive the result.
 QueryRelay MakeQueryRelay(connection::event::asio::io_context& loop,
                           connection::event::ChannelPool& channels);
 
-// Answers the instances that ask this one. It tells what any instance may read
-// in the store, and changes nothing.
+// Serves queries of other instances. Read-only: it exposes only what any
+// instance may read in the store.
 class ChangeRelay {
  public:
   ChangeRelay(connection::event::asio::io_context& loop,
@@ -30,7 +31,7 @@
   ChangeRelay(const ChangeRelay&) = delete;
   ChangeRelay& operator=(const ChangeRelay&) = delete;
 
-  // False: the address cannot be had; `*reason` says why.
+  // Returns false and sets `*reason` if the server cannot listen.
   bool Start(std::string* reason) { return server_.Start(reason); }
   std::uint16_t port() const { return server_.port(); }
 
--- a/src/process/generation_demand.cc
+++ b/src/process/generation_demand.cc
@@ -44,7 +44,8 @@
   if (generating_engines_ > 0) {
     answers_per_engine_ = std::max(target_answers / generating_engines_, 1.0);
   }
-  // A backlog of minutes, or no reader at all, is not remembered for longer.
+  // Capped, so that an extreme backlog (no prefill engine at all) does not
+  // dominate the average for long.
   constexpr int kMaxBacklogFactor = 4;
   backlog = std::min(backlog, kMaxBacklogFactor * options_.max_backlog);
   if (first_observed_at_ == base::Time{}) {
--- a/src/process/generation_demand.h
+++ b/src/process/generation_demand.h
@@ -1,10 +1,10 @@
-// How many engines of a service are asked for by the answers that are being
-// generated.
+// Estimates how many decode engines the in-flight answers of a service need.
 //
-// An engine takes longer for each token the more answers it generates at a
-// time, so large ones run into their time limit when too few engines generate.
-// Answers under way are counted at the engines that generate, by what they
-// report and what this instance has there, against the room that each has.
+// The time per token of an engine grows with the answers that it generates
+// concurrently, so long answers exceed their time limit when too few engines
+// decode. The answers at the decode engines are counted from the engines'
+// reports and this instance's own requests, and compared with the capacity of
+// each engine.
 #ifndef LYNXGLADE_PROCESS_GENERATION_DEMAND_H_
 #define LYNXGLADE_PROCESS_GENERATION_DEMAND_H_
 
@@ -16,46 +16,48 @@
 namespace lynxglade::process {
 
 struct GenerationDemandOptions {
-  // Answers at a time that an engine is to generate, in parts of its slots.
+  // Concurrent answers per engine, as a fraction of its slots.
   double max_slot_fill = 0.6;
-  // The same in parts of its room, beyond which answers are refused: another
-  // engine is asked for before that.
+  // The same as a fraction of its room. Below 1, so that another engine is
+  // added before answers are rejected.
   double max_room_fill = 0.9;
-  // Fewer engines are asked for only once so many times the answers would fit
-  // them: a change back and forth costs two times three seconds of an engine.
+  // The number of engines is reduced only if the remaining ones could take the
+  // answers times this factor. Prevents flapping: each change takes an engine
+  // out of service for about three seconds.
   double scale_down_margin = 1.4;
-  // Over which counts are averaged: answers last for seconds, and a swing of
-  // the mix is over in five.
+  // Time constant of the moving averages. Answers last for seconds, while the
+  // mix of requests can change within five.
   base::Duration averaging_time = std::chrono::seconds(2);
-  // Prompts that wait for longer on average want their engines themselves; a
-  // reader is not taken away then, and one is given back if it can be spared.
+  // With a longer average prefill backlog no prefill engine is moved to decode,
+  // and a decode engine that can be spared is moved to prefill.
   base::Duration max_backlog = std::chrono::milliseconds(40);
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: runs on the event loop.
 class GenerationDemand {
  public:
-  // `room` may be empty: engines have room for as many answers as slots.
+  // `room` may be empty; an engine's room is then its number of slots.
   explicit GenerationDemand(GenerationDemandOptions options = {},
                             request::passthrough::EngineCapacity room = {});
   GenerationDemand(const GenerationDemand&) = delete;
   GenerationDemand& operator=(const GenerationDemand&) = delete;
 
-  // A service's engines now; `backlog`: how long a prompt would wait to be
-  // read, on average. Call at least once a second.
+  // Takes the current engines of the service and the average time that a prompt
+  // would wait for prefill. Call at least once a second.
   void Observe(const std::vector<request::passthrough::EngineHandle>& engines,
                base::Duration backlog,
                base::Time now);
 
-  // Engines that should generate; as many as do while too little was seen.
+  // The number of engines that should decode; the current number until
+  // `averaging_time` has been observed.
   int DesiredEngines() const;
 
-  // Answers under way, averaged.
+  // Moving average of the in-flight answers.
   double answers() const noexcept { return answers_; }
   base::Duration backlog() const noexcept { return backlog_; }
 
  private:
-  // Answers that an engine is to generate at a time.
+  // Concurrent answers that an engine should have.
   double TargetAnswers(const request::passthrough::Engine& engine,
                        base::Time now) const;
 
@@ -65,9 +67,9 @@
   base::Time last_observed_at_{};
   double answers_ = 0;
   base::Duration backlog_{};
-  // Of the last observation.
+  // Decode engines at the last observation.
   int generating_engines_ = 0;
-  // Answers that one is to generate, on average.
+  // Mean of TargetAnswers() over the decode engines.
   double answers_per_engine_ = 1;
 };
 
--- a/src/process/instance_presence.cc
+++ b/src/process/instance_presence.cc
@@ -53,7 +53,7 @@
     lease_ = co_await store_.OpenLease(options_.lease_ttl, &fault);
     key_written_ = false;
   }
-  // The store may take a key away and keep its lease.
+  // The store may delete a key while its lease is still valid.
   const bool missing = listed_ && !keys_.contains(key);
   if (lease_ && !stopped_ && (!key_written_ || missing)) {
     const auto written =
@@ -113,7 +113,7 @@
   return text.dump();
 }
 
-// Nothing for an instance that hears no others.
+// Returns nullopt for an instance that published no endpoint.
 std::optional<InstancePeer> InstancePresence::ParsePeer(
     const StoreItem& item) const {
   const auto text = base::ParseBoundedJson(item.value);
--- a/src/process/instance_presence.h
+++ b/src/process/instance_presence.h
@@ -1,8 +1,8 @@
-// Says in the store that this instance is up, and counts the others.
+// Registers this instance in the store, and tracks the other instances.
 //
-// The key goes with its lease, so an instance that dies is uncounted when the
-// lease runs out. The count shares what the fleet may spend together: while it
-// is not known, or the store is away, more instances are assumed, not fewer.
+// The key of an instance is bound to its lease and disappears when the lease
+// expires. The instance count divides fleet-wide budgets, so it errs high: it
+// starts at an assumed value and falls only after a delay.
 #ifndef LYNXGLADE_PROCESS_INSTANCE_PRESENCE_H_
 #define LYNXGLADE_PROCESS_INSTANCE_PRESENCE_H_
 
@@ -24,19 +24,20 @@
 
 struct InstancePresenceOptions {
   base::InstanceId instance;
-  // For the other instances: this one's zone, and where it hears them.
+  // Published to the other instances: this one's zone, and the endpoint where
+  // it receives their messages.
   base::ZoneId zone = base::ZoneId("");
   std::optional<Endpoint> peer_endpoint = std::nullopt;
   std::string prefix = "lynxglade/instances/";
-  // A dead instance is counted for this long at most.
+  // A crashed instance keeps its key for at most this long.
   base::Duration lease_ttl = std::chrono::seconds(10);
   base::Duration renew_interval = std::chrono::seconds(3);
-  // While there is no lease or no key.
+  // Used in place of `renew_interval` while the key is not written.
   base::Duration retry_interval = std::chrono::milliseconds(500);
-  // Assumed before the first list.
+  // Count before the first listing.
   int assumed_instances = 16;
-  // A count that was higher so long ago still holds: instances that the store
-  // lost sight of may be serving.
+  // A higher count is kept for this long: instances whose keys have vanished
+  // from the store may still be serving.
   base::Duration count_hold_time = std::chrono::seconds(15);
 };
 
@@ -44,11 +45,11 @@
 struct InstancePeer {
   base::InstanceId instance;
   base::ZoneId zone;
-  // Where it hears the other instances.
+  // Receives datagrams (UDP) and change queries (TCP) of other instances.
   connection::event::asio::ip::udp::endpoint endpoint;
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: runs on the event loop.
 class InstancePresence {
  public:
   InstancePresence(connection::event::asio::io_context& loop,
@@ -58,29 +59,30 @@
   InstancePresence(const InstancePresence&) = delete;
   InstancePresence& operator=(const InstancePresence&) = delete;
 
-  // Keeps the lease and the key until Stop().
+  // Maintains the lease and the key until Stop().
   connection::event::Awaitable<void> Run();
-  // Gives the lease back; the key goes at once.
+  // Stops and revokes the lease, which removes the key at once.
   connection::event::Awaitable<void> Leave();
   void Stop() noexcept { stopped_ = true; }
 
-  // For a follower of the prefix.
+  // Take a full listing, and single changes, of the prefix.
   void OnList(const std::vector<StoreItem>& items);
   void OnChange(const StoreItem& item);
 
-  // The lease of this instance, once it has one.
+  // The lease of this instance; empty until it is granted, and after it
+  // expired.
   const std::optional<LeaseId>& lease() const noexcept { return lease_; }
   const base::InstanceId& instance() const noexcept {
     return options_.instance;
   }
-  // Those that said where they can be told something, this one included.
+  // Instances that published an endpoint, including this one.
   const std::vector<InstancePeer>& Peers() const noexcept { return peers_; }
-  // Instances that may be up, this one included; at least 1.
+  // Number of instances that may be up, including this one; at least 1.
   int Count() const;
 
  private:
   connection::event::Awaitable<void> Renew();
-  // One key, written or gone.
+  // Applies one written or deleted key.
   void ApplyItem(const StoreItem& item);
   void UpdateCount();
   std::string SerializeSelf() const;
@@ -96,7 +98,7 @@
   std::set<std::string> keys_;
   std::vector<InstancePeer> peers_;
   bool listed_ = false;
-  // The highest count lately, and when it was last seen.
+  // The highest recent count, and when it was last observed.
   int peak_count_ = 0;
   base::Time peak_seen_at_{};
 };
--- a/src/process/loan_messages.cc
+++ b/src/process/loan_messages.cc
@@ -39,7 +39,7 @@
   return static_cast<double>(*thousandths) / kThousandths;
 }
 
-// An array of that many parts with this version in front.
+// Decodes an array of `parts` elements that starts with kVersion.
 std::optional<json> DecodeParts(std::string_view bytes, std::size_t parts) {
   auto message = connection::DecodeVersioned(bytes, kLimits, kVersion);
   if (!message || message->size() != parts) {
--- a/src/process/loan_messages.h
+++ b/src/process/loan_messages.h
@@ -1,4 +1,4 @@
-// What instances ask and lend each other of the retries, as CBOR.
+// CBOR messages by which instances borrow retry allowance from each other.
 #ifndef LYNXGLADE_PROCESS_LOAN_MESSAGES_H_
 #define LYNXGLADE_PROCESS_LOAN_MESSAGES_H_
 
@@ -12,11 +12,11 @@
 
 namespace lynxglade::process {
 
-// Names a question of one instance; a loan answers one.
+// Identifies a request of one instance; a loan refers to the request.
 using LoanRequestId =
     base::StrongNumber<struct LoanRequestIdTag, std::uint64_t>;
 
-// More is neither asked for nor lent at once, in arrivals.
+// Upper bound of one request or loan, in arrivals.
 inline constexpr double kMaxLoanArrivals = 100;
 
 struct LoanRequest {
@@ -32,12 +32,12 @@
   double arrivals = 0;
 };
 
-// An array of version, number, service and thousandths of arrivals, rounded
-// down. Decoding gives nothing for other bytes.
+// Encodes version, request id, service and thousandths of arrivals (rounded
+// down) as an array. Decoding returns nullopt for malformed bytes.
 std::string EncodeLoanRequest(const LoanRequest& request);
 std::optional<LoanRequest> DecodeLoanRequest(std::string_view bytes);
 
-// The same without the service.
+// The same array without the service.
 std::string EncodeLoan(const Loan& loan);
 std::optional<Loan> DecodeLoan(std::string_view bytes);
 
--- a/src/process/peer_datagrams.cc
+++ b/src/process/peer_datagrams.cc
@@ -78,8 +78,8 @@
 }
 
 Awaitable<void> PeerDatagrams::Hear() {
-  // After an error that may last, so that the loop is not kept busy.
-  constexpr base::Duration kPause = std::chrono::milliseconds(100);
+  // Keeps a persistent socket error from spinning the event loop.
+  constexpr base::Duration kErrorBackoff = std::chrono::milliseconds(100);
   while (socket_.is_open()) {
     ErrorCode ec;
     const std::size_t n = co_await socket_.async_receive_from(
@@ -88,7 +88,7 @@
       co_return;
     }
     if (ec) {
-      co_await SleepFor(loop_, kPause);
+      co_await SleepFor(loop_, kErrorBackoff);
       continue;
     }
     Take(std::string_view(buffer_.data(), n));
--- a/src/process/peer_datagrams.h
+++ b/src/process/peer_datagrams.h
@@ -1,8 +1,8 @@
-// Datagrams between the instances of a deployment: one socket for all kinds.
+// Sends and receives UDP datagrams between instances over one socket.
 //
-// For what is worthless if it comes late and is replaced by the next if it is
-// lost, so nothing is sent again and no connection is kept. A datagram counts
-// only if it comes from where the store says that an instance is.
+// For messages that are useless when late and superseded by the next when lost:
+// there is no retransmission. A datagram is accepted only if its source is the
+// endpoint that an instance published in the store.
 #ifndef LYNXGLADE_PROCESS_PEER_DATAGRAMS_H_
 #define LYNXGLADE_PROCESS_PEER_DATAGRAMS_H_
 
@@ -22,21 +22,21 @@
 
 namespace lynxglade::process {
 
-// The first byte of a datagram.
+// Message kind; the first byte of a datagram.
 enum class DatagramKind : std::uint8_t {
-  // What an instance has engines read (read_sharing).
+  // Prefill work that an instance has at engines (read_sharing.h).
   kReads = 1,
-  // Retries asked for and lent (retry_loans).
+  // Requests and loans of retry allowance (retry_loans.h).
   kLoanRequest = 2,
   kLoan = 3,
-  // Targets that an instance avoids (avoidance_sharing).
+  // Targets that an instance avoids (avoidance_sharing.h).
   kAvoided = 4,
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: runs on the event loop.
 class PeerDatagrams {
  public:
-  // False if the bytes after the kind cannot be read.
+  // Handles the bytes after the kind; returns false if they are malformed.
   using Handler =
       std::function<bool(const InstancePeer& from, std::string_view body)>;
 
@@ -47,14 +47,15 @@
   PeerDatagrams(const PeerDatagrams&) = delete;
   PeerDatagrams& operator=(const PeerDatagrams&) = delete;
 
-  // Takes the datagrams of a kind, in place of an earlier handler.
+  // Sets the handler of a kind, replacing an earlier one.
   void Handle(DatagramKind kind, Handler handler);
-  // False, with a reason, if the port cannot be had.
+  // Opens the socket and starts to receive. Returns false and sets `*reason` if
+  // the endpoint cannot be bound.
   bool Start(std::string* reason);
   bool is_open() const noexcept { return socket_.is_open(); }
-  // One that cannot be sent at once is dropped.
+  // Sends without blocking; a datagram that cannot be sent at once is dropped.
   void Send(const InstancePeer& to, DatagramKind kind, std::string_view body);
-  // Calls `tell` at once and then every `period`, while the socket is open.
+  // Calls `callback` at once and then every `period` while the socket is open.
   void Repeat(base::Duration period, std::function<void()> tell);
 
  private:
@@ -71,7 +72,7 @@
   std::map<DatagramKind, Handler> handlers_;
   connection::event::asio::ip::udp::socket socket_;
   connection::event::asio::ip::udp::endpoint sender_;
-  // Larger than any datagram that is sent.
+  // Larger than any datagram that instances send.
   std::array<char, 4096> buffer_{};
 };
 
--- a/src/process/retry_loans.cc
+++ b/src/process/retry_loans.cc
@@ -55,7 +55,7 @@
                          : std::max(doubled, options_.min_request_interval);
   pending.answered = false;
   pending.sent_at = now;
-  // By chance, so that no loan for an earlier life of this process fits.
+  // Random, so that a loan for a request from before a restart does not match.
   pending.request_id = LoanRequestId(random_());
   pending.pending_lenders.clear();
   const std::string request =
--- a/src/process/retry_loans.h
+++ b/src/process/retry_loans.h
@@ -1,9 +1,9 @@
-// Asks other instances for retries when this one has few left, and lends them
-// this one's (retry_allowance says why that is safe).
+// Borrows retry allowance from other instances when this instance runs short,
+// and lends its own. retry_allowance.h explains why the fleet's bound holds.
 //
-// A question goes to a few instances chosen by chance, of those that share
-// reports of reads; what comes back late counts for nothing. Nobody is waited
-// for: without an answer an instance has its own share.
+// A request goes to a few randomly chosen peers of those that exchange
+// prefill reports (read_sharing.h). Nothing blocks on the response: without
+// one an instance has its own share, and a late loan is ignored.
 #ifndef LYNXGLADE_PROCESS_RETRY_LOANS_H_
 #define LYNXGLADE_PROCESS_RETRY_LOANS_H_
 
@@ -26,28 +26,28 @@
 namespace lynxglade::process {
 
 struct RetryLoansOptions {
-  // Instances asked at once, each for all that is missing.
+  // Peers that get one request, each for the whole missing amount.
   std::size_t max_asked_peers = 2;
-  // Between questions for a service: a few times the way to another instance
-  // and back. Twice as long after each that brought nothing, up to the longest,
-  // so that a fleet without any to spare does not ask itself busy.
+  // Minimum time between requests for a service: a few round trips. Doubled up
+  // to `max_request_interval` after each request without a loan, to limit the
+  // traffic while no instance has any to spare.
   base::Duration min_request_interval = std::chrono::milliseconds(20);
   base::Duration max_request_interval = std::chrono::milliseconds(160);
-  // A loan that comes later is left alone. Its lender does not get it back
-  // before its life is over.
+  // A loan that arrives later is ignored. It stays charged to the lender until
+  // it expires.
   base::Duration request_timeout = std::chrono::milliseconds(1000);
 };
 
 struct RetryLoansHooks {
-  // Instances that may be asked.
+  // Peers that a request may be sent to.
   std::function<std::vector<InstancePeer>()> peers;
-  // Instances that may be up, this one included.
+  // Number of instances that may be up, including this one.
   std::function<int()> instances;
-  // Whether the configuration in force names the service.
+  // Whether the current configuration contains the service.
   std::function<bool(const base::ServiceName& service)> is_served;
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: runs on the event loop.
 class RetryLoans {
  public:
   RetryLoans(request::passthrough::SharedRetryBudget& allowance,
@@ -60,18 +60,18 @@
   RetryLoans(const RetryLoans&) = delete;
   RetryLoans& operator=(const RetryLoans&) = delete;
 
-  // Takes questions and loans from now on.
+  // Starts to handle requests and loans from peers.
   void Start();
-  // Asks for so many arrivals, unless it has just done so.
+  // Requests `wanted` arrivals, unless the request interval has not passed.
   void RequestLoan(const base::ServiceName& service, double wanted);
 
  private:
-  // The last question for a service.
+  // The last request for a service.
   struct PendingRequest {
     LoanRequestId request_id;
     base::Time sent_at{};
     base::Duration interval{};
-    // Instances whose loan is still open.
+    // Peers that have not lent for this request yet.
     std::set<base::InstanceId> pending_lenders;
     bool answered = false;
   };
--- a/src/process/watch_sharing.cc
+++ b/src/process/watch_sharing.cc
@@ -147,8 +147,8 @@
   co_return co_await WatchStore(after, fault);
 }
 
-// After a time-out the store is asked at once: another relay's would follow
-// it, and changes are to be in force within a bound.
+// After a timeout the store is queried at once: a second relay's timeout would
+// delay changes beyond the bound within which they must take effect.
 Awaitable<std::optional<StoreItems>> WatchSharing::QueryRelays(
     const std::vector<InstancePeer>& relays,
     base::Revision after) {
--- a/src/process/watch_sharing.h
+++ b/src/process/watch_sharing.h
@@ -1,13 +1,11 @@
-// One watch for many instances: in a large availability zone a few instances
-// watch the store, and the others ask these what changed.
+// Shares store watches within an availability zone: in a large zone a few
+// relay instances watch the store, and the others query the relays for changes.
 //
-// Each call to the store is paid for, a waiting watch too: with 295 instances
-// that each watch for themselves a calm day takes 9,400 calls, a tenth of what
-// it earns. Which instances relay follows from what all know of the zone's
-// instances, so nobody is elected and nothing waits for anybody: an instance
-// whose relays fail, fall behind or do not reach back asks the store itself, in
-// the same call. What is learnt is what the store would have said: changes in
-// the order of their revisions, without gaps.
+// This reduces calls to the store, each of which has a cost, long polls
+// included. Relays are derived from the zone's instance list by hash, without
+// an election. If the relays fail, are stale or lack the history, the instance
+// queries the store within the same call. Either way the caller gets all
+// changes in the order of their revisions.
 #ifndef LYNXGLADE_PROCESS_WATCH_SHARING_H_
 #define LYNXGLADE_PROCESS_WATCH_SHARING_H_
 
@@ -32,39 +30,41 @@
 struct WatchSharingOptions {
   base::InstanceId instance = base::InstanceId("");
   base::ZoneId zone = base::ZoneId("");
-  // In a zone of fewer instances each watches for itself: with two relays
-  // there is little left to share.
+  // In a zone with fewer instances each watches the store itself: sharing would
+  // save few calls.
   std::size_t min_instances = 8;
-  // A zone's relays: the loss of one costs nobody more than a time-out.
+  // Relays per zone; the second covers for the loss of the first.
   std::size_t relay_count = 2;
-  // Of a watch, at the store and at a relay. Bounds how long a silent
-  // connection goes unnoticed.
+  // Long-poll wait at the store and at a relay. Bounds how long a dead
+  // connection goes undetected.
   base::Duration watch_timeout = std::chrono::milliseconds(1000);
-  // A relay that has not heard the store for longer does not answer for it:
-  // a wait, the pause between watches and a slow answer. Changes have to be in
-  // force within three seconds at an instance that still reaches the store.
+  // A relay whose last successful store read is older does not serve changes.
+  // Covers one `watch_timeout`, the pause between watches and a slow response;
+  // changes must take effect within three seconds at every instance that
+  // reaches the store.
   base::Duration max_staleness = std::chrono::milliseconds(1700);
-  // A relay that failed is not asked for so long.
+  // A relay that failed is not queried for this long.
   base::Duration relay_backoff = std::chrono::milliseconds(2000);
 };
 
-// Why a relay did not say what changed.
+// Why a relay did not return changes.
 enum class RelayFault {
-  // It does not hear the store, or does not relay.
+  // It has no recent store read, or is not a relay.
   kNotWatching,
-  // Its history does not reach back so far, or the answer is too large.
+  // Its history does not reach back to the revision, or the response is too
+  // large.
   kAskStore,
-  // It could not be reached, or broke off.
+  // It could not be reached, or closed the connection.
   kUnreachable,
-  // No answer in time.
+  // No response in time.
   kTimeout,
-  // An answer that cannot be read.
+  // The response could not be decoded.
   kMalformed,
 };
 std::string_view ToString(RelayFault fault) noexcept;
 
-// Asks a relay for the changes after a revision; waits up to `wait` for the
-// first.
+// Queries a relay for the changes after a revision; the relay waits up to
+// `wait` for the first. Returns nullopt and sets `*fault` on failure.
 using QueryRelay =
     std::function<connection::event::Awaitable<std::optional<StoreItems>>(
         InstancePeer relay,
@@ -72,16 +72,16 @@
         base::Duration wait,
         RelayFault* fault)>;
 
-// The instances of `zone` that relay, of `peers` and this one (`self`); empty
-// where each watches for itself. The same at all instances that know the same
-// peers, and little changed when one comes or goes.
+// Selects the relays of the options' zone from `peers` and `self`; empty if the
+// zone does not share watches. All instances with the same peers select the
+// same relays, and a joining or leaving instance replaces at most one.
 std::vector<base::InstanceId> SelectRelays(
     const std::vector<InstancePeer>& peers,
     const base::InstanceId& self,
     const WatchSharingOptions& options);
 
-// Watches of all keys are shared; lists, and watches of some keys, are the
-// store's. Not thread-safe: lives on the event loop.
+// Only watches of all keys (empty prefix) are shared; lists and watches of a
+// prefix go to the store. Not thread-safe: runs on the event loop.
 class WatchSharing : public ChangeSource {
  public:
   WatchSharing(connection::event::asio::io_context& loop,
@@ -94,18 +94,18 @@
   WatchSharing(const WatchSharing&) = delete;
   WatchSharing& operator=(const WatchSharing&) = delete;
 
-  // For an instance that asks this one. Nothing, and why, if it has to ask
-  // another.
+  // Serves the query of another instance. Returns nullopt and sets `*fault` if
+  // that instance has to query elsewhere.
   connection::event::Awaitable<std::optional<StoreItems>>
   Answer(base::Revision after, base::Duration wait, RelayFault* fault);
 
-  // Whether watches are shared in this zone now.
+  // Whether watches are currently shared in this zone.
   bool Shares() const;
 
   Result<StoreItems> List(std::string prefix,
                           Freshness freshness,
                           StoreFault* fault) override;
-  // Where watches are shared the options' wait holds in place of `wait`.
+  // If watches are shared, `watch_timeout` of the options replaces `wait`.
   Result<StoreItems> Watch(std::string prefix,
                            base::Revision after,
                            base::Duration wait,
@@ -113,15 +113,15 @@
 
  private:
   std::vector<base::InstanceId> Relays() const;
-  // The relays to ask now, half of the zone's instances the one first and half
-  // the other.
+  // The relays that are not backed off, in an order that depends on this
+  // instance, which spreads the zone's instances over them.
   std::vector<InstancePeer> RelaysToQuery(
       const std::vector<base::InstanceId>& relays) const;
   connection::event::Awaitable<std::optional<StoreItems>> QueryRelays(
       const std::vector<InstancePeer>& relays,
       base::Revision after);
   Result<StoreItems> WatchStore(base::Revision after, StoreFault* fault);
-  // The store itself said what changed after a revision.
+  // Records changes after a revision that were read from the store itself.
   void RecordChanges(base::Revision after, const StoreItems& changes);
   void BackOffFromRelay(const InstancePeer& relay, RelayFault fault);
   base::Time FreshUntil() const;
@@ -135,10 +135,10 @@
   const base::Clock clock_;
   base::Metrics& metrics_;
   ChangeHistory history_;
-  // The store itself was last heard, by a list or watch of this instance.
+  // Last successful list or watch of all keys at the store itself.
   std::optional<base::Time> last_store_read_;
   std::map<base::InstanceId, base::Time> backoff_until_;
-  // Of instances that wait for a change here.
+  // Timers of the peer queries that wait for a change.
   std::set<connection::event::asio::steady_timer*> waiting_timers_;
 };
 
