--- a/src/process/peer_datagrams.cc
+++ b/src/process/peer_datagrams.cc
@@ -50,7 +50,7 @@
     *reason = ec.message();
     return false;
   }
-  asio::co_spawn(loop_, Hear(), asio::detached);
+  asio::co_spawn(loop_, ReceiveLoop(), asio::detached);
   return true;
 }
 
@@ -62,22 +62,24 @@
                                                 asio::buffer(body)};
   ErrorCode ec;
   socket_.send_to(parts, to.endpoint, 0, ec);
-  Count(ec ? "not_sent" : "sent");
+  CountOutcome(ec ? "not_sent" : "sent");
 }
 
-void PeerDatagrams::Repeat(base::Duration period, std::function<void()> tell) {
-  asio::co_spawn(loop_, Tell(period, std::move(tell)), asio::detached);
+void PeerDatagrams::Repeat(base::Duration period,
+                           std::function<void()> callback) {
+  asio::co_spawn(loop_, RepeatLoop(period, std::move(callback)),
+                 asio::detached);
 }
 
-Awaitable<void> PeerDatagrams::Tell(base::Duration period,
-                                    std::function<void()> tell) {
+Awaitable<void> PeerDatagrams::RepeatLoop(base::Duration period,
+                                          std::function<void()> callback) {
   while (socket_.is_open()) {
-    tell();
+    callback();
     co_await SleepFor(loop_, period);
   }
 }
 
-Awaitable<void> PeerDatagrams::Hear() {
+Awaitable<void> PeerDatagrams::ReceiveLoop() {
   // Keeps a persistent socket error from spinning the event loop.
   constexpr base::Duration kErrorBackoff = std::chrono::milliseconds(100);
   while (socket_.is_open()) {
@@ -91,15 +93,15 @@
       co_await SleepFor(loop_, kErrorBackoff);
       continue;
     }
-    Take(std::string_view(buffer_.data(), n));
+    Dispatch(std::string_view(buffer_.data(), n));
   }
 }
 
-void PeerDatagrams::Take(std::string_view datagram) {
+void PeerDatagrams::Dispatch(std::string_view datagram) {
   const auto& peers = presence_.Peers();
   const auto peer = std::ranges::find(peers, sender_, &InstancePeer::endpoint);
   if (peer == peers.end()) {
-    Count("from_unknown");
+    CountOutcome("from_unknown");
     return;
   }
   const auto handler =
@@ -107,14 +109,14 @@
           ? handlers_.end()
           : handlers_.find(static_cast<DatagramKind>(datagram.front()));
   if (handler == handlers_.end()) {
-    Count("of_no_kind");
+    CountOutcome("of_no_kind");
     return;
   }
-  const bool read = handler->second(*peer, datagram.substr(1));
-  Count(read ? "heard" : "malformed");
+  const bool handled = handler->second(*peer, datagram.substr(1));
+  CountOutcome(handled ? "heard" : "malformed");
 }
 
-void PeerDatagrams::Count(const char* outcome) {
+void PeerDatagrams::CountOutcome(const char* outcome) {
   metrics_.GetCounter("lynxglade_peer_datagrams_total", {{"outcome", outcome}})
       .Add();
 }
--- a/src/process/peer_datagrams.h
+++ b/src/process/peer_datagrams.h
@@ -56,14 +56,14 @@
   // Sends without blocking; a datagram that cannot be sent at once is dropped.
   void Send(const InstancePeer& to, DatagramKind kind, std::string_view body);
   // Calls `callback` at once and then every `period` while the socket is open.
-  void Repeat(base::Duration period, std::function<void()> tell);
+  void Repeat(base::Duration period, std::function<void()> callback);
 
  private:
-  connection::event::Awaitable<void> Hear();
-  connection::event::Awaitable<void> Tell(base::Duration period,
-                                          std::function<void()> tell);
-  void Take(std::string_view datagram);
-  void Count(const char* outcome);
+  connection::event::Awaitable<void> ReceiveLoop();
+  connection::event::Awaitable<void> RepeatLoop(base::Duration period,
+                                                std::function<void()> callback);
+  void Dispatch(std::string_view datagram);
+  void CountOutcome(const char* outcome);
 
   connection::event::asio::io_context& loop_;
   const InstancePresence& presence_;
