--- a/src/process/avoidance_sharing.cc
+++ b/src/process/avoidance_sharing.cc
@@ -84,10 +84,10 @@
       clock_(std::move(clock)) {}
 
 void AvoidanceSharing::Start() {
-  datagrams_.Handle(DatagramKind::kAvoided,
-                    [this](const InstancePeer& from, std::string_view bytes) {
-                      return Take(from, bytes);
-                    });
+  datagrams_.SetHandler(DatagramKind::kAvoided, [this](const InstancePeer& from,
+                                                       std::string_view bytes) {
+    return Take(from, bytes);
+  });
   datagrams_.Repeat(options_.period, [this] { TellOnce(); });
 }
 
--- a/src/process/peer_datagrams.cc
+++ b/src/process/peer_datagrams.cc
@@ -33,7 +33,7 @@
       metrics_(metrics),
       socket_(loop) {}
 
-void PeerDatagrams::Handle(DatagramKind kind, Handler handler) {
+void PeerDatagrams::SetHandler(DatagramKind kind, Handler handler) {
   handlers_[kind] = std::move(handler);
 }
 
--- a/src/process/peer_datagrams.h
+++ b/src/process/peer_datagrams.h
@@ -48,7 +48,7 @@
   PeerDatagrams& operator=(const PeerDatagrams&) = delete;
 
   // Sets the handler of a kind, replacing an earlier one.
-  void Handle(DatagramKind kind, Handler handler);
+  void SetHandler(DatagramKind kind, Handler handler);
   // Opens the socket and starts to receive. Returns false and sets `*reason` if
   // the endpoint cannot be bound.
   bool Start(std::string* reason);
--- a/src/process/read_sharing.cc
+++ b/src/process/read_sharing.cc
@@ -98,10 +98,10 @@
       clock_(std::move(clock)) {}
 
 void ReadSharing::Start() {
-  datagrams_.Handle(DatagramKind::kReads,
-                    [this](const InstancePeer& from, std::string_view bytes) {
-                      return Take(from, bytes);
-                    });
+  datagrams_.SetHandler(DatagramKind::kReads, [this](const InstancePeer& from,
+                                                     std::string_view bytes) {
+    return Take(from, bytes);
+  });
   datagrams_.Repeat(options_.period, [this] { TellOnce(); });
 }
 
--- a/src/process/retry_loans.cc
+++ b/src/process/retry_loans.cc
@@ -30,14 +30,15 @@
       metrics_(metrics) {}
 
 void RetryLoans::Start() {
-  datagrams_.Handle(DatagramKind::kLoanRequest,
-                    [this](const InstancePeer& from, std::string_view body) {
-                      return HandleRequest(from, body);
-                    });
-  datagrams_.Handle(DatagramKind::kLoan,
-                    [this](const InstancePeer& from, std::string_view body) {
-                      return HandleLoan(from, body);
-                    });
+  datagrams_.SetHandler(
+      DatagramKind::kLoanRequest,
+      [this](const InstancePeer& from, std::string_view body) {
+        return HandleRequest(from, body);
+      });
+  datagrams_.SetHandler(DatagramKind::kLoan, [this](const InstancePeer& from,
+                                                    std::string_view body) {
+    return HandleLoan(from, body);
+  });
 }
 
 void RetryLoans::RequestLoan(const base::ServiceName& service, double wanted) {
