--- a/src/process/retry_loans.cc
+++ b/src/process/retry_loans.cc
@@ -72,8 +72,8 @@
   std::vector<InstancePeer> peers = hooks_.peers();
   const std::size_t n = std::min(options_.max_asked_peers, peers.size());
   for (std::size_t i = 0; i < n; ++i) {
-    const auto other = i + base::UniformBelow(random_, peers.size() - i);
-    std::swap(peers[i], peers[other]);
+    const auto j = i + base::UniformBelow(random_, peers.size() - i);
+    std::swap(peers[i], peers[j]);
   }
   peers.resize(n);
   return peers;
@@ -89,13 +89,13 @@
     CountOutcome("other_service");
     return true;
   }
-  const double lent = allowance_.Lend(request->service, request->wanted,
-                                      hooks_.instances(), clock_());
-  if (lent > 0) {
+  const double granted = allowance_.Lend(request->service, request->wanted,
+                                         hooks_.instances(), clock_());
+  if (granted > 0) {
     datagrams_.Send(from, DatagramKind::kLoan,
-                    EncodeLoan({request->request_id, lent}));
+                    EncodeLoan({request->request_id, granted}));
   }
-  CountOutcome(lent > 0 ? "lent" : "none_to_spare");
+  CountOutcome(granted > 0 ? "lent" : "none_to_spare");
   return true;
 }
 
@@ -104,24 +104,24 @@
   if (!loan) {
     return false;
   }
-  const auto asked = std::ranges::find_if(requests_, [&loan](const auto& it) {
+  const auto pending = std::ranges::find_if(requests_, [&loan](const auto& it) {
     return it.second.request_id == loan->request_id;
   });
-  const bool fits =
-      asked != requests_.end() &&
-      clock_() <= asked->second.sent_at + options_.request_timeout &&
-      asked->second.pending_lenders.erase(from.instance) > 0;
-  if (!fits) {
+  const bool is_expected =
+      pending != requests_.end() &&
+      clock_() <= pending->second.sent_at + options_.request_timeout &&
+      pending->second.pending_lenders.erase(from.instance) > 0;
+  if (!is_expected) {
     CountOutcome("late");
     return true;
   }
-  asked->second.answered = true;
+  pending->second.answered = true;
   Log(LogLevel::kInfo, "retries_borrowed",
-      {{"service", asked->first.str()},
+      {{"service", pending->first.str()},
        {"lender", from.instance.str()},
        {"arrivals", loan->arrivals},
-       {"age_ms", base::ToMillis(clock_() - asked->second.sent_at)}});
-  allowance_.Borrow(asked->first, loan->arrivals, asked->second.sent_at);
+       {"age_ms", base::ToMillis(clock_() - pending->second.sent_at)}});
+  allowance_.Borrow(pending->first, loan->arrivals, pending->second.sent_at);
   CountOutcome("borrowed");
   return true;
 }
