--- a/fuzz/loan_messages.cc
+++ b/fuzz/loan_messages.cc
@@ -17,7 +17,7 @@
                 "no more than was lent");
   }
   if (const auto request = process::DecodeLoanRequest(bytes)) {
-    fuzz::Check(request->wanted <= process::kMaxLoanArrivals,
+    fuzz::Check(request->arrivals <= process::kMaxLoanArrivals,
                 "a bounded question");
     const auto again =
         process::DecodeLoanRequest(process::EncodeLoanRequest(*request));
--- a/src/process/loan_messages.cc
+++ b/src/process/loan_messages.cc
@@ -62,7 +62,7 @@
 std::string EncodeLoanRequest(const LoanRequest& request) {
   return connection::EncodeCbor(
       json::array({kVersion, request.request_id.value(), request.service.str(),
-                   ToThousandths(request.wanted)}));
+                   ToThousandths(request.arrivals)}));
 }
 
 std::optional<LoanRequest> DecodeLoanRequest(std::string_view bytes) {
@@ -71,13 +71,13 @@
     return std::nullopt;
   }
   const auto request_id = ReadRequestId((*message)[1]);
-  const auto wanted = ReadArrivals((*message)[3]);
-  if (!request_id || !wanted) {
+  const auto arrivals = ReadArrivals((*message)[3]);
+  if (!request_id || !arrivals) {
     return std::nullopt;
   }
   return LoanRequest{*request_id,
                      base::ServiceName((*message)[2].get<std::string>()),
-                     *wanted};
+                     *arrivals};
 }
 
 std::string EncodeLoan(const Loan& loan) {
--- a/src/process/loan_messages.h
+++ b/src/process/loan_messages.h
@@ -23,7 +23,7 @@
   LoanRequestId request_id;
   base::ServiceName service = base::ServiceName("");
   // Arrivals.
-  double wanted = 0;
+  double arrivals = 0;
 };
 
 struct Loan {
--- a/src/process/retry_loans.cc
+++ b/src/process/retry_loans.cc
@@ -41,7 +41,8 @@
   });
 }
 
-void RetryLoans::RequestLoan(const base::ServiceName& service, double wanted) {
+void RetryLoans::RequestLoan(const base::ServiceName& service,
+                             double arrivals) {
   const base::Time now = clock_();
   PendingRequest& pending = requests_[service];
   if (pending.sent_at != base::Time{} &&
@@ -60,7 +61,7 @@
   pending.request_id = LoanRequestId(random_());
   pending.pending_lenders.clear();
   const std::string request =
-      EncodeLoanRequest({pending.request_id, service, wanted});
+      EncodeLoanRequest({pending.request_id, service, arrivals});
   for (const InstancePeer& peer : peers) {
     pending.pending_lenders.insert(peer.instance);
     datagrams_.Send(peer, DatagramKind::kLoanRequest, request);
@@ -89,7 +90,7 @@
     CountOutcome("other_service");
     return true;
   }
-  const double granted = allowance_.Lend(request->service, request->wanted,
+  const double granted = allowance_.Lend(request->service, request->arrivals,
                                          hooks_.instances(), clock_());
   if (granted > 0) {
     datagrams_.Send(from, DatagramKind::kLoan,
--- a/src/process/retry_loans.h
+++ b/src/process/retry_loans.h
@@ -63,7 +63,7 @@
   // Starts to handle requests and loans from peers.
   void Start();
   // Requests `wanted` arrivals, unless the request interval has not passed.
-  void RequestLoan(const base::ServiceName& service, double wanted);
+  void RequestLoan(const base::ServiceName& service, double arrivals);
 
  private:
   // The last request for a service.
--- a/tests/process/loan_messages_test.cc
+++ b/tests/process/loan_messages_test.cc
@@ -26,7 +26,7 @@
   RC_ASSERT(request.has_value());
   RC_ASSERT(request->request_id == request_id);
   RC_ASSERT(request->service == service);
-  RC_ASSERT(request->wanted <= arrivals);
+  RC_ASSERT(request->arrivals <= arrivals);
 }
 
 TEST(LoanMessages, AmountsAreBounded) {
@@ -48,7 +48,7 @@
     RC_ASSERT(
         (!read || (read->arrivals >= 0 && read->arrivals <= kMaxLoanArrivals)));
     const auto request = DecodeLoanRequest(it);
-    RC_ASSERT((!request || request->wanted <= kMaxLoanArrivals));
+    RC_ASSERT((!request || request->arrivals <= kMaxLoanArrivals));
   }
 }
 
