--- a/src/process/retry_loans.cc
+++ b/src/process/retry_loans.cc
@@ -91,7 +91,7 @@
     return true;
   }
   const double granted = allowance_.Lend(request->service, request->arrivals,
-                                         hooks_.instances(), clock_());
+                                         hooks_.instance_count(), clock_());
   if (granted > 0) {
     datagrams_.Send(from, DatagramKind::kLoan,
                     EncodeLoan({request->request_id, granted}));
--- a/src/process/retry_loans.h
+++ b/src/process/retry_loans.h
@@ -42,7 +42,7 @@
   // Peers that a request may be sent to.
   std::function<std::vector<InstancePeer>()> peers;
   // Number of instances that may be up, including this one.
-  std::function<int()> instances;
+  std::function<int()> instance_count;
   // Whether the current configuration contains the service.
   std::function<bool(const base::ServiceName& service)> is_served;
 };
--- a/tests/process/retry_loans_test.cc
+++ b/tests/process/retry_loans_test.cc
@@ -31,7 +31,7 @@
               allowance,
               datagrams,
               {.peers = [&test, name] { return test.Others(name); },
-               .instances = [] { return 1; },
+               .instance_count = [] { return 1; },
                .is_served =
                    [](const base::ServiceName& it) { return it == kService; }},
               {},
