--- a/src/process/change_relay.cc
+++ b/src/process/change_relay.cc
@@ -30,21 +30,21 @@
 constexpr std::string_view kPath = "/v1/changes-after/";
 constexpr std::int64_t kMaxWaitMs = 10'000;
 // Added to the wait for the round trip and a busy relay.
-constexpr base::Duration kAnswerSlack = std::chrono::milliseconds(400);
-constexpr std::size_t kMaxAnswerBytes = std::size_t{512} * 1024;
+constexpr base::Duration kResponseMargin = std::chrono::milliseconds(400);
+constexpr std::size_t kMaxResponseBytes = std::size_t{512} * 1024;
 // Connections from instances of the zone; far more than a zone has instances.
-constexpr std::size_t kMaxAskers = 512;
+constexpr std::size_t kMaxConnections = 512;
 constexpr unsigned kHttp11 = 11;
 
 constexpr http::status kNotWatchingStatus = http::status::service_unavailable;
 constexpr http::status kAskStoreStatus = http::status::gone;
 
-struct Question {
+struct Query {
   base::Revision after;
   base::Duration wait{};
 };
 
-std::optional<Question> ReadQuestion(std::string_view target) {
+std::optional<Query> ParseQuery(std::string_view target) {
   const std::size_t slash = target.rfind('/');
   if (!target.starts_with(kPath) || slash < kPath.size()) {
     return std::nullopt;
@@ -56,10 +56,10 @@
   if (!after || !wait) {
     return std::nullopt;
   }
-  return Question{base::Revision(*after), std::chrono::milliseconds(*wait)};
+  return Query{base::Revision(*after), std::chrono::milliseconds(*wait)};
 }
 
-RelayFault FaultOf(http::status status) {
+RelayFault ToRelayFault(http::status status) {
   switch (status) {
     case kNotWatchingStatus:
       return RelayFault::kNotWatching;
@@ -85,22 +85,23 @@
                             kHttp11);
     request.set(http::field::host, endpoint.address().to_string());
     ExchangeState end{};
-    const auto answer = co_await Call(
-        loop, channels, endpoint, std::move(request),
-        {.timeout = wait + kAnswerSlack, .max_answer_bytes = kMaxAnswerBytes},
-        &end);
-    if (!answer) {
+    const auto response =
+        co_await Call(loop, channels, endpoint, std::move(request),
+                      {.timeout = wait + kResponseMargin,
+                       .max_answer_bytes = kMaxResponseBytes},
+                      &end);
+    if (!response) {
       // Other pooled connections to the relay may be dead as well.
       channels.Forget(endpoint);
       *fault = end == ExchangeState::kCancelled ? RelayFault::kTimeout
                                                 : RelayFault::kUnreachable;
       co_return std::nullopt;
     }
-    if (answer->status != http::status::ok) {
-      *fault = FaultOf(answer->status);
+    if (response->status != http::status::ok) {
+      *fault = ToRelayFault(response->status);
       co_return std::nullopt;
     }
-    auto changes = DecodeChanges(answer->body);
+    auto changes = DecodeChanges(response->body);
     if (!changes) {
       *fault = RelayFault::kMalformed;
     }
@@ -116,7 +117,7 @@
     : watches_(watches),
       server_(
           loop,
-          {.endpoint = std::move(endpoint), .max_connections = kMaxAskers},
+          {.endpoint = std::move(endpoint), .max_connections = kMaxConnections},
           [] { return CallerBounds(); },
           [this](std::shared_ptr<CallerRequest> request, CallerReply& reply) {
             return Serve(std::move(request), reply);
@@ -128,15 +129,15 @@
                                    CallerReply& reply) {
   connection::event::AnswerHead head;
   std::string body;
-  const auto question = ReadQuestion(View(request->head.target()));
-  if (!question) {
+  const auto query = ParseQuery(View(request->head.target()));
+  if (!query) {
     head.status = static_cast<unsigned>(http::status::bad_request);
     co_await reply.SendWhole(std::move(head), body);
     co_return;
   }
   RelayFault fault{};
   const auto changes =
-      co_await watches_.Answer(question->after, question->wait, &fault);
+      co_await watches_.Answer(query->after, query->wait, &fault);
   auto message = changes ? EncodeChanges(*changes) : std::nullopt;
   if (message) {
     head.status = static_cast<unsigned>(http::status::ok);
