--- a/src/process/change_history.cc
+++ b/src/process/change_history.cc
@@ -9,19 +9,19 @@
     : options_(options) {}
 
 void ChangeHistory::Add(base::Revision after, const StoreItems& changes) {
-  if (!start_ || after > at_) {
+  if (!start_ || after > revision_) {
     start_ = after;
-    at_ = after;
+    revision_ = after;
     changes_.clear();
     bytes_ = 0;
   }
   for (const StoreItem& item : changes.items) {
-    if (item.revision > at_) {
+    if (item.revision > revision_) {
       bytes_ += item.value.size();
       changes_.push_back(item);
     }
   }
-  at_ = std::max(at_, changes.at);
+  revision_ = std::max(revision_, changes.at);
   Trim();
 }
 
@@ -30,7 +30,7 @@
     return std::nullopt;
   }
   StoreItems found;
-  found.at = std::max(at_, revision);
+  found.at = std::max(revision_, revision);
   std::ranges::copy_if(
       changes_, std::back_inserter(found.items),
       [revision](const StoreItem& it) { return it.revision > revision; });
--- a/src/process/change_history.h
+++ b/src/process/change_history.h
@@ -36,7 +36,7 @@
   std::optional<StoreItems> After(base::Revision revision) const;
 
   // The revision up to which the history is complete.
-  base::Revision at() const noexcept { return at_; }
+  base::Revision at() const noexcept { return revision_; }
 
  private:
   void Trim();
@@ -45,7 +45,7 @@
   // The history holds changes after this revision; empty before the first
   // Add().
   std::optional<base::Revision> start_;
-  base::Revision at_;
+  base::Revision revision_;
   std::deque<StoreItem> changes_;
   std::size_t bytes_ = 0;
 };
