--- a/src/process/change_history.cc
+++ b/src/process/change_history.cc
@@ -22,7 +22,7 @@
     }
   }
   revision_ = std::max(revision_, changes.at);
-  Trim();
+  EvictOldest();
 }
 
 std::optional<StoreItems> ChangeHistory::After(base::Revision revision) const {
@@ -39,7 +39,7 @@
 
 // Changes of one revision are evicted together, so that After() never returns
 // part of a revision.
-void ChangeHistory::Trim() {
+void ChangeHistory::EvictOldest() {
   while (changes_.size() > options_.max_changes ||
          bytes_ > options_.max_bytes) {
     start_ = changes_.front().revision;
--- a/src/process/change_history.h
+++ b/src/process/change_history.h
@@ -39,7 +39,7 @@
   base::Revision at() const noexcept { return revision_; }
 
  private:
-  void Trim();
+  void EvictOldest();
 
   const ChangeHistoryOptions options_;
   // The history holds changes after this revision; empty before the first
