--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -206,15 +206,17 @@
           room,
           clock,
           metrics),
-      store_follower(
-          loop,
-          watches,
-          {.gather =
-               [this] { return watches.Shares() ? kGatherShared : kGather; }},
-          StoreHooks(),
-          clock,
-          random,
-          metrics),
+      store_follower(loop,
+                     watches,
+                     {.gather =
+                          [this] {
+                            return watches.IsSharing() ? kGatherShared
+                                                       : kGather;
+                          }},
+                     StoreHooks(),
+                     clock,
+                     random,
+                     metrics),
       relay(MakeRelayParts()),
       callers(
           loop,
@@ -257,7 +259,7 @@
   retry_loans.emplace(allowance, *datagrams,
                       process::RetryLoansHooks{
                           .peers = peers,
-                          .instances = [this] { return presence.Count(); },
+                          .instance_count = [this] { return presence.Count(); },
                           .is_served =
                               [this](const base::ServiceName& service) {
                                 return views.routes() &&
--- a/src/process/change_history.h
+++ b/src/process/change_history.h
@@ -36,7 +36,7 @@
   std::optional<StoreItems> After(base::Revision revision) const;
 
   // The revision up to which the history is complete.
-  base::Revision at() const noexcept { return revision_; }
+  base::Revision revision() const noexcept { return revision_; }
 
  private:
   void EvictOldest();
--- a/src/process/watch_sharing.cc
+++ b/src/process/watch_sharing.cc
@@ -101,7 +101,7 @@
   }
 }
 
-bool WatchSharing::Shares() const {
+bool WatchSharing::IsSharing() const {
   return !Relays().empty();
 }
 
--- a/src/process/watch_sharing.h
+++ b/src/process/watch_sharing.h
@@ -1,4 +1,4 @@
-// Shares store watches within an availability zone: in a large zone a few
+// IsSharing store watches within an availability zone: in a large zone a few
 // relay instances watch the store, and the others query the relays for changes.
 //
 // This reduces calls to the store, each of which has a cost, long polls
@@ -100,7 +100,7 @@
   Answer(base::Revision after, base::Duration wait, RelayFault* fault);
 
   // Whether watches are currently shared in this zone.
-  bool Shares() const;
+  bool IsSharing() const;
 
   Result<StoreItems> List(std::string prefix,
                           Freshness freshness,
--- a/tests/process/change_history_test.cc
+++ b/tests/process/change_history_test.cc
@@ -47,7 +47,7 @@
         found->items, std::back_inserter(revisions),
         [](const StoreItem& it) { return it.revision.value(); });
     std::vector<std::int64_t> expected;
-    for (std::int64_t i = from + 1; i <= history.at().value(); ++i) {
+    for (std::int64_t i = from + 1; i <= history.revision().value(); ++i) {
       expected.push_back(i);
     }
     RC_ASSERT(revisions == expected);
