--- a/src/process/generation_demand.cc
+++ b/src/process/generation_demand.cc
@@ -14,17 +14,18 @@
 
 }  // namespace
 
-GenerationDemand::GenerationDemand(GenerationDemandOptions options,
-                                   request::passthrough::EngineCapacity room)
-    : options_(options), room_(std::move(room)) {}
+GenerationDemand::GenerationDemand(
+    GenerationDemandOptions options,
+    request::passthrough::EngineCapacity capacity)
+    : options_(options), capacity_(std::move(capacity)) {}
 
 double GenerationDemand::TargetAnswers(
     const request::passthrough::Engine& engine,
     base::Time now) const {
   const double slots = std::max(engine.entry.slots, 1);
-  const double room = room_ ? room_(engine, now) : slots;
+  const double capacity = capacity_ ? capacity_(engine, now) : slots;
   return std::min(options_.max_slot_fill * slots,
-                  options_.max_room_fill * room);
+                  options_.max_capacity_fill * capacity);
 }
 
 void GenerationDemand::Observe(const std::vector<EngineHandle>& engines,
--- a/src/process/generation_demand.h
+++ b/src/process/generation_demand.h
@@ -20,7 +20,7 @@
   double max_slot_fill = 0.6;
   // The same as a fraction of its room. Below 1, so that another engine is
   // added before answers are rejected.
-  double max_room_fill = 0.9;
+  double max_capacity_fill = 0.9;
   // The number of engines is reduced only if the remaining ones could take the
   // answers times this factor. Prevents flapping: each change takes an engine
   // out of service for about three seconds.
@@ -38,7 +38,7 @@
  public:
   // `room` may be empty; an engine's room is then its number of slots.
   explicit GenerationDemand(GenerationDemandOptions options = {},
-                            request::passthrough::EngineCapacity room = {});
+                            request::passthrough::EngineCapacity capacity = {});
   GenerationDemand(const GenerationDemand&) = delete;
   GenerationDemand& operator=(const GenerationDemand&) = delete;
 
@@ -62,7 +62,7 @@
                        base::Time now) const;
 
   const GenerationDemandOptions options_;
-  const request::passthrough::EngineCapacity room_;
+  const request::passthrough::EngineCapacity capacity_;
   base::Time first_observed_at_{};
   base::Time last_observed_at_{};
   double answers_ = 0;
