--- a/src/process/stage_orders.cc
+++ b/src/process/stage_orders.cc
@@ -44,7 +44,7 @@
     std::function<std::vector<base::ServiceName>()> services,
     std::function<bool()> idle,
     std::function<base::Duration(const base::ServiceName&)> backlog,
-    request::passthrough::EngineCapacity room,
+    request::passthrough::EngineCapacity capacity,
     base::Clock clock,
     base::Metrics& metrics)
     : loop_(loop),
@@ -55,7 +55,7 @@
       services_(std::move(services)),
       idle_(std::move(idle)),
       backlog_(std::move(backlog)),
-      room_(std::move(room)),
+      capacity_(std::move(capacity)),
       clock_(std::move(clock)),
       metrics_(metrics) {}
 
@@ -87,7 +87,7 @@
 }
 
 GenerationDemand& StageOrders::DemandOf(const base::ServiceName& service) {
-  return demand_.try_emplace(service, GenerationDemandOptions(), room_)
+  return demand_.try_emplace(service, GenerationDemandOptions(), capacity_)
       .first->second;
 }
 
--- a/src/process/stage_orders.h
+++ b/src/process/stage_orders.h
@@ -100,7 +100,7 @@
               std::function<bool()> idle,
               // The current average wait of a prompt for prefill.
               std::function<base::Duration(const base::ServiceName&)> backlog,
-              request::passthrough::EngineCapacity room,
+              request::passthrough::EngineCapacity capacity,
               base::Clock clock,
               base::Metrics& metrics);
   StageOrders(const StageOrders&) = delete;
@@ -125,7 +125,7 @@
   const std::function<std::vector<base::ServiceName>()> services_;
   const std::function<bool()> idle_;
   const std::function<base::Duration(const base::ServiceName&)> backlog_;
-  const request::passthrough::EngineCapacity room_;
+  const request::passthrough::EngineCapacity capacity_;
   const base::Clock clock_;
   base::Metrics& metrics_;
   bool stopped_ = false;
