--- a/src/process/generation_demand.h
+++ b/src/process/generation_demand.h
@@ -18,7 +18,7 @@
 struct GenerationDemandOptions {
   // Concurrent answers per engine, as a fraction of its slots.
   double max_slot_fill = 0.6;
-  // The same as a fraction of its room. Below 1, so that another engine is
+  // The same as a fraction of its capacity. Below 1, so that another engine is
   // added before answers are rejected.
   double max_capacity_fill = 0.9;
   // The number of engines is reduced only if the remaining ones could take the
@@ -36,7 +36,7 @@
 // Not thread-safe: runs on the event loop.
 class GenerationDemand {
  public:
-  // `room` may be empty; an engine's room is then its number of slots.
+  // `capacity` may be empty; an engine's capacity is then its number of slots.
   explicit GenerationDemand(GenerationDemandOptions options = {},
                             request::passthrough::EngineCapacity capacity = {});
   GenerationDemand(const GenerationDemand&) = delete;
--- a/src/process/loan_messages.h
+++ b/src/process/loan_messages.h
@@ -1,4 +1,4 @@
-// CBOR messages by which instances borrow retry allowance from each other.
+// CBOR messages by which instances borrow retry budget from each other.
 #ifndef LYNXGLADE_PROCESS_LOAN_MESSAGES_H_
 #define LYNXGLADE_PROCESS_LOAN_MESSAGES_H_
 
--- a/src/process/peer_datagrams.h
+++ b/src/process/peer_datagrams.h
@@ -26,7 +26,7 @@
 enum class DatagramKind : std::uint8_t {
   // Prefill work that an instance has at engines (read_sharing.h).
   kReads = 1,
-  // Requests and loans of retry allowance (retry_loans.h).
+  // Requests and loans of retry budget (retry_loans.h).
   kLoanRequest = 2,
   kLoan = 3,
   // Targets that an instance avoids (avoidance_sharing.h).
--- a/src/process/retry_loans.h
+++ b/src/process/retry_loans.h
@@ -1,5 +1,5 @@
-// Borrows retry allowance from other instances when this instance runs short,
-// and lends its own. retry_allowance.h explains why the fleet's bound holds.
+// Borrows retry budget from other instances when this instance runs short, and
+// lends its own. shared_retry_budget.h explains why the fleet's bound holds.
 //
 // A request goes to a few randomly chosen peers of those that exchange
 // prefill reports (read_sharing.h). Nothing blocks on the response: without
--- a/tests/process/change_history_test.cc
+++ b/tests/process/change_history_test.cc
@@ -13,12 +13,12 @@
 namespace lynxglade::process {
 namespace {
 
-TEST(ChangeHistory, KnowsNothingBeforeItHeard) {
+TEST(ChangeHistory, EmptyHistoryHasNoAnswer) {
   ChangeHistory history;
   EXPECT_FALSE(history.After(base::Revision(0)));
 }
 
-TEST(ChangeHistory, BeginsAnewAfterAGap) {
+TEST(ChangeHistory, RestartsAfterAGap) {
   ChangeHistory history;
   history.Add(base::Revision(1), Changes(2, 5));
   history.Add(base::Revision(8), Changes(9, 10));
@@ -26,9 +26,9 @@
   EXPECT_EQ(history.After(base::Revision(8))->items.size(), 2U);
 }
 
-// Whatever overlaps, whoever asks gets each change once and in order, or is
-// told to ask the store.
-RC_GTEST_PROP(ChangeHistory, GivesEachChangeOnceOrNothing, ()) {
+// With overlapping watch results, After() returns each change once and in
+// order, or nullopt.
+RC_GTEST_PROP(ChangeHistory, ReturnsEachChangeOnceOrNullopt, ()) {
   ChangeHistory history({.max_changes = 12, .max_bytes = 10});
   std::int64_t newest = 0;
   for (int step = 0; step < 40; ++step) {
--- a/tests/process/generation_demand_test.cc
+++ b/tests/process/generation_demand_test.cc
@@ -16,10 +16,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr base::Duration kCalm = milliseconds(5);
-constexpr base::Duration kBusy = milliseconds(200);
+constexpr base::Duration kLowBacklog = milliseconds(5);
+constexpr base::Duration kHighBacklog = milliseconds(200);
 
-// Twelve engines of 64 slots, some of which generate.
+// Twelve engines of 64 slots; the first few decode, the others prefill.
 class GenerationDemandTest : public testing::Test {
  protected:
   GenerationDemandTest() {
@@ -38,7 +38,8 @@
           i < n ? EngineStage::kDecode : EngineStage::kPrefill;
     }
   }
-  // So many answers in all, evenly spread, for a time.
+  // Observes `answers` in flight, spread evenly over the decode engines, for
+  // `time`.
   void Run(int answers, base::Duration backlog, base::Duration time) {
     int generating = 0;
     for (const EngineHandle& it : engines_) {
@@ -62,49 +63,46 @@
   GenerationDemand demand_;
 };
 
-TEST_F(GenerationDemandTest, KeepsWhatIsThereUntilEnoughWasSeen) {
+TEST_F(GenerationDemandTest, KeepsCurrentCountUntilAveragingTimeHasPassed) {
   Run(190, kCalm, seconds(1));
   EXPECT_EQ(demand_.DesiredEngines(), 3);
 }
 
-// The pattern: long answers come for ten seconds, 190 at a time where three
-// engines have 192 slots; the longest then take 20 s and may take 15. Two more
-// engines bring them to 38 each.
-TEST_F(GenerationDemandTest, AnswersThatFillTheirEnginesAskForMore) {
+// 190 answers nearly fill the 192 slots of three engines, so that long ones
+// miss their time limit. Five engines have 38 answers each.
+TEST_F(GenerationDemandTest, AddsEnginesWhenSlotsFillUp) {
   Run(190, kCalm, seconds(8));
   EXPECT_EQ(demand_.DesiredEngines(), 5);
 }
 
-TEST_F(GenerationDemandTest, NoReaderIsTakenFromPromptsThatWait) {
+TEST_F(GenerationDemandTest, AddsNoEnginesDuringPrefillBacklog) {
   Run(190, kBusy, seconds(8));
   EXPECT_EQ(demand_.DesiredEngines(), 3);
 }
 
-// Prompts come instead: engines go back as soon as the answers fit the rest.
-TEST_F(GenerationDemandTest, EnginesGoBackToPromptsThatWait) {
+TEST_F(GenerationDemandTest, ReleasesSpareEnginesDuringPrefillBacklog) {
   Generate(6);
   Run(60, kBusy, seconds(8));
   EXPECT_EQ(demand_.DesiredEngines(), 3);
 }
 
-// Nothing is gained by a change that nobody waits for.
-TEST_F(GenerationDemandTest, EnginesStayWhileNoPromptWaits) {
+// Without a prefill backlog a change would cost time and gain nothing.
+TEST_F(GenerationDemandTest, KeepsSpareEnginesWithoutPrefillBacklog) {
   Generate(6);
   Run(10, kCalm, seconds(8));
   EXPECT_EQ(demand_.DesiredEngines(), 6);
 }
 
-// A burst of a second is over before an engine has changed.
-TEST_F(GenerationDemandTest, AShortBurstAsksForNothing) {
+// A burst of a second ends before an engine has changed stage.
+TEST_F(GenerationDemandTest, ShortBurstAddsNoEngines) {
   Run(60, kCalm, seconds(8));
   Run(150, kCalm, milliseconds(1'000));
   EXPECT_EQ(demand_.DesiredEngines(), 3);
 }
 
-// Guards against: slow engines that are filled until their largest answers end
-// late, while no other is asked to generate. 80 answers are few for three
-// engines of 64 slots, and many for three that are to have 20 each.
-TEST_F(GenerationDemandTest, AnswersThatFillTheRoomAskForMore) {
+// Guards against overloading slow engines, whose capacity is below their
+// slots: 80 answers fit three engines of 64 slots, but not a capacity of 20.
+TEST_F(GenerationDemandTest, AddsEnginesWhenCapacityFillsUp) {
   Run(80, kCalm, seconds(8));
   EXPECT_EQ(demand_.DesiredEngines(), 3);
   GenerationDemand slow({}, [](const Engine&, base::Time) { return 20.0; });
@@ -115,13 +113,12 @@
   EXPECT_EQ(slow.DesiredEngines(), 5);
 }
 
-// However the load stands still, the plan does, too: following it once leaves
-// nothing to follow.
-RC_GTEST_FIXTURE_PROP(GenerationDemandTest, FollowsASteadyLoadOnce, ()) {
+// Under constant load the desired count is stable once it has been applied.
+RC_GTEST_FIXTURE_PROP(GenerationDemandTest, IsStableUnderConstantLoad, ()) {
   const int answers = *rc::gen::inRange(0, 500);
   const base::Duration backlog = *rc::gen::element(kCalm, kBusy);
   Run(answers, backlog, seconds(30));
-  // One engine generates and one reads at least, whatever is asked for.
+  // The plan keeps at least one engine in each stage.
   const auto planned = [this] {
     return std::clamp(demand_.DesiredEngines(), 1, 11);
   };
--- a/tests/process/instance_presence_test.cc
+++ b/tests/process/instance_presence_test.cc
@@ -40,21 +40,21 @@
   InstancePresence presence_;
 };
 
-TEST_F(InstancePresenceTest, WritesItsKeyUnderItsLease) {
+TEST_F(InstancePresenceTest, WritesKeyAgainAfterLeaseExpiry) {
   RunUntil(loop_, [this] { return store_.items().contains(kKey); });
   store_.Expire(*presence_.lease());
   EXPECT_FALSE(store_.items().contains(kKey));
   RunUntil(loop_, [this] { return store_.items().contains(kKey); });
 }
 
-TEST_F(InstancePresenceTest, AKeyThatWasTakenAwayIsWrittenAgain) {
+TEST_F(InstancePresenceTest, RewritesDeletedKey) {
   RunUntil(loop_, [this] { return store_.items().contains(kKey); });
   store_.Remove(kKey);
   Show();
   RunUntil(loop_, [this] { return store_.items().contains(kKey); });
 }
 
-TEST_F(InstancePresenceTest, ManyAreAssumedUntilTheyAreCounted) {
+TEST_F(InstancePresenceTest, AssumesManyInstancesBeforeTheFirstListing) {
   EXPECT_EQ(presence_.Count(), InstancePresenceOptions().assumed_instances);
   store_.Write("lynxglade/instances/a", "a");
   store_.Write("lynxglade/instances/b", "b");
@@ -63,9 +63,9 @@
   EXPECT_EQ(presence_.Count(), 2);
 }
 
-// Instances whose keys vanish may go on serving: what they may spend is not
-// dealt out anew at once.
-TEST_F(InstancePresenceTest, TheCountFallsOnlyAfterAWhile) {
+// Instances whose keys have vanished may still be serving, so their share of
+// fleet-wide budgets is not redistributed at once.
+TEST_F(InstancePresenceTest, CountFallsOnlyAfterHoldTime) {
   store_.Write("lynxglade/instances/a", "a");
   store_.Write("lynxglade/instances/b", "b");
   Show();
@@ -77,7 +77,7 @@
   EXPECT_EQ(presence_.Count(), 1);
 }
 
-TEST_F(InstancePresenceTest, LeavingRemovesTheKeyAtOnce) {
+TEST_F(InstancePresenceTest, LeaveRemovesTheKeyAtOnce) {
   RunUntil(loop_, [this] { return store_.items().contains(kKey); });
   asio::co_spawn(loop_, presence_.Leave(), asio::detached);
   RunUntil(loop_, [this] { return !store_.items().contains(kKey); });
--- a/tests/process/loan_messages_test.cc
+++ b/tests/process/loan_messages_test.cc
@@ -11,8 +11,8 @@
 namespace lynxglade::process {
 namespace {
 
-// Of what is lent a message never says more.
-RC_GTEST_PROP(LoanMessages, AreReadAsTheyWereWritten, ()) {
+// Amounts are rounded down, so that a loan never grows in transit.
+RC_GTEST_PROP(LoanMessages, RoundTrip, ()) {
   const LoanRequestId request_id(*rc::gen::arbitrary<std::uint64_t>());
   const double arrivals = *rc::gen::inRange(0, 100'000) / 1000.0;
   const auto loan = DecodeLoan(EncodeLoan({request_id, arrivals}));
@@ -37,7 +37,7 @@
 }
 
 RC_GTEST_PROP(LoanMessages,
-              BytesOfAnotherOriginAreRefusedOrBounded,
+              ArbitraryBytesAreRejectedOrBounded,
               (std::string bytes)) {
   std::string loan = EncodeLoan({LoanRequestId(7), 2.5});
   loan[*rc::gen::inRange<std::size_t>(0, loan.size())] =
@@ -52,7 +52,7 @@
   }
 }
 
-TEST(LoanMessages, OneIsNotTakenForTheOther) {
+TEST(LoanMessages, RequestAndLoanAreNotInterchangeable) {
   const LoanRequestId request_id(7);
   const base::ServiceName service("s");
   EXPECT_FALSE(DecodeLoan(EncodeLoanRequest({request_id, service, 1})));
--- a/tests/process/retry_loans_test.cc
+++ b/tests/process/retry_loans_test.cc
@@ -16,8 +16,8 @@
 
 const base::ServiceName kService("llm");
 
-// Two instances; one has no retries of its own, the other ten. Their clock
-// stands still unless a test moves it.
+// Two instances: one has no retry budget, the other ten arrivals. The clock
+// advances only when a test moves it.
 class RetryLoansTest : public PeerTest {
  protected:
   struct Instance : PeerParts {
@@ -68,7 +68,7 @@
   Instance rich_{*this, "rich", 10};
 };
 
-TEST_F(RetryLoansTest, WhatOneHasLeftIsLent) {
+TEST_F(RetryLoansTest, UnusedBudgetIsLent) {
   EXPECT_FALSE(PoorCanHold());
   poor_.loans.RequestLoan(kService, 1);
   RunUntil(loop_, [this] { return poor_.Counted("borrowed") == 1; });
@@ -76,30 +76,30 @@
   EXPECT_EQ(rich_.Counted("lent"), 1);
 }
 
-TEST_F(RetryLoansTest, ALoanThatComesLateCountsForNothing) {
+TEST_F(RetryLoansTest, LateLoanIsIgnored) {
   poor_.loans.RequestLoan(kService, 1);
   now_ += milliseconds(1001);
   RunUntil(loop_, [this] { return poor_.Counted("late") == 1; });
   EXPECT_FALSE(PoorCanHold());
 }
 
-TEST_F(RetryLoansTest, ALoanThatNobodyAskedForCountsForNothing) {
+TEST_F(RetryLoansTest, UnrequestedLoanIsIgnored) {
   rich_.datagrams.Send(poor_.Peer(), DatagramKind::kLoan,
                        EncodeLoan({LoanRequestId(5), 3}));
   RunUntil(loop_, [this] { return poor_.Counted("late") == 1; });
   EXPECT_FALSE(PoorCanHold());
 }
 
-TEST_F(RetryLoansTest, ServicesThatAreNotServedAreNotLentFor) {
+TEST_F(RetryLoansTest, UnknownServiceGetsNoLoan) {
   poor_.loans.RequestLoan(base::ServiceName("other"), 1);
   RunUntil(loop_, [this] { return rich_.Counted("other_service") == 1; });
   EXPECT_EQ(rich_.Counted("lent"), 0);
 }
 
-TEST_F(RetryLoansTest, QuestionsThatBringNothingComeMoreSeldom) {
+TEST_F(RetryLoansTest, BacksOffWhileNoLoanIsGranted) {
   ASSERT_TRUE(rich_.allowance.TryReserve(kService, 10, ArrivalPurpose::kRetry,
                                          1, now_));
-  // At 0, 20, 60, 140 and 300 ms, then every 160 ms.
+  // Requests go out at 0, 20, 60, 140 and 300 ms, then every 160 ms.
   for (int ms = 0; ms <= 2300; ms += 10) {
     poor_.loans.RequestLoan(kService, 1);
     now_ += milliseconds(10);
--- a/tests/process/stage_orders_test.cc
+++ b/tests/process/stage_orders_test.cc
@@ -61,7 +61,7 @@
             [] { return std::vector<base::ServiceName>{kService}; },
             [this] { return idle_; },
             [this](const base::ServiceName&) { return backlog_; },
-            /*room=*/{},
+            /*capacity=*/{},
             clock_,
             metrics_) {
     asio::co_spawn(loop_, presence_.Run(), asio::detached);
--- a/tests/process/watch_sharing_test.cc
+++ b/tests/process/watch_sharing_test.cc
@@ -39,7 +39,7 @@
   return peers;
 }
 
-// --- Who relays
+// --- Relay selection
 
 TEST(SelectRelays, InASmallZoneEachWatchesForItself) {
   const WatchSharingOptions options{.zone = kZone};
@@ -78,7 +78,7 @@
 
 // --- A zone of instances on one loop
 
-// One instance: a follower of the store over its shared watch.
+// One instance: a follower of the store through WatchSharing.
 struct Instance {
   Instance(asio::io_context& loop,
            FakeStorePort& store,
@@ -138,7 +138,7 @@
 
 class WatchSharingTest : public testing::Test {
  protected:
-  // The clock stands still unless a test moves it, so that nothing ages.
+  // The clock advances only when a test moves it, so nothing becomes stale.
   void StartZone(int n) {
     peers_ = Peers(n);
     for (const InstancePeer& peer : peers_) {
@@ -150,7 +150,7 @@
       return std::ranges::all_of(
           zone_, [](const auto& it) { return it->follower.Age().has_value(); });
     });
-    // Relays that had not begun are asked again, and hear the store by then.
+    // The backoff from relays that had not started yet has ended by then.
     now_ += std::chrono::seconds(3);
     store_.Write("start", "1");
     ExpectAllSee();
@@ -220,8 +220,6 @@
   std::map<base::InstanceId, int> asked_;
 };
 
-// The load this answers: 295 instances that each watch the store for
-// themselves, 9,400 calls on a day on which next to nothing changes.
 TEST_F(WatchSharingTest, OnlyRelaysWatchTheStore) {
   StartZone(30);
   for (int i = 0; i < 40; ++i) {
@@ -231,19 +229,19 @@
     }
     ExpectAllSee();
   }
-  // An instance whose relay has not begun asks the store, once or twice.
+  // An instance whose relays have not started queries the store once or twice.
   for (const auto& it : zone_) {
     EXPECT_EQ(IsRelay(*it), it->Watches("store") > 5);
   }
 }
 
-TEST_F(WatchSharingTest, StartingInstancesTakeAListThatMayLag) {
+TEST_F(WatchSharingTest, StartingInstancesAcceptAStaleListing) {
   StartZone(30);
   EXPECT_EQ(store_.lists(), 30);
   EXPECT_EQ(store_.lagging_lists(), 30);
 }
 
-TEST_F(WatchSharingTest, ARelayThatDoesNotAnswerIsAvoidedAndTheStoreAsked) {
+TEST_F(WatchSharingTest, BacksOffFromSilentRelaysAndQueriesTheStore) {
   StartZone(10);
   store_.Write("a", "1");
   ExpectAllSee();
@@ -255,13 +253,13 @@
     store_.Write("a", "x" + std::to_string(i));
     ExpectAllSee();
   }
-  // Once by each other instance at most: the clock stands still.
+  // At most once by each other instance, as the clock does not advance.
   for (const auto& [relay, n] : asked_) {
     EXPECT_LE(n, 8);
   }
 }
 
-TEST_F(WatchSharingTest, OneRelayIsEnough) {
+TEST_F(WatchSharingTest, OneReachableRelayIsEnough) {
   StartZone(10);
   store_.Write("a", "1");
   ExpectAllSee();
@@ -272,8 +270,8 @@
   }
 }
 
-// A relay that is cut off from the store does not say that nothing changes.
-TEST_F(WatchSharingTest, ARelayThatDoesNotHearTheStoreDoesNotAnswerForIt) {
+// Guards against a relay without access to the store reporting "no changes".
+TEST_F(WatchSharingTest, StaleRelayDoesNotServeChanges) {
   StartZone(10);
   store_.Write("a", "1");
   ExpectAllSee();
@@ -296,7 +294,7 @@
   EXPECT_EQ(fault, RelayFault::kNotWatching);
 }
 
-TEST_F(WatchSharingTest, WhatIsTooLargeForARelayComesFromTheStore) {
+TEST_F(WatchSharingTest, TooLargeChangesComeFromTheStore) {
   StartZone(10);
   store_.Write("big", std::string(kMostRelayedBytes + 1, 'x'));
   ExpectAllSee();
@@ -304,11 +302,10 @@
   ExpectAllSee();
 }
 
-// The loads this answers: a store that fails, cuts its watches or drops its
-// history, relays that fall silent, time that passes, in any order; in the end
-// all know what the store holds, and nobody was told an older change after a
-// newer one.
-RC_GTEST_FIXTURE_PROP(WatchSharingTest, AllAgreeAfterAnySeriesOfFaults, ()) {
+// After any sequence of store faults, cut watches, dropped history, relay
+// faults and clock advances, all instances converge to the store's contents and
+// none has received changes out of order.
+RC_GTEST_FIXTURE_PROP(WatchSharingTest, ConvergesAfterAnyFaults, ()) {
   StartZone(10);
   const base::RandomSource random =
       base::SeededRandom(*rc::gen::arbitrary<std::uint64_t>());
@@ -359,7 +356,7 @@
   RC_ASSERT(!HasFailure());
 }
 
-// --- Over connections
+// --- Over TCP connections
 
 class ChangeRelayTest : public WatchSharingTest {
  protected:
@@ -376,7 +373,8 @@
     EXPECT_TRUE(relay_->Start(&reason)) << reason;
   }
 
-  // Asks over a connection; nothing and the fault, or the changes.
+  // Queries the relay over a connection. Returns nullopt and sets `*fault` on
+  // failure.
   std::optional<StoreItems> AskOverConnection(std::int64_t after,
                                               RelayFault* fault) {
     const QueryRelay ask = MakeQueryRelay(loop_, channels_);
@@ -402,13 +400,13 @@
   std::unique_ptr<ChangeRelay> relay_;
 };
 
-TEST_F(ChangeRelayTest, AnInstanceThatDoesNotWatchSaysSo) {
+TEST_F(ChangeRelayTest, InstanceWithoutWatchReportsNotWatching) {
   RelayFault fault{};
   EXPECT_FALSE(AskOverConnection(1, &fault));
   EXPECT_EQ(fault, RelayFault::kNotWatching);
 }
 
-TEST_F(ChangeRelayTest, TellsWhatChanged) {
+TEST_F(ChangeRelayTest, ReturnsChanges) {
   asio::co_spawn(loop_, instance_->follower.Run(), asio::detached);
   RunUntil(loop_, [this] { return instance_->follower.Age().has_value(); });
   const std::int64_t before = 1;
@@ -423,7 +421,7 @@
   EXPECT_TRUE(changes->items[1].deleted);
 }
 
-TEST_F(ChangeRelayTest, NobodyListeningIsUnreachable) {
+TEST_F(ChangeRelayTest, ClosedPortIsUnreachable) {
   const auto port = relay_->port();
   const QueryRelay ask = MakeQueryRelay(loop_, channels_);
   InstancePeer peer = Peer("r");
