--- a/tests/process/generation_demand_test.cc
+++ b/tests/process/generation_demand_test.cc
@@ -29,10 +29,10 @@
       engine->entry.slots = 64;
       engines_.push_back(std::move(engine));
     }
-    Generate(3);
+    SetDecodeEngines(3);
   }
 
-  void Generate(int n) {
+  void SetDecodeEngines(int n) {
     for (int i = 0; i < 12; ++i) {
       engines_[i]->entry.stage =
           i < n ? EngineStage::kDecode : EngineStage::kPrefill;
@@ -64,51 +64,51 @@
 };
 
 TEST_F(GenerationDemandTest, KeepsCurrentCountUntilAveragingTimeHasPassed) {
-  Run(190, kCalm, seconds(1));
+  Run(190, kLowBacklog, seconds(1));
   EXPECT_EQ(demand_.DesiredEngines(), 3);
 }
 
 // 190 answers nearly fill the 192 slots of three engines, so that long ones
 // miss their time limit. Five engines have 38 answers each.
 TEST_F(GenerationDemandTest, AddsEnginesWhenSlotsFillUp) {
-  Run(190, kCalm, seconds(8));
+  Run(190, kLowBacklog, seconds(8));
   EXPECT_EQ(demand_.DesiredEngines(), 5);
 }
 
 TEST_F(GenerationDemandTest, AddsNoEnginesDuringPrefillBacklog) {
-  Run(190, kBusy, seconds(8));
+  Run(190, kHighBacklog, seconds(8));
   EXPECT_EQ(demand_.DesiredEngines(), 3);
 }
 
 TEST_F(GenerationDemandTest, ReleasesSpareEnginesDuringPrefillBacklog) {
-  Generate(6);
-  Run(60, kBusy, seconds(8));
+  SetDecodeEngines(6);
+  Run(60, kHighBacklog, seconds(8));
   EXPECT_EQ(demand_.DesiredEngines(), 3);
 }
 
 // Without a prefill backlog a change would cost time and gain nothing.
 TEST_F(GenerationDemandTest, KeepsSpareEnginesWithoutPrefillBacklog) {
-  Generate(6);
-  Run(10, kCalm, seconds(8));
+  SetDecodeEngines(6);
+  Run(10, kLowBacklog, seconds(8));
   EXPECT_EQ(demand_.DesiredEngines(), 6);
 }
 
 // A burst of a second ends before an engine has changed stage.
 TEST_F(GenerationDemandTest, ShortBurstAddsNoEngines) {
-  Run(60, kCalm, seconds(8));
-  Run(150, kCalm, milliseconds(1'000));
+  Run(60, kLowBacklog, seconds(8));
+  Run(150, kLowBacklog, milliseconds(1'000));
   EXPECT_EQ(demand_.DesiredEngines(), 3);
 }
 
 // Guards against overloading slow engines, whose capacity is below their
 // slots: 80 answers fit three engines of 64 slots, but not a capacity of 20.
 TEST_F(GenerationDemandTest, AddsEnginesWhenCapacityFillsUp) {
-  Run(80, kCalm, seconds(8));
+  Run(80, kLowBacklog, seconds(8));
   EXPECT_EQ(demand_.DesiredEngines(), 3);
   GenerationDemand slow({}, [](const Engine&, base::Time) { return 20.0; });
   for (int i = 0; i < 16; ++i) {
-    Run(80, kCalm, milliseconds(500));
-    slow.Observe(engines_, kCalm, now_);
+    Run(80, kLowBacklog, milliseconds(500));
+    slow.Observe(engines_, kLowBacklog, now_);
   }
   EXPECT_EQ(slow.DesiredEngines(), 5);
 }
@@ -116,14 +116,14 @@
 // Under constant load the desired count is stable once it has been applied.
 RC_GTEST_FIXTURE_PROP(GenerationDemandTest, IsStableUnderConstantLoad, ()) {
   const int answers = *rc::gen::inRange(0, 500);
-  const base::Duration backlog = *rc::gen::element(kCalm, kBusy);
+  const base::Duration backlog = *rc::gen::element(kLowBacklog, kHighBacklog);
   Run(answers, backlog, seconds(30));
   // The plan keeps at least one engine in each stage.
   const auto planned = [this] {
     return std::clamp(demand_.DesiredEngines(), 1, 11);
   };
   const int first = planned();
-  Generate(first);
+  SetDecodeEngines(first);
   Run(answers, backlog, seconds(30));
   RC_ASSERT(planned() == first);
 }
