--- a/tests/process/watch_sharing_test.cc
+++ b/tests/process/watch_sharing_test.cc
@@ -84,14 +84,14 @@
            FakeStorePort& store,
            std::string name,
            const std::vector<InstancePeer>& peers,
-           QueryRelay ask,
+           QueryRelay query,
            const base::Time& now)
       : watches(
             loop,
             store,
             {.instance = base::InstanceId(std::move(name)), .zone = kZone},
             [&peers]() -> const std::vector<InstancePeer>& { return peers; },
-            std::move(ask),
+            std::move(query),
             [&now] { return now; },
             metrics),
         follower(
@@ -107,13 +107,13 @@
                      seen[it.key] = it.value;
                    });
                  },
-             .on_change = [this](const StoreItem& it) { Take(it); },
+             .on_change = [this](const StoreItem& it) { ApplyChange(it); },
              .on_returned = [] {}},
             [&now] { return now; },
             base::SeededRandom(1),
             metrics) {}
 
-  void Take(const StoreItem& it) {
+  void ApplyChange(const StoreItem& it) {
     in_order = in_order && it.revision > last;
     last = it.revision;
     if (it.deleted) {
@@ -143,7 +143,7 @@
     peers_ = Peers(n);
     for (const InstancePeer& peer : peers_) {
       zone_.push_back(std::make_unique<Instance>(
-          loop_, store_, peer.instance.str(), peers_, Ask(), now_));
+          loop_, store_, peer.instance.str(), peers_, MakeFakeQuery(), now_));
       asio::co_spawn(loop_, zone_.back()->follower.Run(), asio::detached);
     }
     RunUntil(loop_, [this] {
@@ -156,10 +156,10 @@
     ExpectAllSee();
   }
 
-  QueryRelay Ask() {
+  QueryRelay MakeFakeQuery() {
     return [this](InstancePeer relay, base::Revision after, base::Duration wait,
                   RelayFault* fault) -> Awaitable<std::optional<StoreItems>> {
-      ++asked_[relay.instance];
+      ++queries_[relay.instance];
       const auto silent = faults_.find(relay.instance);
       if (silent != faults_.end()) {
         *fault = silent->second;
@@ -217,7 +217,7 @@
   std::vector<InstancePeer> peers_;
   std::vector<std::unique_ptr<Instance>> zone_;
   std::map<base::InstanceId, RelayFault> faults_;
-  std::map<base::InstanceId, int> asked_;
+  std::map<base::InstanceId, int> queries_;
 };
 
 TEST_F(WatchSharingTest, OnlyRelaysWatchTheStore) {
@@ -248,13 +248,13 @@
   for (const base::InstanceId& it : Relays()) {
     faults_[it] = RelayFault::kTimeout;
   }
-  asked_.clear();
+  queries_.clear();
   for (int i = 0; i < 10; ++i) {
     store_.Write("a", "x" + std::to_string(i));
     ExpectAllSee();
   }
   // At most once by each other instance, as the clock does not advance.
-  for (const auto& [relay, n] : asked_) {
+  for (const auto& [relay, n] : queries_) {
     EXPECT_LE(n, 8);
   }
 }
@@ -363,7 +363,7 @@
   ChangeRelayTest() {
     peers_ = Peers(10);
     instance_ = std::make_unique<Instance>(loop_, store_, Relays()[0].str(),
-                                           peers_, Ask(), now_);
+                                           peers_, MakeFakeQuery(), now_);
     relay_ = std::make_unique<ChangeRelay>(
         loop_,
         connection::event::Tcp::endpoint(asio::ip::make_address("127.0.0.1"),
@@ -375,9 +375,9 @@
 
   // Queries the relay over a connection. Returns nullopt and sets `*fault` on
   // failure.
-  std::optional<StoreItems> AskOverConnection(std::int64_t after,
-                                              RelayFault* fault) {
-    const QueryRelay ask = MakeQueryRelay(loop_, channels_);
+  std::optional<StoreItems> QueryOverConnection(std::int64_t after,
+                                                RelayFault* fault) {
+    const QueryRelay query = MakeQueryRelay(loop_, channels_);
     InstancePeer peer = Peer("r");
     peer.endpoint.port(relay_->port());
     std::optional<StoreItems> changes;
@@ -385,8 +385,8 @@
     asio::co_spawn(
         loop_,
         [&]() -> Awaitable<void> {
-          changes = co_await ask(peer, base::Revision(after),
-                                 std::chrono::milliseconds(50), fault);
+          changes = co_await query(peer, base::Revision(after),
+                                   std::chrono::milliseconds(50), fault);
           done = true;
         },
         asio::detached);
@@ -402,7 +402,7 @@
 
 TEST_F(ChangeRelayTest, InstanceWithoutWatchReportsNotWatching) {
   RelayFault fault{};
-  EXPECT_FALSE(AskOverConnection(1, &fault));
+  EXPECT_FALSE(QueryOverConnection(1, &fault));
   EXPECT_EQ(fault, RelayFault::kNotWatching);
 }
 
@@ -414,7 +414,7 @@
   store_.Remove("a");
   RunUntil(loop_, [this] { return instance_->last > base::Revision(0); });
   RelayFault fault{};
-  const auto changes = AskOverConnection(before, &fault);
+  const auto changes = QueryOverConnection(before, &fault);
   ASSERT_TRUE(changes) << ToString(fault);
   ASSERT_EQ(changes->items.size(), 2U);
   EXPECT_EQ(changes->items[0].value, "1");
@@ -423,7 +423,7 @@
 
 TEST_F(ChangeRelayTest, ClosedPortIsUnreachable) {
   const auto port = relay_->port();
-  const QueryRelay ask = MakeQueryRelay(loop_, channels_);
+  const QueryRelay query = MakeQueryRelay(loop_, channels_);
   InstancePeer peer = Peer("r");
   peer.endpoint.port(static_cast<std::uint16_t>(port == 1 ? 2 : 1));
   RelayFault fault{};
@@ -431,8 +431,8 @@
   asio::co_spawn(
       loop_,
       [&]() -> Awaitable<void> {
-        co_await ask(peer, base::Revision(1), std::chrono::milliseconds(50),
-                     &fault);
+        co_await query(peer, base::Revision(1), std::chrono::milliseconds(50),
+                       &fault);
         done = true;
       },
       asio::detached);
