--- a/tests/process/retry_loans_test.cc
+++ b/tests/process/retry_loans_test.cc
@@ -47,65 +47,65 @@
   };
 
   void SetUp() override {
-    StartPeers({&poor_, &rich_});
-    poor_.loans.Start();
-    rich_.loans.Start();
+    StartPeers({&borrower_, &lender_});
+    borrower_.loans.Start();
+    lender_.loans.Start();
   }
   std::vector<InstancePeer> Others(const std::string& name) const {
-    return {name == "poor" ? rich_.Peer() : poor_.Peer()};
+    return {name == "poor" ? lender_.Peer() : borrower_.Peer()};
   }
-  bool PoorCanHold() {
-    const auto held = poor_.allowance.TryReserve(
+  bool BorrowerCanReserve() {
+    const auto held = borrower_.allowance.TryReserve(
         kService, 1, ArrivalPurpose::kRetry, 1, now_);
     if (held) {
-      poor_.allowance.Release(kService, *held, now_);
+      borrower_.allowance.Release(kService, *held, now_);
     }
     return held.has_value();
   }
 
   base::Time now_ = base::Time() + std::chrono::hours(1);
-  Instance poor_{*this, "poor", 0};
-  Instance rich_{*this, "rich", 10};
+  Instance borrower_{*this, "poor", 0};
+  Instance lender_{*this, "rich", 10};
 };
 
 TEST_F(RetryLoansTest, UnusedBudgetIsLent) {
-  EXPECT_FALSE(PoorCanHold());
-  poor_.loans.RequestLoan(kService, 1);
-  RunUntil(loop_, [this] { return poor_.Counted("borrowed") == 1; });
-  EXPECT_TRUE(PoorCanHold());
-  EXPECT_EQ(rich_.Counted("lent"), 1);
+  EXPECT_FALSE(BorrowerCanReserve());
+  borrower_.loans.RequestLoan(kService, 1);
+  RunUntil(loop_, [this] { return borrower_.Counted("borrowed") == 1; });
+  EXPECT_TRUE(BorrowerCanReserve());
+  EXPECT_EQ(lender_.Counted("lent"), 1);
 }
 
 TEST_F(RetryLoansTest, LateLoanIsIgnored) {
-  poor_.loans.RequestLoan(kService, 1);
+  borrower_.loans.RequestLoan(kService, 1);
   now_ += milliseconds(1001);
-  RunUntil(loop_, [this] { return poor_.Counted("late") == 1; });
-  EXPECT_FALSE(PoorCanHold());
+  RunUntil(loop_, [this] { return borrower_.Counted("late") == 1; });
+  EXPECT_FALSE(BorrowerCanReserve());
 }
 
 TEST_F(RetryLoansTest, UnrequestedLoanIsIgnored) {
-  rich_.datagrams.Send(poor_.Peer(), DatagramKind::kLoan,
-                       EncodeLoan({LoanRequestId(5), 3}));
-  RunUntil(loop_, [this] { return poor_.Counted("late") == 1; });
-  EXPECT_FALSE(PoorCanHold());
+  lender_.datagrams.Send(borrower_.Peer(), DatagramKind::kLoan,
+                         EncodeLoan({LoanRequestId(5), 3}));
+  RunUntil(loop_, [this] { return borrower_.Counted("late") == 1; });
+  EXPECT_FALSE(BorrowerCanReserve());
 }
 
 TEST_F(RetryLoansTest, UnknownServiceGetsNoLoan) {
-  poor_.loans.RequestLoan(base::ServiceName("other"), 1);
-  RunUntil(loop_, [this] { return rich_.Counted("other_service") == 1; });
-  EXPECT_EQ(rich_.Counted("lent"), 0);
+  borrower_.loans.RequestLoan(base::ServiceName("other"), 1);
+  RunUntil(loop_, [this] { return lender_.Counted("other_service") == 1; });
+  EXPECT_EQ(lender_.Counted("lent"), 0);
 }
 
 TEST_F(RetryLoansTest, BacksOffWhileNoLoanIsGranted) {
-  ASSERT_TRUE(rich_.allowance.TryReserve(kService, 10, ArrivalPurpose::kRetry,
-                                         1, now_));
+  ASSERT_TRUE(lender_.allowance.TryReserve(kService, 10, ArrivalPurpose::kRetry,
+                                           1, now_));
   // Requests go out at 0, 20, 60, 140 and 300 ms, then every 160 ms.
   for (int ms = 0; ms <= 2300; ms += 10) {
-    poor_.loans.RequestLoan(kService, 1);
+    borrower_.loans.RequestLoan(kService, 1);
     now_ += milliseconds(10);
   }
-  EXPECT_EQ(poor_.Counted("asked"), 17);
-  RunUntil(loop_, [this] { return rich_.Counted("none_to_spare") == 17; });
+  EXPECT_EQ(borrower_.Counted("asked"), 17);
+  RunUntil(loop_, [this] { return lender_.Counted("none_to_spare") == 17; });
 }
 
 }  // namespace
