--- a/tests/process/order_authority_test.cc
+++ b/tests/process/order_authority_test.cc
@@ -45,11 +45,11 @@
       asio::co_spawn(loop_, it->presence.Run(), asio::detached);
       RunUntil(loop_, [it] { return it->presence.lease().has_value(); });
     }
-    Show(one_);
-    Show(two_);
+    PassListing(one_);
+    PassListing(two_);
   }
 
-  void Show(Contender& contender) {
+  void PassListing(Contender& contender) {
     std::vector<StoreItem> items;
     for (const auto& [key, item] : store_.items()) {
       items.push_back(item);
@@ -78,9 +78,9 @@
   }
 
   // `contender` acquires the key and its takeover delay passes.
-  void Take(Contender& contender) {
+  void Acquire(Contender& contender) {
     TryAcquire(contender);
-    Show(contender);
+    PassListing(contender);
     now_ += milliseconds(4500);
   }
 
@@ -95,7 +95,7 @@
 
 TEST_F(OrderAuthorityTest, HolderGetsTokenAfterTakeoverDelay) {
   TryAcquire(one_);
-  Show(one_);
+  PassListing(one_);
   EXPECT_FALSE(one_.authority.HeldToken());
   now_ += milliseconds(4499);
   EXPECT_FALSE(one_.authority.HeldToken());
@@ -109,8 +109,8 @@
 TEST_F(OrderAuthorityTest, OnlyOneOfTwoAcquiresTheKey) {
   TryAcquire(one_);
   TryAcquire(two_);
-  Show(one_);
-  Show(two_);
+  PassListing(one_);
+  PassListing(two_);
   now_ += milliseconds(4500);
   EXPECT_TRUE(one_.authority.HeldToken());
   EXPECT_FALSE(two_.authority.HeldToken());
@@ -118,19 +118,19 @@
 
 TEST_F(OrderAuthorityTest, AcquisitionWithLostResponseIsFoundInListing) {
   store_.LoseNextAnswer();
-  Take(one_);
+  Acquire(one_);
   EXPECT_TRUE(ConfirmHeld(one_));
 }
 
 // The store may delete an instance's key without notice: the last observed
 // state still shows it as holder, while reading the key back does not.
 TEST_F(OrderAuthorityTest, KeyDeletedUnnoticedIsNotConfirmed) {
-  Take(one_);
+  Acquire(one_);
   store_.Remove(kKey);
   EXPECT_TRUE(one_.authority.HeldToken());
   EXPECT_FALSE(ConfirmHeld(one_));
-  Show(two_);
-  Take(two_);
+  PassListing(two_);
+  Acquire(two_);
   EXPECT_FALSE(ConfirmHeld(one_));
   EXPECT_TRUE(ConfirmHeld(two_));
 }
@@ -138,43 +138,43 @@
 // Listings may be seconds old. One from before the acquisition neither revokes
 // the authority nor restarts the takeover delay.
 TEST_F(OrderAuthorityTest, StaleListingDoesNotRevokeAuthority) {
-  Take(one_);
+  Acquire(one_);
   one_.authority.OnList({});
   EXPECT_TRUE(one_.authority.HeldToken());
   EXPECT_TRUE(ConfirmHeld(one_));
 }
 
 TEST_F(OrderAuthorityTest, LostKeyIsAcquiredAgain) {
-  Take(one_);
+  Acquire(one_);
   store_.Remove(kKey);
   EXPECT_FALSE(ConfirmHeld(one_));
   EXPECT_FALSE(one_.authority.HeldToken());
-  Take(one_);
+  Acquire(one_);
   EXPECT_TRUE(ConfirmHeld(one_));
 }
 
 TEST_F(OrderAuthorityTest, UnreachableStoreConfirmsNothing) {
-  Take(one_);
+  Acquire(one_);
   store_.Fail(StoreFault::kTimeout);
   EXPECT_FALSE(ConfirmHeld(one_));
 }
 
 // A process restarted under the same instance name has another holder id.
 TEST_F(OrderAuthorityTest, RestartedInstanceIsNotTheHolder) {
-  Take(one_);
+  Acquire(one_);
   Contender again(loop_, store_, "one", clock_);
   store_.Write(kKey, "one/ffff");
-  Show(again);
+  PassListing(again);
   now_ += milliseconds(4500);
   EXPECT_FALSE(again.authority.HeldToken());
 }
 
 TEST_F(OrderAuthorityTest, LaterHolderGetsHigherToken) {
-  Take(one_);
+  Acquire(one_);
   const auto first = ConfirmHeld(one_);
   store_.Expire(*one_.presence.lease());
-  Show(two_);
-  Take(two_);
+  PassListing(two_);
+  Acquire(two_);
   EXPECT_GT(*ConfirmHeld(two_), *first);
 }
 
