--- a/tests/process/order_schedules_test.cc
+++ b/tests/process/order_schedules_test.cc
@@ -27,7 +27,7 @@
 constexpr base::Duration kMinHolderGap = milliseconds(3000);
 constexpr char kKey[] = "lynxglade/orders/holder";
 
-struct Given {
+struct SentOrder {
   std::string by;
   std::int64_t token = 0;
   base::Time at{};
@@ -54,7 +54,7 @@
     }
   }
 
-  const std::vector<Given>& given() const noexcept { return given_; }
+  const std::vector<SentOrder>& sent() const noexcept { return sent_; }
 
  private:
   struct Instance {
@@ -136,7 +136,7 @@
     if (token) {
       const auto wait = milliseconds(
           Draw(static_cast<std::size_t>(base::ToMillis(until - now_)) + 1));
-      given_.push_back(
+      sent_.push_back(
           {instance.presence.instance().str(), token->value(), now_ + wait});
     }
   }
@@ -148,7 +148,7 @@
   FakeStorePort store_{loop_};
   std::vector<std::unique_ptr<Instance>> instances_;
   std::vector<StoreItem> old_list_;
-  std::vector<Given> given_;
+  std::vector<SentOrder> sent_;
 };
 
 RC_GTEST_PROP(OrderSchedules, HoldersKeepTheGapAndTokensRise, ()) {
@@ -159,14 +159,14 @@
   for (int i = 0; i < kSchedules; ++i) {
     Schedule schedule(seed + static_cast<std::uint64_t>(i) * 7919);
     schedule.Run(kSteps);
-    const auto& given = schedule.given();
-    for (std::size_t a = 0; a < given.size(); ++a) {
-      for (std::size_t b = a + 1; b < given.size(); ++b) {
-        if (given[a].by == given[b].by) {
+    const auto& sent = schedule.sent();
+    for (std::size_t a = 0; a < sent.size(); ++a) {
+      for (std::size_t b = a + 1; b < sent.size(); ++b) {
+        if (sent[a].by == sent[b].by) {
           continue;
         }
-        RC_ASSERT(given[a].token < given[b].token);
-        RC_ASSERT(given[b].at - given[a].at >= kMinHolderGap);
+        RC_ASSERT(sent[a].token < sent[b].token);
+        RC_ASSERT(sent[b].at - sent[a].at >= kMinHolderGap);
       }
     }
   }
@@ -178,9 +178,9 @@
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Schedule schedule(seed);
     schedule.Run(250);
-    const auto& given = schedule.given();
-    for (std::size_t i = 1; i < given.size(); ++i) {
-      changes += given[i].by != given[i - 1].by ? 1 : 0;
+    const auto& sent = schedule.sent();
+    for (std::size_t i = 1; i < sent.size(); ++i) {
+      changes += sent[i].by != sent[i - 1].by ? 1 : 0;
     }
   }
   EXPECT_GT(changes, 10);
