--- a/tests/process/stage_orders_test.cc
+++ b/tests/process/stage_orders_test.cc
@@ -45,7 +45,7 @@
              },
              .order = [this](EngineHandle it,
                              StageOrder order) -> Awaitable<OrderResult> {
-               given_.push_back({it->entry.id.str(), order});
+               sent_.push_back({it->entry.id.str(), order});
                before_answer_(it);
                if (answer_ == OrderResult::kTaken) {
                  EngineReport& report = reports_[it->entry.id.str()];
@@ -80,15 +80,15 @@
   void Start() {
     asio::co_spawn(loop_, orders_.Run(), asio::detached);
     RunUntil(loop_, [this] { return !store_.items().empty(); });
-    ShowHolder();
+    PassHolder();
   }
-  void ShowHolder() {
+  void PassHolder() {
     RunUntil(loop_, [this] {
       return store_.items().contains("lynxglade/orders/holder");
     });
     authority_.OnList({store_.items().at("lynxglade/orders/holder")});
   }
-  void RunRounds(int n) {
+  void RunPeriods(int n) {
     for (int i = 0; i < n; ++i) {
       asio::steady_timer timer(loop_, milliseconds(2));
       bool fired = false;
@@ -106,7 +106,7 @@
   InstancePresence presence_;
   OrderAuthority authority_;
   std::map<std::string, EngineReport> reports_;
-  std::vector<std::pair<std::string, StageOrder>> given_;
+  std::vector<std::pair<std::string, StageOrder>> sent_;
   OrderResult answer_ = OrderResult::kTaken;
   // Runs while an order is in flight.
   std::function<void(const EngineHandle&)> before_answer_ =
@@ -119,24 +119,24 @@
 
 TEST_F(StageOrdersTest, BringsAnIdleServiceToItsSplit) {
   Start();
-  RunUntil(loop_, [this] { return given_.size() == 4; });
-  RunRounds(5);
-  EXPECT_EQ(given_.size(), 4U);
-  EXPECT_EQ(given_[0].second.holder, "me");
-  EXPECT_GT(given_[0].second.token.value(), 0);
+  RunUntil(loop_, [this] { return sent_.size() == 4; });
+  RunPeriods(5);
+  EXPECT_EQ(sent_.size(), 4U);
+  EXPECT_EQ(sent_[0].second.holder, "me");
+  EXPECT_GT(sent_[0].second.token.value(), 0);
 }
 
 TEST_F(StageOrdersTest, UnderLoadTheNextOrderWaitsForTheSettleTime) {
   idle_ = false;
   Start();
-  RunRounds(2);
+  RunPeriods(2);
   // The demand estimate needs its averaging time.
   now_ += seconds(2);
-  RunUntil(loop_, [this] { return given_.size() == 1; });
-  RunRounds(5);
-  EXPECT_EQ(given_.size(), 1U);
+  RunUntil(loop_, [this] { return sent_.size() == 1; });
+  RunPeriods(5);
+  EXPECT_EQ(sent_.size(), 1U);
   now_ += seconds(6);
-  RunUntil(loop_, [this] { return given_.size() == 2; });
+  RunUntil(loop_, [this] { return sent_.size() == 2; });
 }
 
 // An engine may carry out an order twelve seconds late, after newer ones: the
@@ -144,19 +144,19 @@
 TEST_F(StageOrdersTest, OrderWithoutResponseIsRepeatedOnlyAfterSettleTime) {
   answer_ = OrderResult::kUnknown;
   Start();
-  RunUntil(loop_, [this] { return given_.size() == 4; });
+  RunUntil(loop_, [this] { return sent_.size() == 4; });
   now_ += seconds(14);
-  RunRounds(5);
-  EXPECT_EQ(given_.size(), 4U);
+  RunPeriods(5);
+  EXPECT_EQ(sent_.size(), 4U);
   now_ += seconds(1);
-  RunUntil(loop_, [this] { return given_.size() == 8; });
-  EXPECT_EQ(given_.back().second.if_orders, 0);
+  RunUntil(loop_, [this] { return sent_.size() == 8; });
+  EXPECT_EQ(sent_.back().second.if_orders, 0);
 }
 
 // Another instance has taken the key, and this one has not observed it yet.
 TEST_F(StageOrdersTest, SendsNoOrderAfterLosingTheKey) {
   Start();
-  RunUntil(loop_, [this] { return given_.size() == 4; });
+  RunUntil(loop_, [this] { return sent_.size() == 4; });
   store_.Write("lynxglade/orders/holder", "other/1");
   EngineEntry fresh = table_.Find(base::TargetId("e0"))->entry;
   fresh.stage = EngineStage::kPrefill;
@@ -165,8 +165,8 @@
   other.stage = EngineStage::kPrefill;
   table_.Put(other, now_);
   now_ += seconds(60);
-  RunRounds(5);
-  EXPECT_EQ(given_.size(), 4U);
+  RunPeriods(5);
+  EXPECT_EQ(sent_.size(), 4U);
 }
 
 // The plan was made from the table entry of the previous process. A restarted
@@ -176,8 +176,8 @@
     report.born = base::BornMillis(5);
   }
   Start();
-  RunRounds(5);
-  EXPECT_TRUE(given_.empty());
+  RunPeriods(5);
+  EXPECT_TRUE(sent_.empty());
 }
 
 // The engine's table entry is rewritten for an unknown service while an order
@@ -190,8 +190,8 @@
     table_.Put(entry, now_);
   };
   Start();
-  RunUntil(loop_, [this] { return given_.size() == 4; });
-  RunRounds(5);
+  RunUntil(loop_, [this] { return sent_.size() == 4; });
+  RunPeriods(5);
   EXPECT_LE(table_.OfService(kService).size(), 2U);
 }
 
@@ -200,8 +200,8 @@
     report.changing = true;
   }
   Start();
-  RunRounds(5);
-  EXPECT_TRUE(given_.empty());
+  RunPeriods(5);
+  EXPECT_TRUE(sent_.empty());
 }
 
 }  // namespace
