--- a/src/process/retry_loans.cc
+++ b/src/process/retry_loans.cc
@@ -14,14 +14,14 @@
 
 }  // namespace
 
-RetryLoans::RetryLoans(request::passthrough::SharedRetryBudget& allowance,
+RetryLoans::RetryLoans(request::passthrough::SharedRetryBudget& budget,
                        PeerDatagrams& datagrams,
                        RetryLoansHooks hooks,
                        RetryLoansOptions options,
                        base::Clock clock,
                        base::RandomSource random,
                        base::Metrics& metrics)
-    : allowance_(allowance),
+    : budget_(budget),
       datagrams_(datagrams),
       hooks_(std::move(hooks)),
       options_(options),
@@ -90,8 +90,8 @@
     CountOutcome("other_service");
     return true;
   }
-  const double granted = allowance_.Lend(request->service, request->arrivals,
-                                         hooks_.instance_count(), clock_());
+  const double granted = budget_.Lend(request->service, request->arrivals,
+                                      hooks_.instance_count(), clock_());
   if (granted > 0) {
     datagrams_.Send(from, DatagramKind::kLoan,
                     EncodeLoan({request->request_id, granted}));
@@ -122,7 +122,7 @@
        {"lender", from.instance.str()},
        {"arrivals", loan->arrivals},
        {"age_ms", base::ToMillis(clock_() - pending->second.sent_at)}});
-  allowance_.Borrow(pending->first, loan->arrivals, pending->second.sent_at);
+  budget_.Borrow(pending->first, loan->arrivals, pending->second.sent_at);
   CountOutcome("borrowed");
   return true;
 }
--- a/src/process/retry_loans.h
+++ b/src/process/retry_loans.h
@@ -50,7 +50,7 @@
 // Not thread-safe: runs on the event loop.
 class RetryLoans {
  public:
-  RetryLoans(request::passthrough::SharedRetryBudget& allowance,
+  RetryLoans(request::passthrough::SharedRetryBudget& budget,
              PeerDatagrams& datagrams,
              RetryLoansHooks hooks,
              RetryLoansOptions options,
@@ -81,7 +81,7 @@
   bool HandleLoan(const InstancePeer& from, std::string_view body);
   void CountOutcome(const char* outcome);
 
-  request::passthrough::SharedRetryBudget& allowance_;
+  request::passthrough::SharedRetryBudget& budget_;
   PeerDatagrams& datagrams_;
   const RetryLoansHooks hooks_;
   const RetryLoansOptions options_;
