--- a/tests/process/watch_sharing_test.cc
+++ b/tests/process/watch_sharing_test.cc
@@ -41,13 +41,13 @@
 
 // --- Relay selection
 
-TEST(SelectRelays, InASmallZoneEachWatchesForItself) {
+TEST(SelectRelays, SmallZoneHasNoRelays) {
   const WatchSharingOptions options{.zone = kZone};
   EXPECT_TRUE(SelectRelays(Peers(7), base::InstanceId("i0"), options).empty());
   EXPECT_EQ(SelectRelays(Peers(8), base::InstanceId("i0"), options).size(), 2U);
 }
 
-TEST(SelectRelays, InstancesOfOtherZonesDoNotRelayHere) {
+TEST(SelectRelays, SelectsOnlyInstancesOfTheZone) {
   const WatchSharingOptions options{.zone = kZone};
   std::vector<InstancePeer> peers = Peers(8);
   for (int i = 0; i < 50; ++i) {
@@ -58,8 +58,9 @@
   }
 }
 
-// All agree, and who comes or goes takes no other's place as a relay.
-RC_GTEST_PROP(SelectRelays, AllAgreeAndOneThatGoesIsReplacedAlone, ()) {
+// All instances select the same relays, and when an instance leaves, the other
+// relays stay.
+RC_GTEST_PROP(SelectRelays, IsConsistentAndStable, ()) {
   const WatchSharingOptions options{.zone = kZone};
   const int n = *rc::gen::inRange(10, 80);
   std::vector<InstancePeer> peers = Peers(n);
