--- a/src/process/listed_rows.cc
+++ b/src/process/listed_rows.cc
@@ -116,7 +116,7 @@
 
 }  // namespace
 
-ViewItem ListedFact(const ListedTarget& target, base::Revision revision) {
+ViewItem MakeListedFact(const ListedTarget& target, base::Revision revision) {
   return MakeFact(target.row.id, revision, Encode(target));
 }
 
@@ -191,7 +191,7 @@
   for (const ListedTarget& target : TargetsOf(list)) {
     // Only the first of duplicate rows is published.
     const bool first = listed.insert(target.row.id).second;
-    ViewItem fact = ListedFact(target, list.revision);
+    ViewItem fact = MakeListedFact(target, list.revision);
     const auto it = held.find(fact.key);
     const bool differs =
         it == held.end() ||
--- a/tests/process/listed_rows_test.cc
+++ b/tests/process/listed_rows_test.cc
@@ -53,9 +53,9 @@
   plain.engine = false;
   plain.row.fenced = false;
   plain.row.leaving = true;
-  const auto list =
-      WithNewerFacts(List(0, {}), {ListedFact(Engine("e"), base::Revision(3)),
-                                   ListedFact(plain, base::Revision(4))});
+  const auto list = WithNewerFacts(
+      List(0, {}), {MakeListedFact(Engine("e"), base::Revision(3)),
+                    MakeListedFact(plain, base::Revision(4))});
   EXPECT_EQ(list->revision.value(), 4);
   ASSERT_EQ(list->engines.size(), 1u);
   EXPECT_EQ(list->engines[0].service.str(), "llm");
@@ -71,12 +71,12 @@
 
 TEST(ListedRowsTest, OnlyNewerFactsOverrideTheList) {
   const std::vector<ViewItem> facts = {
-      ListedFact(Engine("changed", 2), base::Revision(6)),
-      ListedFact(Engine("old", 2), base::Revision(5)),
+      MakeListedFact(Engine("changed", 2), base::Revision(6)),
+      MakeListedFact(Engine("old", 2), base::Revision(5)),
       UnlistedFact(base::TargetId("gone"), base::Revision(6)),
       UnlistedFact(base::TargetId("back"), base::Revision(4)),
-      ListedFact(Engine("dropped"), base::Revision(5)),
-      ListedFact(Engine("new"), base::Revision(7))};
+      MakeListedFact(Engine("dropped"), base::Revision(5)),
+      MakeListedFact(Engine("new"), base::Revision(7))};
   const std::vector<ListedTarget> rows = {Engine("changed"), Engine("old"),
                                           Engine("gone"), Engine("back")};
   const auto list = WithNewerFacts(List(5, rows), facts);
@@ -90,7 +90,7 @@
 }
 
 TEST(ListedRowsTest, IgnoresInvalidFacts) {
-  ViewItem fact = ListedFact(Engine("e"), base::Revision(3));
+  ViewItem fact = MakeListedFact(Engine("e"), base::Revision(3));
   const auto is_accepted = [&](const std::string& body, std::uint64_t epoch) {
     fact.body = body;
     fact.version.epoch = epoch;
@@ -111,9 +111,10 @@
   const auto list = List(1, {big, Engine("e", 1), Engine("e", 2)});
   const auto published = FactsToPublish(*list, {}, 100);
   ASSERT_EQ(published.size(), 1u);
-  EXPECT_TRUE(FactsToPublish(
-                  *list, {ListedFact(Engine("e", 1), base::Revision(1))}, 100)
-                  .empty());
+  EXPECT_TRUE(
+      FactsToPublish(*list, {MakeListedFact(Engine("e", 1), base::Revision(1))},
+                     100)
+          .empty());
   EXPECT_TRUE(FactsToPublish(*List(0, {Engine("e")}), {}, 100).empty());
 }
 
