--- a/src/process/listed_rows.cc
+++ b/src/process/listed_rows.cc
@@ -120,7 +120,7 @@
   return MakeFact(target.row.id, revision, Encode(target));
 }
 
-ViewItem UnlistedFact(const base::TargetId& id, base::Revision revision) {
+ViewItem MakeTombstone(const base::TargetId& id, base::Revision revision) {
   return MakeFact(id, revision, kTombstone);
 }
 
@@ -205,7 +205,7 @@
                       !listed.contains(base::TargetId(fact->key));
     if (gone && out.size() < limit) {
       out.push_back(
-          UnlistedFact(base::TargetId(std::string(key)), list.revision));
+          MakeTombstone(base::TargetId(std::string(key)), list.revision));
     }
   }
   return out;
--- a/src/process/listed_rows.h
+++ b/src/process/listed_rows.h
@@ -30,7 +30,7 @@
 // Fact for a target listed at this revision.
 ViewItem MakeListedFact(const ListedTarget& target, base::Revision revision);
 // Tombstone for a target no longer listed at this revision.
-ViewItem UnlistedFact(const base::TargetId& id, base::Revision revision);
+ViewItem MakeTombstone(const base::TargetId& id, base::Revision revision);
 // The row in the fact; empty if the fact is a tombstone or malformed.
 std::optional<ListedTarget> ReadListedFact(const ViewItem& fact);
 
--- a/tests/process/listed_rows_test.cc
+++ b/tests/process/listed_rows_test.cc
@@ -73,8 +73,8 @@
   const std::vector<ViewItem> facts = {
       MakeListedFact(Engine("changed", 2), base::Revision(6)),
       MakeListedFact(Engine("old", 2), base::Revision(5)),
-      UnlistedFact(base::TargetId("gone"), base::Revision(6)),
-      UnlistedFact(base::TargetId("back"), base::Revision(4)),
+      MakeTombstone(base::TargetId("gone"), base::Revision(6)),
+      MakeTombstone(base::TargetId("back"), base::Revision(4)),
       MakeListedFact(Engine("dropped"), base::Revision(5)),
       MakeListedFact(Engine("new"), base::Revision(7))};
   const std::vector<ListedTarget> rows = {Engine("changed"), Engine("old"),
