--- a/src/process/fleet_watch.cc
+++ b/src/process/fleet_watch.cc
@@ -101,7 +101,7 @@
     published_revision_ = base::Revision(0);
   }
   if (confirmed || changed) {
-    registry_.SetRows(*WithNewerFacts(list_.Get(), facts_));
+    registry_.SetRows(*ApplyNewerFacts(list_.Get(), facts_));
   }
   if (confirmed) {
     PublishList();
--- a/src/process/listed_rows.cc
+++ b/src/process/listed_rows.cc
@@ -144,7 +144,7 @@
   return complete ? std::optional(std::move(out)) : std::nullopt;
 }
 
-std::shared_ptr<const InstanceTable> WithNewerFacts(
+std::shared_ptr<const InstanceTable> ApplyNewerFacts(
     std::shared_ptr<const InstanceTable> list,
     const std::vector<ViewItem>& facts) {
   std::map<std::string_view, const ViewItem*> newer;
--- a/src/process/listed_rows.h
+++ b/src/process/listed_rows.h
@@ -37,7 +37,7 @@
 // Returns `list` (not null) with rows replaced, added or removed by newer
 // facts; `list` itself if no fact is newer. The revision of the result is the
 // greatest one of the list and the facts used, or 0 if there is neither.
-std::shared_ptr<const connection::InstanceTable> WithNewerFacts(
+std::shared_ptr<const connection::InstanceTable> ApplyNewerFacts(
     std::shared_ptr<const connection::InstanceTable> list,
     const std::vector<ViewItem>& facts);
 
--- a/tests/process/listed_rows_test.cc
+++ b/tests/process/listed_rows_test.cc
@@ -53,7 +53,7 @@
   plain.engine = false;
   plain.row.fenced = false;
   plain.row.leaving = true;
-  const auto list = WithNewerFacts(
+  const auto list = ApplyNewerFacts(
       List(0, {}), {MakeListedFact(Engine("e"), base::Revision(3)),
                     MakeListedFact(plain, base::Revision(4))});
   EXPECT_EQ(list->revision.value(), 4);
@@ -79,14 +79,14 @@
       MakeListedFact(Engine("new"), base::Revision(7))};
   const std::vector<ListedTarget> rows = {Engine("changed"), Engine("old"),
                                           Engine("gone"), Engine("back")};
-  const auto list = WithNewerFacts(List(5, rows), facts);
+  const auto list = ApplyNewerFacts(List(5, rows), facts);
   EXPECT_EQ(list->revision.value(), 7);
   EXPECT_EQ(PortsOf(*list),
             (std::map<std::string, int>{
                 {"changed", 2}, {"old", 1}, {"back", 1}, {"new", 1}}));
   // A list as new as all facts is returned unchanged.
   const Handle newest = List(7, rows);
-  EXPECT_EQ(WithNewerFacts(newest, facts), newest);
+  EXPECT_EQ(ApplyNewerFacts(newest, facts), newest);
 }
 
 TEST(ListedRowsTest, IgnoresInvalidFacts) {
@@ -94,7 +94,7 @@
   const auto is_accepted = [&](const std::string& body, std::uint64_t epoch) {
     fact.body = body;
     fact.version.epoch = epoch;
-    return WithNewerFacts(List(0, {}), {fact})->revision.value() > 0;
+    return ApplyNewerFacts(List(0, {}), {fact})->revision.value() > 0;
   };
   const std::string good = fact.body;
   EXPECT_TRUE(is_accepted(good, 3));
@@ -148,11 +148,11 @@
     const Handle list = List(revision, rows);
     if (*rc::gen::arbitrary<bool>()) {
       publish(*list);
-      RC_ASSERT(PortsOf(*WithNewerFacts(List(0, {}), held())) ==
+      RC_ASSERT(PortsOf(*ApplyNewerFacts(List(0, {}), held())) ==
                 PortsOf(*list));
       // Publishing again adds nothing, and an outdated list changes nothing.
       RC_ASSERT(publish(*list) == 0u);
-      RC_ASSERT(PortsOf(*WithNewerFacts(before, held())) == PortsOf(*list));
+      RC_ASSERT(PortsOf(*ApplyNewerFacts(before, held())) == PortsOf(*list));
       before = list;
     }
   }
