--- a/src/process/listed_rows.cc
+++ b/src/process/listed_rows.cc
@@ -94,7 +94,7 @@
 // Whether the fact is a valid row or tombstone with a valid revision.
 bool IsReadable(const ViewItem& fact) {
   return fact.version.epoch <= kMaxEpoch &&
-         (IsTombstone(fact) || ReadListedFact(fact));
+         (IsTombstone(fact) || ParseListedFact(fact));
 }
 
 bool IsNewer(const ViewItem& fact, const InstanceTable& list) {
@@ -124,7 +124,7 @@
   return MakeFact(id, revision, kTombstone);
 }
 
-std::optional<ListedTarget> ReadListedFact(const ViewItem& fact) {
+std::optional<ListedTarget> ParseListedFact(const ViewItem& fact) {
   const auto body = base::ParseBoundedJson(fact.body, kMaxRowDepth);
   if (!body || !body->is_object()) {
     return std::nullopt;
@@ -166,7 +166,7 @@
     const base::Revision revision(
         static_cast<std::int64_t>(fact->version.epoch));
     out.revision = std::max(out.revision, revision);
-    if (auto target = ReadListedFact(*fact)) {
+    if (auto target = ParseListedFact(*fact)) {
       auto& rows = target->engine ? out.engines : out.plains;
       rows.push_back(std::move(target->row));
     }
--- a/src/process/listed_rows.h
+++ b/src/process/listed_rows.h
@@ -32,7 +32,7 @@
 // Tombstone for a target no longer listed at this revision.
 ViewItem MakeTombstone(const base::TargetId& id, base::Revision revision);
 // The row in the fact; empty if the fact is a tombstone or malformed.
-std::optional<ListedTarget> ReadListedFact(const ViewItem& fact);
+std::optional<ListedTarget> ParseListedFact(const ViewItem& fact);
 
 // Returns `list` (not null) with rows replaced, added or removed by newer
 // facts; `list` itself if no fact is newer. The revision of the result is the
