--- a/src/process/membership_tick.cc
+++ b/src/process/membership_tick.cc
@@ -57,9 +57,8 @@
     const bool not_acknowledged =
         now - link.last_acknowledged > options_.silence_timeout;
     if (silent || not_acknowledged) {
-      actions->close.push_back({id, silent
-                                        ? "nothing received"
-                                        : "peer does not receive heartbeats"});
+      actions->close.push_back(
+          {id, silent ? "silent" : "peer does not receive heartbeats"});
       broken.push_back(id);
       continue;
     }
