--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -164,9 +164,9 @@
   inputs.sent = sent_;
   inputs.desired = desired_;
   inputs.fenced = row_.fenced && (!observation_ || observation_->state.fenced);
-  inputs.quiet_until = inherited_
-                           ? std::max(context_.quiet_until, unanswered_until_)
-                           : unanswered_until_;
+  inputs.late_orders_until =
+      inherited_ ? std::max(context_.late_orders_until, unanswered_until_)
+                 : unanswered_until_;
   inputs.permit_held = permit_.has_value();
   inputs.permit_free = now >= permit_retry_;
   inputs.capacity_allows = capacity_allows_;
--- a/src/process/engine_driver.h
+++ b/src/process/engine_driver.h
@@ -44,7 +44,7 @@
   LoadRateLimiter* load_limiter = nullptr;
   base::Metrics* metrics = nullptr;
   // Orders of earlier holders may still arrive before this time.
-  base::Time quiet_until{};
+  base::Time late_orders_until{};
   // Number of starts and ends of permit calls. If it changed while the permits
   // were listed, the list may be stale and is discarded.
   std::uint64_t permit_calls = 0;
--- a/src/process/order_coordinator.cc
+++ b/src/process/order_coordinator.cc
@@ -205,9 +205,9 @@
   // An earlier holder can consider its lease valid for up to the TTL, even if
   // the service expired it early, and its last order can be in flight for the
   // connection bound.
-  context_.quiet_until = lease_.held_since() + context_.settings.lease_ttl +
-                         context_.settings.engine_connection_bound +
-                         context_.settings.guard;
+  context_.late_orders_until =
+      lease_.held_since() + context_.settings.lease_ttl +
+      context_.settings.engine_connection_bound + context_.settings.guard;
   base::Log(base::LogLevel::kInfo, fence ? "lease_taken" : "lease_gone",
             {{"zone", zone_.str()},
              {"shard", shard_},
--- a/src/process/order_decision.cc
+++ b/src/process/order_decision.cc
@@ -181,8 +181,8 @@
     if (needs_outage && !inputs_.permit_held) {
       return DecidePermit();
     }
-    if (InQuietPeriod(next)) {
-      return Wait(WaitReason::kQuietTime);
+    if (LateOrderPossible(next)) {
+      return Wait(WaitReason::kLateOrder);
     }
     if (NeedsOutage(state_, next) && state_.in_flight > 0) {
       return Wait(WaitReason::kInFlight);
@@ -196,8 +196,8 @@
     }
     // A drain order recorded as failed may still arrive and take the engine out
     // of service.
-    return InQuietPeriod(state_.current)
-               ? Wait(WaitReason::kQuietTime)
+    return LateOrderPossible(state_.current)
+               ? Wait(WaitReason::kLateOrder)
                : MakeDecision(OrderStep::kReleasePermit);
   }
 
@@ -260,13 +260,13 @@
 
   // The last order, or a copy of it, may still arrive after `next` is sent and
   // undo it.
-  bool InQuietPeriod(const EngineTargetState& next) const {
+  bool LateOrderPossible(const EngineTargetState& next) const {
     if (!inputs_.record || inputs_.record->target == next ||
         RejectsLateOrders()) {
       return false;
     }
-    return inputs_.now < inputs_.quiet_until ||
-           inputs_.observation->requested_at < inputs_.quiet_until;
+    return inputs_.now < inputs_.late_orders_until ||
+           inputs_.observation->requested_at < inputs_.late_orders_until;
   }
 
   // The engine has recorded the current token and the last generation, so it
@@ -361,7 +361,7 @@
       return "changing";
     case WaitReason::kInFlight:
       return "in_flight";
-    case WaitReason::kQuietTime:
+    case WaitReason::kLateOrder:
       return "quiet_time";
     case WaitReason::kPermit:
       return "permit";
--- a/src/process/order_decision.h
+++ b/src/process/order_decision.h
@@ -57,7 +57,7 @@
   kInFlight,
   // An order from an earlier holder, or one that was not answered, may still
   // arrive, and the engine would accept it.
-  kQuietTime,
+  kLateOrder,
   // Other engines hold all permits of the service.
   kPermit,
   // Without this engine, fewer engines would serve than the contracts' shares
@@ -107,7 +107,7 @@
   // The engine rejects orders with an older fencing token or generation.
   bool fenced = false;
   // An earlier order may still arrive at the engine before this time.
-  base::Time quiet_until{};
+  base::Time late_orders_until{};
   bool permit_held = false;
   bool permit_free = false;
   // The service keeps its capacity floor without this engine.
