--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -147,7 +147,7 @@
 bool EngineDriver::Overdue() const {
   const base::Duration waiting = context_.clock() - waiting_since_;
   return decision_.step == OrderStep::kWait &&
-         decision_.reason != WaitReason::kNothingIntended &&
+         decision_.reason != WaitReason::kNoDesiredState &&
          waiting > context_.settings.overdue_after;
 }
 
--- a/src/process/order_decision.cc
+++ b/src/process/order_decision.cc
@@ -163,7 +163,7 @@
   // No order is in progress.
   OrderDecision DecideNewOrder() const {
     if (!inputs_.desired) {
-      return Wait(WaitReason::kNothingIntended);
+      return Wait(WaitReason::kNoDesiredState);
     }
     if (CanRaiseFence()) {
       OrderDecision decision = MakeDecision(OrderStep::kRaiseFence);
@@ -311,7 +311,7 @@
     return settings.observation_max_age;
   }
   const bool idle = decision.step == OrderStep::kDone ||
-                    decision.reason == WaitReason::kNothingIntended ||
+                    decision.reason == WaitReason::kNoDesiredState ||
                     decision.reason == WaitReason::kIsolated ||
                     decision.reason == WaitReason::kPermit ||
                     decision.reason == WaitReason::kCapacityFloor ||
@@ -373,7 +373,7 @@
       return "retry_pause";
     case WaitReason::kIsolated:
       return "isolated";
-    case WaitReason::kNothingIntended:
+    case WaitReason::kNoDesiredState:
       break;
   }
   return "nothing_intended";
--- a/src/process/order_decision.h
+++ b/src/process/order_decision.h
@@ -68,7 +68,7 @@
   // The change failed max_attempts times; an operator has to intervene.
   kIsolated,
   // There is no desired state for the engine.
-  kNothingIntended,
+  kNoDesiredState,
 };
 std::string_view ToString(WaitReason reason) noexcept;
 
