--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -413,7 +413,7 @@
           }
           permit_retry_ = context_.clock() + kPermitRetry;
           if (result == PermitResult::kUnknown) {
-            context_.permits_unknown = true;
+            context_.permits_stale = true;
           }
         };
       });
--- a/src/process/engine_driver.h
+++ b/src/process/engine_driver.h
@@ -50,7 +50,7 @@
   std::uint64_t permit_calls = 0;
   // Set when the permits have to be listed again, for example because the
   // outcome of a permit call is unknown.
-  bool permits_unknown = true;
+  bool permits_stale = true;
 };
 
 // Not thread-safe. Must not be destroyed while busy().
--- a/src/process/order_coordinator.cc
+++ b/src/process/order_coordinator.cc
@@ -93,7 +93,7 @@
   RefreshRows();
   RefreshDrains(now);
   RefreshPermits(now);
-  if (!drains_loaded_ || !permits_loaded_ || context_.permits_unknown) {
+  if (!drains_loaded_ || !permits_loaded_ || context_.permits_stale) {
     return;
   }
   SetDesired();
@@ -201,7 +201,7 @@
   orphans_.clear();
   authority_ = fence;
   permits_loaded_ = false;
-  context_.permits_unknown = true;
+  context_.permits_stale = true;
   // An earlier holder can consider its lease valid for up to the TTL, even if
   // the service expired it early, and its last order can be in flight for the
   // connection bound.
@@ -242,7 +242,7 @@
       driver = std::make_unique<EngineDriver>(context_, row);
       // The engine may hold a permit from an earlier holder; list the permits
       // before the first step.
-      context_.permits_unknown = true;
+      context_.permits_stale = true;
     }
   }
   std::erase_if(rows_, [](const EngineRow& row) { return !row.engine; });
@@ -277,7 +277,7 @@
 
 void OrderCoordinator::RefreshPermits(base::Time now) {
   if (permits_call_in_flight_ ||
-      (now < permits_due_ && !context_.permits_unknown)) {
+      (now < permits_due_ && !context_.permits_stale)) {
     return;
   }
   permits_call_in_flight_ = true;
@@ -291,7 +291,7 @@
       if (permits && calls == context_.permit_calls) {
         ApplyPermits(*permits, context_.clock());
       } else {
-        context_.permits_unknown = true;
+        context_.permits_stale = true;
       }
     };
   });
@@ -299,7 +299,7 @@
 
 void OrderCoordinator::ApplyPermits(const std::vector<Permit>& permits,
                                     base::Time now) {
-  context_.permits_unknown = false;
+  context_.permits_stale = false;
   permits_loaded_ = true;
   for (auto& [id, driver] : drivers_) {
     const auto it = std::ranges::find(permits, id, &Permit::target);
@@ -333,7 +333,7 @@
         ReleasePermit(*store, guard, permit);
         return [this] {
           permits_call_in_flight_ = false;
-          context_.permits_unknown = true;
+          context_.permits_stale = true;
         };
       });
 }
--- a/src/process/order_decision.cc
+++ b/src/process/order_decision.cc
@@ -100,7 +100,7 @@
   // returned, so that it can show the order's effect.
   bool ObservationFollowsSend() const {
     return !inputs_.sent ||
-           inputs_.observation->requested_at >= inputs_.sent->done_at;
+           inputs_.observation->requested_at >= inputs_.sent->returned_at;
   }
 
   bool SentByThisProcess() const {
@@ -132,7 +132,7 @@
       return CloseOrder(OrderPhase::kFailed);
     }
     if (inputs_.sent &&
-        inputs_.now < inputs_.sent->done_at + settings_.retry_pause) {
+        inputs_.now < inputs_.sent->returned_at + settings_.retry_pause) {
       return Wait(WaitReason::kRetryPause);
     }
     JournalRecord next = WithAuthority(record);
@@ -212,7 +212,7 @@
 
   bool SentRecently() const {
     return inputs_.sent &&
-           inputs_.now < inputs_.sent->done_at + settings_.retry_pause;
+           inputs_.now < inputs_.sent->returned_at + settings_.retry_pause;
   }
 
   // The next complete target state on the way to the desired one.
--- a/src/process/order_decision.h
+++ b/src/process/order_decision.h
@@ -86,7 +86,7 @@
   // The engine accepted the order.
   bool accepted = false;
   // When the call returned.
-  base::Time done_at{};
+  base::Time returned_at{};
 };
 
 // Inputs of Decide().
--- a/src/process/role_planner.cc
+++ b/src/process/role_planner.cc
@@ -302,7 +302,7 @@
     const double difference = ServedFraction(rates, after, past.demand) -
                               ServedFraction(rates, before, past.demand);
     value.mean_difference += difference / n;
-    value.worse_part += difference < 0 ? 1 / n : 0;
+    value.worse_fraction += difference < 0 ? 1 / n : 0;
   });
   return value;
 }
@@ -384,9 +384,9 @@
   value.gain = mean + past.mean_difference * tail_worth;
   value.deviation = std::sqrt(std::max(0.0, square - mean * mean));
   // Reverting costs the price and the time out of service again.
-  value.cost =
-      options_.price.value() + std::max(revert_probability, past.worse_part) *
-                                   (options_.price.value() + outage_loss);
+  value.cost = options_.price.value() +
+               std::max(revert_probability, past.worse_fraction) *
+                   (options_.price.value() + outage_loss);
   return value;
 }
 
--- a/src/process/role_planner.h
+++ b/src/process/role_planner.h
@@ -188,7 +188,7 @@
     // Mean of the served fraction with the change minus without it.
     double mean_difference = 0;
     // Fraction of the time in which it would have served less.
-    double worse_part = 0;
+    double worse_fraction = 0;
   };
 
   // Mean demand over one interval of the history.
