--- a/src/process/role_planner.cc
+++ b/src/process/role_planner.cc
@@ -136,7 +136,7 @@
       return "change";
     case RoleReason::kTooFewSamples:
       return "too_few_samples";
-    case RoleReason::kChangeUnderWay:
+    case RoleReason::kChangeInProgress:
       return "change_under_way";
     case RoleReason::kCoolDown:
       return "cool_down";
@@ -320,7 +320,7 @@
   });
   if (UpdatePending(fleet)) {
     if (clock_() - pending_since_ < options_.change_timeout) {
-      return RoleReason::kChangeUnderWay;
+      return RoleReason::kChangeInProgress;
     }
     requested_roles_.erase(pending_->engine);
     pending_.reset();
@@ -328,7 +328,7 @@
     return RoleReason::kTimedOut;
   }
   if (std::ranges::any_of(fleet, IsOut)) {
-    return RoleReason::kChangeUnderWay;
+    return RoleReason::kChangeInProgress;
   }
   if (last_change_ && clock_() - *last_change_ < options_.cool_down) {
     return RoleReason::kCoolDown;
--- a/src/process/role_planner.h
+++ b/src/process/role_planner.h
@@ -99,15 +99,15 @@
 };
 
 enum class RoleReason {
-  kChange,          // a change is requested
-  kTooFewSamples,   // demand not observed for long enough
-  kChangeUnderWay,  // an engine is draining or changing
-  kCoolDown,        // less than cool_down since the last change
-  kTimedOut,        // the last change timed out and was withdrawn
-  kNoMove,          // no role has an engine to spare
-  kNoGain,          // no change would serve more
-  kBelowCost,       // the gain of the best change is below its cost
-  kUncertain,       // the net gain is within the uncertainty
+  kChange,            // a change is requested
+  kTooFewSamples,     // demand not observed for long enough
+  kChangeInProgress,  // an engine is draining or changing
+  kCoolDown,          // less than cool_down since the last change
+  kTimedOut,          // the last change timed out and was withdrawn
+  kNoMove,            // no role has an engine to spare
+  kNoGain,            // no change would serve more
+  kBelowCost,         // the gain of the best change is below its cost
+  kUncertain,         // the net gain is within the uncertainty
 };
 std::string_view ToString(RoleReason reason) noexcept;
 
--- a/tests/process/role_planner_test.cc
+++ b/tests/process/role_planner_test.cc
@@ -236,7 +236,7 @@
   for (int i = 0; i < 29; ++i) {
     unchanged.engines = as_built;
     EXPECT_EQ(run.Second({3000, 14000}, &unchanged).reason,
-              RoleReason::kChangeUnderWay);
+              RoleReason::kChangeInProgress);
   }
   unchanged.engines = as_built;
   EXPECT_EQ(run.Second({3000, 14000}, &unchanged).reason,
