--- a/src/process/shard_lease.h
+++ b/src/process/shard_lease.h
@@ -103,9 +103,9 @@
   // held or the deadline has passed.
   std::optional<base::FencingToken> FenceForOrders(base::Time now) const;
 
-  // No order may be sent from this time on. Only a confirmed renewal moves it,
-  // and only to later, so another thread can use a copy of it while the lease
-  // is held.
+  // No order may be sent from this time on. While the lease is held, only a
+  // confirmed renewal moves it, and only to a later time, so another thread can
+  // use a copy.
   base::Time OrderDeadline() const;
   // When the lease expires without a renewal, by the clock of this process.
   base::Time expiry() const noexcept { return expiry_; }
