--- a/src/process/order_decision.h
+++ b/src/process/order_decision.h
@@ -148,7 +148,7 @@
 
 // Whether `order` may be sent, given the state that the engine reported on the
 // same connection. A change that needs the engine out of service is allowed
-// only while the engine is drained and idle.
+// only while the engine is idle and either drained or left half changed.
 bool MayApply(const connection::EngineOrder& order,
               const connection::EngineState& state) noexcept;
 
--- a/src/process/role_planner.h
+++ b/src/process/role_planner.h
@@ -32,8 +32,8 @@
   // Time over which the gain of a change is compared with its cost; longer than
   // out_of_service.
   base::Duration horizon = std::chrono::seconds(60);
-  // Time after the horizon over which a change is also valued, with the mean
-  // demand of the past `history`.
+  // Time after the horizon for which a change is also valued, by its mean
+  // effect on the demand of the past `history`.
   base::Duration tail = std::chrono::seconds(60);
   base::Duration history = std::chrono::minutes(8);
   // Minimum time from the end of a change to the next.
@@ -101,7 +101,7 @@
 enum class RoleReason {
   kChange,            // a change is requested
   kTooFewSamples,     // demand not observed for long enough
-  kChangeInProgress,  // an engine is draining or changing
+  kChangeInProgress,  // a change or a drain is in progress
   kCoolDown,          // less than cool_down since the last change
   kTimedOut,          // the last change timed out and was withdrawn
   kNoMove,            // no role has an engine to spare
