--- a/src/request/in_flight.h
+++ b/src/request/in_flight.h
@@ -28,7 +28,7 @@
  private:
   void Release() noexcept;
 
-  std::shared_ptr<OwnLoad> own_;
+  std::shared_ptr<LocalLoad> own_;
   Cost left_;
 };
 
--- a/src/request/outlier_ejector.h
+++ b/src/request/outlier_ejector.h
@@ -49,7 +49,7 @@
   base::Duration length{};
 };
 
-// Thread-safe; a short lock a call. Writes OwnLoad::ejected_until, which the
+// Thread-safe; a short lock a call. Writes LocalLoad::ejected_until, which the
 // router reads.
 class OutlierEjector {
  public:
--- a/src/request/target.h
+++ b/src/request/target.h
@@ -38,7 +38,7 @@
 // What this process itself has under way at a target; written by every
 // request, so atomic and outside the table. Change it through InFlight
 // (request/in_flight.h), which keeps its parts in step.
-struct OwnLoad {
+struct LocalLoad {
   std::atomic<int> running{0};
   std::atomic<std::int64_t> prefill_tokens{0};
   std::atomic<std::int64_t> decode_tokens{0};
@@ -66,7 +66,7 @@
   TargetState state = TargetState::kServing;
   TargetLoad load;
   // Shared by successive tables for the same target; never null.
-  std::shared_ptr<OwnLoad> own = std::make_shared<OwnLoad>();
+  std::shared_ptr<LocalLoad> own = std::make_shared<LocalLoad>();
 };
 
 // All targets in view, sorted by service so that one service's are adjacent.
--- a/tests/request/fleet_model.cc
+++ b/tests/request/fleet_model.cc
@@ -44,7 +44,7 @@
 struct ModelRouter {
   base::ZoneId zone;
   std::unique_ptr<Router> router;
-  TargetTable table;  // its own OwnLoad; loads as reported
+  TargetTable table;  // its own LocalLoad; loads as reported
   TargetIndex index;
   bool stale = true;
 };
