--- a/bench/router_benchmark.cc
+++ b/bench/router_benchmark.cc
@@ -32,9 +32,9 @@
     it.load.prefill_tokens_per_s = 8000;
     it.load.decode_tokens_per_s = 800;
     it.load.as_of = now - std::chrono::seconds(2);
-    it.own->running = 1;
-    it.own->history.Record({base::Tokens(900), base::Tokens(200)},
-                           now - std::chrono::seconds(1));
+    it.local_load->running = 1;
+    it.local_load->history.Record({base::Tokens(900), base::Tokens(200)},
+                                  now - std::chrono::seconds(1));
     table->targets.push_back(std::move(it));
   }
   return table;
--- a/src/request/in_flight.cc
+++ b/src/request/in_flight.cc
@@ -5,12 +5,13 @@
 namespace lynxglade::request {
 
 InFlight::InFlight(const Target& target, const Cost& cost, base::Time now)
-    : own_(target.own), left_(cost) {
-  own_->running.fetch_add(1, std::memory_order_relaxed);
-  own_->prefill_tokens.fetch_add(cost.prefill.value(),
+    : load_(target.local_load), left_(cost) {
+  load_->running.fetch_add(1, std::memory_order_relaxed);
+  load_->prefill_tokens.fetch_add(cost.prefill.value(),
+                                  std::memory_order_relaxed);
+  load_->decode_tokens.fetch_add(cost.decode.value(),
                                  std::memory_order_relaxed);
-  own_->decode_tokens.fetch_add(cost.decode.value(), std::memory_order_relaxed);
-  own_->history.Record(cost, now);
+  load_->history.Record(cost, now);
 }
 
 InFlight::~InFlight() {
@@ -20,31 +21,31 @@
 InFlight& InFlight::operator=(InFlight&& other) noexcept {
   if (this != &other) {
     Release();
-    own_ = std::move(other.own_);
+    load_ = std::move(other.load_);
     left_ = other.left_;
   }
   return *this;
 }
 
 void InFlight::PrefillDone() noexcept {
-  if (!own_) {
+  if (!load_) {
     return;
   }
-  own_->prefill_tokens.fetch_sub(left_.prefill.value(),
-                                 std::memory_order_relaxed);
+  load_->prefill_tokens.fetch_sub(left_.prefill.value(),
+                                  std::memory_order_relaxed);
   left_.prefill = base::Tokens(0);
 }
 
 void InFlight::Release() noexcept {
-  if (!own_) {
+  if (!load_) {
     return;
   }
-  own_->running.fetch_sub(1, std::memory_order_relaxed);
-  own_->prefill_tokens.fetch_sub(left_.prefill.value(),
+  load_->running.fetch_sub(1, std::memory_order_relaxed);
+  load_->prefill_tokens.fetch_sub(left_.prefill.value(),
+                                  std::memory_order_relaxed);
+  load_->decode_tokens.fetch_sub(left_.decode.value(),
                                  std::memory_order_relaxed);
-  own_->decode_tokens.fetch_sub(left_.decode.value(),
-                                std::memory_order_relaxed);
-  own_.reset();
+  load_.reset();
 }
 
 }  // namespace lynxglade::request
--- a/src/request/in_flight.h
+++ b/src/request/in_flight.h
@@ -28,7 +28,7 @@
  private:
   void Release() noexcept;
 
-  std::shared_ptr<LocalLoad> own_;
+  std::shared_ptr<LocalLoad> load_;
   Cost left_;
 };
 
--- a/src/request/outlier_ejector.cc
+++ b/src/request/outlier_ejector.cc
@@ -69,8 +69,8 @@
   record.in_a_row = 0;
   record.requests = 0;
   record.failures = 0;
-  target.own->ejected_until.store(Nanos(now + length),
-                                  std::memory_order_relaxed);
+  target.local_load->ejected_until.store(Nanos(now + length),
+                                         std::memory_order_relaxed);
   return Ejection{target.id, length};
 }
 
@@ -82,9 +82,9 @@
     // As if it were to be ejected only now: there must be room for it.
     if (it.state == TargetState::kServing && IsEjected(it, now)) {
       const std::int64_t until =
-          it.own->ejected_until.exchange(0, std::memory_order_relaxed);
+          it.local_load->ejected_until.exchange(0, std::memory_order_relaxed);
       if (!CheckRoom(table, it, now)) {
-        it.own->ejected_until.store(until, std::memory_order_relaxed);
+        it.local_load->ejected_until.store(until, std::memory_order_relaxed);
       }
     }
   }
@@ -94,7 +94,8 @@
 }
 
 bool OutlierEjector::IsEjected(const Target& target, base::Time now) noexcept {
-  return target.own->ejected_until.load(std::memory_order_relaxed) > Nanos(now);
+  return target.local_load->ejected_until.load(std::memory_order_relaxed) >
+         Nanos(now);
 }
 
 OutlierEjector::Record& OutlierEjector::Touch(const Target& target,
--- a/src/request/router.cc
+++ b/src/request/router.cc
@@ -39,7 +39,7 @@
 // What this process has under way at the target that a report made at
 // `as_of` cannot hold yet.
 SentWork NotReported(const Target& target, base::Time now) noexcept {
-  const LocalLoad& own = *target.own;
+  const LocalLoad& own = *target.local_load;
   const SentWork under_way{
       std::max(0, own.running.load(std::memory_order_relaxed)),
       {base::Tokens(std::max<std::int64_t>(
--- a/src/request/target.h
+++ b/src/request/target.h
@@ -66,7 +66,7 @@
   TargetState state = TargetState::kServing;
   TargetLoad load;
   // Shared by successive tables for the same target; never null.
-  std::shared_ptr<LocalLoad> own = std::make_shared<LocalLoad>();
+  std::shared_ptr<LocalLoad> local_load = std::make_shared<LocalLoad>();
 };
 
 // All targets in view, sorted by service so that one service's are adjacent.
--- a/tests/request/router_test.cc
+++ b/tests/request/router_test.cc
@@ -90,7 +90,7 @@
                                  TargetState::kChanging, TargetState::kEjected);
     Report(it, *rc::gen::inRange(0, 5), kNow);
     if (*rc::gen::inRange(0, 4) == 0) {
-      it.own->ejected_until =
+      it.local_load->ejected_until =
           (kNow + std::chrono::seconds(9)).time_since_epoch().count();
     }
     const bool is_excluded = *rc::gen::inRange(0, 4) == 0;
@@ -339,8 +339,8 @@
   }
   threads.clear();
   for (const Target& it : table.targets) {
-    EXPECT_EQ(it.own->running, 0);
-    EXPECT_EQ(it.own->prefill_tokens, 0);
+    EXPECT_EQ(it.local_load->running, 0);
+    EXPECT_EQ(it.local_load->prefill_tokens, 0);
   }
 }
 
