--- a/bench/router_benchmark.cc
+++ b/bench/router_benchmark.cc
@@ -54,7 +54,7 @@
   query.service = base::ServiceName("llm-restore");
   query.model = base::ModelName("restore-large");
   query.version = base::ModelVersion("2026-11-01");
-  query.own_zone = base::ZoneId("zone-3");
+  query.local_zone = base::ZoneId("zone-3");
   query.cost = {base::Tokens(2000), base::Tokens(300)};
   query.now = now;
   std::uint64_t n = 0;
--- a/src/process/serving_plane.cc
+++ b/src/process/serving_plane.cc
@@ -198,7 +198,7 @@
   route.role = role;
   route.prefix_hash = request.prefix_hash;
   route.cost = costs_.Estimate(request);
-  route.own_zone = options_.zone;
+  route.local_zone = options_.zone;
   route.excluded = query.avoid;
   route.now = clock_();
   return router_.Pick(index, route, error);
--- a/src/request/router.cc
+++ b/src/request/router.cc
@@ -254,7 +254,7 @@
   if (!options_.zone_local || IsWorthLeaving(pool, search)) {
     return PickFrom(pool, pool.zones, anywhere, search);
   }
-  const TargetPool::ZoneRange local = pool.FindZone(search.query.own_zone);
+  const TargetPool::ZoneRange local = pool.FindZone(search.query.local_zone);
   const auto best =
       PickFrom(pool, std::span(&local, 1),
                Draw{local.begin, local.end, Side::kInside}, search);
@@ -268,7 +268,7 @@
       (best && other->wait + Seconds(options_.zone_penalty) >= best->wait)) {
     return best;
   }
-  if (other->target->zone != search.query.own_zone) {
+  if (other->target->zone != search.query.local_zone) {
     other->reason = RouteReason::kOtherZone;
   }
   return other;
--- a/src/request/router.h
+++ b/src/request/router.h
@@ -77,7 +77,7 @@
   RoleWanted role = RoleWanted::kAny;
   std::uint64_t prefix_hash = 0;  // 0: none
   Cost cost;
-  base::ZoneId own_zone;
+  base::ZoneId local_zone;
   // Targets not to choose, such as those already tried. Must outlive the call.
   std::span<const base::TargetId> excluded;
   base::Time now{};
--- a/tests/request/fleet_model.cc
+++ b/tests/request/fleet_model.cc
@@ -148,7 +148,7 @@
     }
     ModelRouter& router =
         routers_[base::UniformBelow(random_, routers_.size())];
-    query.own_zone = router.zone;
+    query.local_zone = router.zone;
     query.now = now_;
     if (std::exchange(router.stale, false)) {
       router.index =
--- a/tests/request/router_test.cc
+++ b/tests/request/router_test.cc
@@ -50,7 +50,7 @@
   RouteQuery query;
   query.service = base::ServiceName("llm");
   query.model = base::ModelName("m");
-  query.own_zone = base::ZoneId("a");
+  query.local_zone = base::ZoneId("a");
   query.cost = {base::Tokens(100), base::Tokens(10)};
   query.now = kNow;
   return query;
