--- a/src/request/router.cc
+++ b/src/request/router.cc
@@ -149,7 +149,7 @@
   double seconds = it.reported_seconds;
   if (options_.age_reports) {
     const double age = std::max(0.0, Seconds(now - target.load.as_of));
-    const double trust = std::exp(-age / Seconds(options_.report_trust));
+    const double trust = std::exp(-age / Seconds(options_.report_decay));
     seconds = pool.mean_seconds + (seconds - pool.mean_seconds) * trust;
   }
   if (options_.add_own_sends) {
--- a/src/request/router.h
+++ b/src/request/router.h
@@ -104,7 +104,7 @@
   bool avoid_ejected = true;
   // Time in which an old report loses 63% of its say. Measured: see
   // docs/notes/routing.md.
-  base::Duration report_trust = std::chrono::milliseconds(700);
+  base::Duration report_decay = std::chrono::milliseconds(700);
   // Affinity gives way when the affine target's work ahead exceeds the
   // sample's by this plus `prefix_saving` of the request's prefill time.
   base::Duration affinity_slack = std::chrono::milliseconds(100);
