--- a/bench/routing_experiment.cc
+++ b/bench/routing_experiment.cc
@@ -34,11 +34,11 @@
   options.age_reports = false;
   all.push_back({"without_aging", options});
   options = {};
-  options.add_own_sends = false;
+  options.add_unreported_sends = false;
   all.push_back({"without_own_sends", options});
   options = {};
   options.age_reports = false;
-  options.add_own_sends = false;
+  options.add_unreported_sends = false;
   all.push_back({"without_both", options});
   options = {};
   options.zone_local = false;
--- a/src/request/router.cc
+++ b/src/request/router.cc
@@ -152,7 +152,7 @@
     const double trust = std::exp(-age / Seconds(options_.report_decay));
     seconds = pool.mean_seconds + (seconds - pool.mean_seconds) * trust;
   }
-  if (options_.add_own_sends) {
+  if (options_.add_unreported_sends) {
     const SentWork sent = NotReported(target, now);
     const Rates rates = RatesOf(target);
     const bool counts_tokens =
--- a/src/request/router.h
+++ b/src/request/router.h
@@ -98,7 +98,7 @@
   RoutePolicy policy = RoutePolicy::kDefault;
   // Each mechanism can be switched off to see what it adds.
   bool age_reports = true;
-  bool add_own_sends = true;
+  bool add_unreported_sends = true;
   bool zone_local = true;
   bool split_roles = true;
   bool avoid_ejected = true;
--- a/tests/request/router_test.cc
+++ b/tests/request/router_test.cc
@@ -300,7 +300,7 @@
     options.router.age_reports = false;
     EXPECT_LT(ours.p95_first_token, RunFleetModel(options).p95_first_token);
     options.router = {};
-    options.router.add_own_sends = false;
+    options.router.add_unreported_sends = false;
     EXPECT_LT(ours.p95_first_token, RunFleetModel(options).p95_first_token);
   }
 }
