--- a/src/request/router.cc
+++ b/src/request/router.cc
@@ -222,7 +222,7 @@
   if (whole) {
     return single(*whole);
   }
-  if (!options_.whole_on_any_role) {
+  if (!options_.any_role_fallback) {
     return std::nullopt;
   }
   auto last = Better(decode, prefill, search);
--- a/src/request/router.h
+++ b/src/request/router.h
@@ -120,7 +120,7 @@
   base::Duration kv_transfer_per_token = std::chrono::microseconds(5);
   // Whether an engine of any role may run a whole request when no mixed one
   // and no complete pair serves.
-  bool whole_on_any_role = true;
+  bool any_role_fallback = true;
   // Prefixes remembered.
   std::size_t prefix_entries = 65536;
 };
--- a/tests/request/router_test.cc
+++ b/tests/request/router_test.cc
@@ -238,7 +238,7 @@
   EXPECT_EQ(split->decode->id.str(), "d");
 
   RouterOptions whole;
-  whole.whole_on_any_role = false;
+  whole.any_role_fallback = false;
   Router strict(whole, base::SeededRandom(1));
   table.targets.resize(1);
   const TargetIndex half = IndexOf(table);
