--- a/bench/router_benchmark.cc
+++ b/bench/router_benchmark.cc
@@ -47,7 +47,7 @@
   RouterOptions options;
   // Local: the caller's zone only. Otherwise all targets are candidates, so
   // a new prefix is weighed against every one.
-  options.zone_local = state.range(1) != 0;
+  options.prefer_local_zone = state.range(1) != 0;
   const base::RandomSource random = base::SystemRandom();
   Router router(options, random);
   RouteQuery query;
--- a/bench/routing_experiment.cc
+++ b/bench/routing_experiment.cc
@@ -41,7 +41,7 @@
   options.add_unreported_sends = false;
   all.push_back({"without_both", options});
   options = {};
-  options.zone_local = false;
+  options.prefer_local_zone = false;
   all.push_back({"without_zone_local", options});
   options = {};
   options.affinity_across_zones = true;
--- a/src/request/router.cc
+++ b/src/request/router.cc
@@ -251,7 +251,7 @@
     return std::nullopt;
   }
   const Draw anywhere;
-  if (!options_.zone_local || IsWorthLeaving(pool, search)) {
+  if (!options_.prefer_local_zone || IsWorthLeaving(pool, search)) {
     return PickFrom(pool, pool.zones, anywhere, search);
   }
   const TargetPool::ZoneRange local = pool.FindZone(search.query.local_zone);
--- a/src/request/router.h
+++ b/src/request/router.h
@@ -99,7 +99,7 @@
   // Each mechanism can be switched off to see what it adds.
   bool age_reports = true;
   bool add_unreported_sends = true;
-  bool zone_local = true;
+  bool prefer_local_zone = true;
   bool split_roles = true;
   bool avoid_ejected = true;
   // Time in which an old report loses 63% of its say. Measured: see
