--- a/src/request/router.cc
+++ b/src/request/router.cc
@@ -258,7 +258,7 @@
   const auto best =
       PickFrom(pool, std::span(&local, 1),
                Draw{local.begin, local.end, Side::kInside}, search);
-  if (best && best->wait <= Seconds(options_.zone_wait_bound)) {
+  if (best && best->wait <= Seconds(options_.max_local_wait)) {
     return best;
   }
   // Over the bound a prefix may have a home in any zone.
--- a/src/request/router.h
+++ b/src/request/router.h
@@ -111,7 +111,7 @@
   double prefix_saving = 0.8;
   // Work ahead in the own zone from which other zones are looked at, and what
   // another zone must be better by.
-  base::Duration zone_wait_bound = std::chrono::milliseconds(500);
+  base::Duration max_local_wait = std::chrono::milliseconds(500);
   base::Duration zone_penalty = std::chrono::milliseconds(50);
   // Whether a prefix may have its one home in another zone, where the cache
   // saves more than zone_penalty. Off, each zone caches for itself.
