--- a/src/request/router.cc
+++ b/src/request/router.cc
@@ -134,7 +134,7 @@
   return choice;
 }
 
-void Router::LearnPrefix(std::uint64_t prefix, const base::TargetId& target) {
+void Router::AddPrefix(std::uint64_t prefix, const base::TargetId& target) {
   prefixes_.Learn(prefix, base::Hash64(target.str()));
 }
 
--- a/src/request/router.h
+++ b/src/request/router.h
@@ -140,7 +140,7 @@
                                   RouteError* last_error);
 
   // What a target's cache events say. Routing itself learns from its picks.
-  void LearnPrefix(std::uint64_t prefix, const base::TargetId& target);
+  void AddPrefix(std::uint64_t prefix, const base::TargetId& target);
   void ForgetPrefix(std::uint64_t prefix, const base::TargetId& target);
 
   // Seconds of work ahead at a target, as this router judges it.
