--- a/src/request/router.cc
+++ b/src/request/router.cc
@@ -138,7 +138,7 @@
   prefixes_.Learn(prefix, base::Hash64(target.str()));
 }
 
-void Router::ForgetPrefix(std::uint64_t prefix, const base::TargetId& target) {
+void Router::RemovePrefix(std::uint64_t prefix, const base::TargetId& target) {
   prefixes_.Forget(prefix, base::Hash64(target.str()));
 }
 
--- a/src/request/router.h
+++ b/src/request/router.h
@@ -141,7 +141,7 @@
 
   // What a target's cache events say. Routing itself learns from its picks.
   void AddPrefix(std::uint64_t prefix, const base::TargetId& target);
-  void ForgetPrefix(std::uint64_t prefix, const base::TargetId& target);
+  void RemovePrefix(std::uint64_t prefix, const base::TargetId& target);
 
   // Seconds of work ahead at a target, as this router judges it.
   double EstimateSeconds(const TargetPool& pool,
