--- a/src/request/router.cc
+++ b/src/request/router.cc
@@ -47,7 +47,7 @@
        base::Tokens(std::max<std::int64_t>(
            0, own.decode_tokens.load(std::memory_order_relaxed)))}};
   if (under_way.requests == 0 ||
-      now - target.load.as_of >= SendHistory::kReach) {
+      now - target.load.as_of >= SendHistory::kSpan) {
     return under_way;
   }
   const SentWork sent = own.history.SumSince(target.load.as_of, now);
--- a/src/request/send_history.h
+++ b/src/request/send_history.h
@@ -29,7 +29,7 @@
   // Width of a slot and how far back the ring reaches.
   static constexpr base::Duration kSlot = std::chrono::milliseconds(128);
   static constexpr std::size_t kSlots = 32;
-  static constexpr base::Duration kReach = kSlot * kSlots;
+  static constexpr base::Duration kSpan = kSlot * kSlots;
 
   SendHistory() = default;
   SendHistory(const SendHistory&) = delete;
@@ -38,7 +38,7 @@
   void Record(const Cost& cost, base::Time now) noexcept;
 
   // Sends at or after `since`, rounded down to the start of its slot and
-  // limited to the last kReach before `now`.
+  // limited to the last kSpan before `now`.
   SentWork SumSince(base::Time since, base::Time now) const noexcept;
 
  private:
