--- a/src/request/target_index.cc
+++ b/src/request/target_index.cc
@@ -30,7 +30,7 @@
                        const TargetIndexOptions& options) noexcept {
   const TargetLoad& load = target.load;
   if (load.prefill_tokens_per_s <= 0 && load.decode_tokens_per_s <= 0) {
-    const std::chrono::duration<double> unit = options.unit_time;
+    const std::chrono::duration<double> unit = options.time_per_request;
     return (load.running + load.waiting) * unit.count();
   }
   return WorkSeconds({load.queued_prefill, load.running_decode},
@@ -38,7 +38,8 @@
 }
 
 void Arrange(TargetPool& pool, const TargetIndexOptions& options) {
-  pool.unit_seconds = std::chrono::duration<double>(options.unit_time).count();
+  pool.unit_seconds =
+      std::chrono::duration<double>(options.time_per_request).count();
   std::ranges::sort(pool.members, [](const auto& a, const auto& b) {
     return std::tie(a.target->zone, a.id_hash) <
            std::tie(b.target->zone, b.id_hash);
--- a/src/request/target_index.h
+++ b/src/request/target_index.h
@@ -68,7 +68,7 @@
 
 struct TargetIndexOptions {
   // Time a request takes at a target that reports no rates.
-  base::Duration unit_time = std::chrono::milliseconds(50);
+  base::Duration time_per_request = std::chrono::milliseconds(50);
 };
 
 // Immutable after construction; thread-safe. Keeps its table alive.
