--- a/src/request/router.cc
+++ b/src/request/router.cc
@@ -158,7 +158,7 @@
     const bool counts_tokens =
         rates.prefill_tokens_per_s > 0 || rates.decode_tokens_per_s > 0;
     seconds += counts_tokens ? WorkSeconds(sent.cost, rates)
-                             : sent.requests * pool.unit_seconds;
+                             : sent.requests * pool.seconds_per_request;
   }
   return seconds;
 }
--- a/src/request/target_index.cc
+++ b/src/request/target_index.cc
@@ -38,7 +38,7 @@
 }
 
 void Arrange(TargetPool& pool, const TargetIndexOptions& options) {
-  pool.unit_seconds =
+  pool.seconds_per_request =
       std::chrono::duration<double>(options.time_per_request).count();
   std::ranges::sort(pool.members, [](const auto& a, const auto& b) {
     return std::tie(a.target->zone, a.id_hash) <
--- a/src/request/target_index.h
+++ b/src/request/target_index.h
@@ -43,7 +43,7 @@
   // Mean reported work ahead; what an old report is drawn towards.
   double mean_seconds = 0;
   // Seconds a request takes at a target that reports no rates.
-  double unit_seconds = 0;
+  double seconds_per_request = 0;
 
   bool empty() const noexcept { return members.empty(); }
   // The zone's members, an empty range when it has none.
