--- a/src/request/prefix_table.cc
+++ b/src/request/prefix_table.cc
@@ -22,8 +22,8 @@
           entry.targets[1].load(std::memory_order_relaxed)};
 }
 
-void PrefixTable::Learn(std::uint64_t prefix,
-                        std::uint64_t target_hash) noexcept {
+void PrefixTable::Add(std::uint64_t prefix,
+                      std::uint64_t target_hash) noexcept {
   if (prefix == 0) {
     return;
   }
@@ -40,7 +40,7 @@
   }
 }
 
-void PrefixTable::Forget(std::uint64_t prefix,
+void PrefixTable::Remove(std::uint64_t prefix,
                          std::uint64_t target_hash) noexcept {
   Entry& entry = Slot(prefix);
   if (prefix == 0 || entry.prefix.load(std::memory_order_relaxed) != prefix) {
--- a/src/request/prefix_table.h
+++ b/src/request/prefix_table.h
@@ -27,9 +27,9 @@
 
   PrefixTargets Find(std::uint64_t prefix) const noexcept;
   // The prefix went to that target.
-  void Learn(std::uint64_t prefix, std::uint64_t target_hash) noexcept;
+  void Add(std::uint64_t prefix, std::uint64_t target_hash) noexcept;
   // The target no longer caches the prefix.
-  void Forget(std::uint64_t prefix, std::uint64_t target_hash) noexcept;
+  void Remove(std::uint64_t prefix, std::uint64_t target_hash) noexcept;
 
  private:
   struct Entry {
--- a/src/request/router.cc
+++ b/src/request/router.cc
@@ -129,17 +129,17 @@
     return std::nullopt;
   }
   if (query.prefix_hash != 0) {
-    prefixes_.Learn(query.prefix_hash, base::Hash64(choice->target->id.str()));
+    prefixes_.Add(query.prefix_hash, base::Hash64(choice->target->id.str()));
   }
   return choice;
 }
 
 void Router::AddPrefix(std::uint64_t prefix, const base::TargetId& target) {
-  prefixes_.Learn(prefix, base::Hash64(target.str()));
+  prefixes_.Add(prefix, base::Hash64(target.str()));
 }
 
 void Router::RemovePrefix(std::uint64_t prefix, const base::TargetId& target) {
-  prefixes_.Forget(prefix, base::Hash64(target.str()));
+  prefixes_.Remove(prefix, base::Hash64(target.str()));
 }
 
 double Router::EstimateSeconds(const TargetPool& pool,
