--- a/src/request/cost.cc
+++ b/src/request/cost.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// A contract's prompt guess is trusted to be off by no more than this.
+// Bounds of an observed error of the prompt estimate.
 constexpr double kMinPromptRatio = 0.25;
 constexpr double kMaxPromptRatio = 4.0;
 
@@ -46,18 +46,18 @@
     : options_(options) {}
 
 Cost CostEstimator::Estimate(const Request& request) const {
-  Usual usual{static_cast<double>(options_.initial_output.value()), 1.0};
+  Averages averages{static_cast<double>(options_.initial_output.value()), 1.0};
   {
     const std::scoped_lock lock(mutex_);
-    const auto it = usual_.find(Key{request.contract, request.model});
-    if (it != usual_.end()) {
-      usual = it->second;
+    const auto it = averages_.find(Key{request.contract, request.model});
+    if (it != averages_.end()) {
+      averages = it->second;
     }
   }
   Cost cost;
   cost.prefill = Rounded(static_cast<double>(request.prompt_tokens.value()) *
-                         usual.prompt_ratio);
-  cost.decode = Rounded(usual.output);
+                         averages.prompt_ratio);
+  cost.decode = Rounded(averages.output);
   if (request.max_output_tokens.value() > 0) {
     cost.decode = std::min(cost.decode, request.max_output_tokens);
   }
@@ -67,23 +67,25 @@
 void CostEstimator::Observe(const Request& request, const Cost& actual) {
   const std::scoped_lock lock(mutex_);
   const Key key{request.contract, request.model};
-  auto it = usual_.find(key);
-  if (it == usual_.end()) {
-    if (usual_.size() >= options_.max_keys) {
+  auto it = averages_.find(key);
+  if (it == averages_.end()) {
+    if (averages_.size() >= options_.max_keys) {
       return;
     }
     const auto initial = static_cast<double>(options_.initial_output.value());
-    it = usual_.emplace(key, Usual{initial, 1.0}).first;
+    it = averages_.emplace(key, Averages{initial, 1.0}).first;
   }
-  Usual& usual = it->second;
-  usual.output = Blend(usual.output, static_cast<double>(actual.decode.value()),
-                       options_.smoothing);
+  Averages& averages = it->second;
+  averages.output =
+      Blend(averages.output, static_cast<double>(actual.decode.value()),
+            options_.smoothing);
   if (request.prompt_tokens.value() > 0 && actual.prefill.value() > 0) {
     const double ratio =
         std::clamp(static_cast<double>(actual.prefill.value()) /
                        static_cast<double>(request.prompt_tokens.value()),
                    kMinPromptRatio, kMaxPromptRatio);
-    usual.prompt_ratio = Blend(usual.prompt_ratio, ratio, options_.smoothing);
+    averages.prompt_ratio =
+        Blend(averages.prompt_ratio, ratio, options_.smoothing);
   }
 }
 
--- a/src/request/cost.h
+++ b/src/request/cost.h
@@ -1,9 +1,9 @@
-// What a request costs its targets, in tokens and in time.
+// The cost of a request in tokens and in time.
 //
-// Work is counted in prompt tokens to process (prefill) and output tokens to
-// generate (decode), because the two load an engine differently. The output
-// length is unknown before the run; it is estimated per contract and model
-// from what came before.
+// Prompt tokens to process (prefill) and output tokens to generate (decode) are
+// counted separately because they load an engine differently. The output length
+// is unknown before the run and is estimated per contract and model from
+// earlier requests.
 #ifndef LYNXGLADE_REQUEST_COST_H_
 #define LYNXGLADE_REQUEST_COST_H_
 
@@ -24,38 +24,39 @@
   auto operator<=>(const Cost&) const = default;
 };
 
-// Tokens a second, of one target or of a fleet; 0 when not known.
+// Throughput of one target or a set of targets; 0 if unknown.
 struct Rates {
   double prefill_tokens_per_s = 0;
   double decode_tokens_per_s = 0;
 };
 
-// Seconds of work at those rates. A part whose rate is not known counts 0.
+// Time for `cost` at `rates`. A part whose rate is unknown counts as 0.
 double WorkSeconds(const Cost& cost, const Rates& rates) noexcept;
 
 struct CostEstimatorOptions {
-  // Weight of the newest observation.
+  // Weight of a new observation in the moving averages.
   double smoothing = 0.1;
-  // Output guessed for a contract and model never seen, unless the caller's
-  // max_output_tokens is smaller.
+  // Output estimate for a contract and model without observations, unless the
+  // caller's max_output_tokens is smaller.
   base::Tokens initial_output{256};
-  // Pairs of contract and model remembered; beyond it new pairs are estimated
-  // by the initial guess.
+  // Limit on pairs of contract and model that are tracked. Further pairs are
+  // estimated as if never observed.
   std::size_t max_keys = 16384;
 };
 
-// Estimates and learns. Thread-safe; a short lock a call.
+// Thread-safe.
 class CostEstimator {
  public:
   explicit CostEstimator(CostEstimatorOptions options = {});
   CostEstimator(const CostEstimator&) = delete;
   CostEstimator& operator=(const CostEstimator&) = delete;
 
-  // The request's prompt count corrected by the contract's usual error, and
-  // its usual output, at most the caller's max_output_tokens.
+  // Returns the request's prompt estimate, corrected by the mean error of the
+  // contract and model, and their mean output, at most the caller's
+  // max_output_tokens.
   Cost Estimate(const Request& request) const;
 
-  // Learns from a delivered answer: what the target counted.
+  // Updates the averages with the token counts that the target reported.
   void Observe(const Request& request, const Cost& actual);
 
  private:
@@ -67,15 +68,15 @@
   struct KeyHash {
     std::size_t operator()(const Key& key) const noexcept;
   };
-  struct Usual {
+  struct Averages {
     double output = 0;
-    // Counted prompt tokens over guessed ones.
+    // Prompt tokens that the target counted over those estimated.
     double prompt_ratio = 1;
   };
 
   const CostEstimatorOptions options_;
   mutable std::mutex mutex_;
-  std::unordered_map<Key, Usual, KeyHash> usual_;
+  std::unordered_map<Key, Averages, KeyHash> averages_;
 };
 
 }  // namespace lynxglade::request
--- a/src/request/in_flight.cc
+++ b/src/request/in_flight.cc
@@ -5,7 +5,7 @@
 namespace lynxglade::request {
 
 InFlight::InFlight(const Target& target, const Cost& cost, base::Time now)
-    : load_(target.local_load), left_(cost) {
+    : load_(target.local_load), remaining_cost_(cost) {
   load_->running.fetch_add(1, std::memory_order_relaxed);
   load_->prefill_tokens.fetch_add(cost.prefill.value(),
                                   std::memory_order_relaxed);
@@ -22,7 +22,7 @@
   if (this != &other) {
     Release();
     load_ = std::move(other.load_);
-    left_ = other.left_;
+    remaining_cost_ = other.remaining_cost_;
   }
   return *this;
 }
@@ -31,9 +31,9 @@
   if (!load_) {
     return;
   }
-  load_->prefill_tokens.fetch_sub(left_.prefill.value(),
+  load_->prefill_tokens.fetch_sub(remaining_cost_.prefill.value(),
                                   std::memory_order_relaxed);
-  left_.prefill = base::Tokens(0);
+  remaining_cost_.prefill = base::Tokens(0);
 }
 
 void InFlight::Release() noexcept {
@@ -41,9 +41,9 @@
     return;
   }
   load_->running.fetch_sub(1, std::memory_order_relaxed);
-  load_->prefill_tokens.fetch_sub(left_.prefill.value(),
+  load_->prefill_tokens.fetch_sub(remaining_cost_.prefill.value(),
                                   std::memory_order_relaxed);
-  load_->decode_tokens.fetch_sub(left_.decode.value(),
+  load_->decode_tokens.fetch_sub(remaining_cost_.decode.value(),
                                  std::memory_order_relaxed);
   load_.reset();
 }
--- a/src/request/in_flight.h
+++ b/src/request/in_flight.h
@@ -1,4 +1,4 @@
-// One attempt's share of the load that this process has at a target.
+// Accounts for one attempt in the load that this process has at a target.
 #ifndef LYNXGLADE_REQUEST_IN_FLIGHT_H_
 #define LYNXGLADE_REQUEST_IN_FLIGHT_H_
 
@@ -10,9 +10,9 @@
 
 namespace lynxglade::request {
 
-// Counts an attempt at its target from construction to destruction. Make it
-// right after the routing decision, before anything is sent, so that the next
-// decision sees it. Movable; not thread-safe itself.
+// Counts an attempt in Target::local_load from construction to destruction.
+// Construct it right after the routing decision, before anything is sent, so
+// that the next decision takes it into account. Not thread-safe.
 class InFlight {
  public:
   InFlight(const Target& target, const Cost& cost, base::Time now);
@@ -22,14 +22,14 @@
   InFlight(const InFlight&) = delete;
   InFlight& operator=(const InFlight&) = delete;
 
-  // The prompt was processed (the first token came).
+  // Call when the first token arrives: the prefill no longer counts.
   void PrefillDone() noexcept;
 
  private:
   void Release() noexcept;
 
   std::shared_ptr<LocalLoad> load_;
-  Cost left_;
+  Cost remaining_cost_;
 };
 
 }  // namespace lynxglade::request
--- a/src/request/prefix_table.h
+++ b/src/request/prefix_table.h
@@ -1,8 +1,8 @@
-// Which targets ran a prompt prefix lately.
+// Maps prompt prefixes to the targets that recently ran them.
 //
-// A bounded, lock-free cache: a prefix may be forgotten or, after a race,
-// point to a target that never ran it. Both cost a cache miss at the target,
-// never a wrong answer.
+// A bounded, lock-free cache. An entry may be overwritten by another prefix
+// and, after a race, may name a target that never ran its prefix. Either costs
+// at most a cache miss at the target.
 #ifndef LYNXGLADE_REQUEST_PREFIX_TABLE_H_
 #define LYNXGLADE_REQUEST_PREFIX_TABLE_H_
 
@@ -14,21 +14,21 @@
 
 namespace lynxglade::request {
 
-// Hashes of target ids, newest first; 0 where none.
+// Hashes of target ids, most recent first; 0 for an unused place.
 using PrefixTargets = std::array<std::uint64_t, 2>;
 
 // Thread-safe.
 class PrefixTable {
  public:
-  // `entries` is rounded up to a power of two; 24 bytes each.
+  // `entries` is rounded up to a power of two. An entry takes 24 bytes.
   explicit PrefixTable(std::size_t entries);
   PrefixTable(const PrefixTable&) = delete;
   PrefixTable& operator=(const PrefixTable&) = delete;
 
   PrefixTargets Find(std::uint64_t prefix) const noexcept;
-  // The prefix went to that target.
+  // Records that the prefix was sent to the target.
   void Add(std::uint64_t prefix, std::uint64_t target_hash) noexcept;
-  // The target no longer caches the prefix.
+  // Records that the target no longer caches the prefix.
   void Remove(std::uint64_t prefix, std::uint64_t target_hash) noexcept;
 
  private:
--- a/src/request/route_names.cc
+++ b/src/request/route_names.cc
@@ -1,4 +1,4 @@
-// Names of the router's enums, and what callers see of its errors.
+// Names of the router's enums, and the refusal reasons of its errors.
 
 #include <algorithm>
 #include <array>
--- a/src/request/router.cc
+++ b/src/request/router.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Draws before a full scan for a usable target.
-constexpr int kDraws = 3;
+// Random tries before a full scan for a usable target.
+constexpr int kSampleTries = 3;
 
 double Seconds(base::Duration d) noexcept {
   return std::chrono::duration<double>(d).count();
@@ -28,37 +28,38 @@
   return {target.load.prefill_tokens_per_s, target.load.decode_tokens_per_s};
 }
 
-// Rendezvous weight of a target for a prefix.
-std::uint64_t HomeWeight(std::uint64_t prefix, std::uint64_t id_hash) noexcept {
+// Weight of a target in the rendezvous hash of a prefix.
+std::uint64_t RendezvousWeight(std::uint64_t prefix,
+                               std::uint64_t id_hash) noexcept {
   std::uint64_t n = (prefix ^ id_hash) * 0xff51afd7ed558ccdu;
   n ^= n >> 32;
   n *= 0xc4ceb9fe1a85ec53u;
   return n ^ (n >> 29);
 }
 
-// What this process has under way at the target that a report made at
-// `as_of` cannot hold yet.
-SentWork NotReported(const Target& target, base::Time now) noexcept {
+// Work that this process has in flight at the target and that its last report
+// does not include yet. Without send history back to the report, all of it.
+SentWork UnreportedWork(const Target& target, base::Time now) noexcept {
   const LocalLoad& own = *target.local_load;
-  const SentWork under_way{
+  const SentWork in_flight{
       std::max(0, own.running.load(std::memory_order_relaxed)),
       {base::Tokens(std::max<std::int64_t>(
            0, own.prefill_tokens.load(std::memory_order_relaxed))),
        base::Tokens(std::max<std::int64_t>(
            0, own.decode_tokens.load(std::memory_order_relaxed)))}};
-  if (under_way.requests == 0 ||
+  if (in_flight.requests == 0 ||
       now - target.load.as_of >= SendHistory::kSpan) {
-    return under_way;
+    return in_flight;
   }
   const SentWork sent = own.history.SumSince(target.load.as_of, now);
-  return {std::min(under_way.requests, sent.requests),
-          {std::min(under_way.cost.prefill, sent.cost.prefill),
-           std::min(under_way.cost.decode, sent.cost.decode)}};
+  return {std::min(in_flight.requests, sent.requests),
+          {std::min(in_flight.cost.prefill, sent.cost.prefill),
+           std::min(in_flight.cost.decode, sent.cost.decode)}};
 }
 
 }  // namespace
 
-// A target with its estimate.
+// A target with its backlog estimate in seconds.
 struct Router::Candidate {
   const Target* target = nullptr;
   std::uint64_t id_hash = 0;
@@ -66,7 +67,7 @@
   RouteReason reason = RouteReason::kSampled;
 };
 
-// Where a sample comes from: a zone's range of the pool, or all but that.
+// The members of a pool to sample from: a zone's range, or all others.
 enum class Router::Side { kInside, kOutside };
 struct Router::Draw {
   std::size_t begin = 0;
@@ -74,15 +75,15 @@
   Side side = Side::kOutside;
 };
 
-// One Pick in progress.
+// The state of one Pick call.
 struct Router::Search {
   const RouteQuery& query;
   const TargetIndex& index;
-  // Ejected targets count as usable: nothing else is left.
-  bool take_ejected = false;
+  // Whether ejected targets are usable.
+  bool allow_ejected = false;
 
   bool IsUsable(const Target& target) const noexcept {
-    if (!take_ejected && OutlierEjector::IsEjected(target, query.now)) {
+    if (!allow_ejected && OutlierEjector::IsEjected(target, query.now)) {
       return false;
     }
     return std::ranges::find(query.excluded, target.id) == query.excluded.end();
@@ -110,8 +111,8 @@
   }
   Search search{query, index, !options_.avoid_ejected};
   std::optional<RouteChoice> choice = PickGroup(*group, search);
-  if (!choice && !search.take_ejected) {
-    search.take_ejected = true;
+  if (!choice && !search.allow_ejected) {
+    search.allow_ejected = true;
     choice = PickGroup(*group, search);
     if (choice) {
       choice->reason = RouteReason::kAllEjected;
@@ -153,7 +154,7 @@
     seconds = pool.mean_seconds + (seconds - pool.mean_seconds) * trust;
   }
   if (options_.add_unreported_sends) {
-    const SentWork sent = NotReported(target, now);
+    const SentWork sent = UnreportedWork(target, now);
     const Rates rates = RatesOf(target);
     const bool counts_tokens =
         rates.prefill_tokens_per_s > 0 || rates.decode_tokens_per_s > 0;
@@ -163,10 +164,10 @@
   return seconds;
 }
 
-Router::Candidate Router::Judge(const TargetPool& pool,
-                                const IndexedTarget& it,
-                                RouteReason reason,
-                                base::Time now) const noexcept {
+Router::Candidate Router::Evaluate(const TargetPool& pool,
+                                   const IndexedTarget& it,
+                                   RouteReason reason,
+                                   base::Time now) const noexcept {
   return {it.target, it.id_hash, EstimateSeconds(pool, it, now), reason};
 }
 
@@ -194,7 +195,7 @@
   }
   if (search.query.role != RoleWanted::kAny) {
     const bool wants_prefill = search.query.role == RoleWanted::kPrefill;
-    const auto it = Better(wants_prefill ? prefill : decode, mixed, search);
+    const auto it = PickBetter(wants_prefill ? prefill : decode, mixed, search);
     if (it) {
       return single(*it);
     }
@@ -225,7 +226,7 @@
   if (!options_.any_role_fallback) {
     return std::nullopt;
   }
-  auto last = Better(decode, prefill, search);
+  auto last = PickBetter(decode, prefill, search);
   if (!last) {
     return std::nullopt;
   }
@@ -233,9 +234,10 @@
   return single(*last);
 }
 
-std::optional<Router::Candidate> Router::Better(const TargetPool& a,
-                                                const TargetPool& b,
-                                                const Search& search) const {
+std::optional<Router::Candidate> Router::PickBetter(
+    const TargetPool& a,
+    const TargetPool& b,
+    const Search& search) const {
   auto x = PickFromPool(a, search);
   auto y = PickFromPool(b, search);
   if (!x || (y && y->wait < x->wait)) {
@@ -251,19 +253,20 @@
     return std::nullopt;
   }
   const Draw anywhere;
-  if (!options_.prefer_local_zone || IsWorthLeaving(pool, search)) {
-    return PickFrom(pool, pool.zones, anywhere, search);
+  if (!options_.prefer_local_zone || IgnoresZones(pool, search)) {
+    return PickFromRange(pool, pool.zones, anywhere, search);
   }
   const TargetPool::ZoneRange local = pool.FindZone(search.query.local_zone);
   const auto best =
-      PickFrom(pool, std::span(&local, 1),
-               Draw{local.begin, local.end, Side::kInside}, search);
+      PickFromRange(pool, std::span(&local, 1),
+                    Draw{local.begin, local.end, Side::kInside}, search);
   if (best && best->wait <= Seconds(options_.max_local_wait)) {
     return best;
   }
-  // Over the bound a prefix may have a home in any zone.
-  auto other = PickFrom(pool, pool.zones,
-                        Draw{local.begin, local.end, Side::kOutside}, search);
+  // Affinity is not limited to the other zones here: the prefix may be cached
+  // in any.
+  auto other = PickFromRange(
+      pool, pool.zones, Draw{local.begin, local.end, Side::kOutside}, search);
   if (!other ||
       (best && other->wait + Seconds(options_.zone_penalty) >= best->wait)) {
     return best;
@@ -274,9 +277,8 @@
   return other;
 }
 
-// Whether a cached prefix would save more than the way to another zone costs.
-bool Router::IsWorthLeaving(const TargetPool& pool,
-                            const Search& search) const {
+// Whether a cache hit would save more than sending to another zone costs.
+bool Router::IgnoresZones(const TargetPool& pool, const Search& search) const {
   if (!options_.affinity_across_zones || search.query.prefix_hash == 0) {
     return false;
   }
@@ -291,17 +293,17 @@
          WorkSeconds({cost.prefill, base::Tokens(0)}, rates);
 }
 
-std::optional<Router::Candidate> Router::PickFrom(
+std::optional<Router::Candidate> Router::PickFromRange(
     const TargetPool& pool,
     std::span<const TargetPool::ZoneRange> affine_zones,
     const Draw& draw,
     const Search& search) const {
-  const auto sample = Sample(pool, draw, search);
+  const auto sample = PickSampled(pool, draw, search);
   const bool affinity = options_.policy == RoutePolicy::kDefault;
   if (!sample || !affinity || search.query.prefix_hash == 0) {
     return sample;
   }
-  const auto affine = Affine(pool, affine_zones, search);
+  const auto affine = PickAffine(pool, affine_zones, search);
   if (!affine) {
     return sample;
   }
@@ -311,9 +313,10 @@
   return affine->wait <= sample->wait + bound ? affine : sample;
 }
 
-std::optional<Router::Candidate> Router::Sample(const TargetPool& pool,
-                                                const Draw& draw,
-                                                const Search& search) const {
+std::optional<Router::Candidate> Router::PickSampled(
+    const TargetPool& pool,
+    const Draw& draw,
+    const Search& search) const {
   const std::size_t in_range = draw.end - draw.begin;
   const bool inside = draw.side == Side::kInside;
   const std::size_t n = inside ? in_range : pool.members.size() - in_range;
@@ -325,7 +328,7 @@
     return pool.members[inside ? draw.begin + i : i + (after ? in_range : 0)];
   };
   const auto draw_one = [&]() -> const IndexedTarget* {
-    for (int i = 0; i < kDraws; ++i) {
+    for (int i = 0; i < kSampleTries; ++i) {
       const auto& it = member(base::UniformBelow(random_, n));
       if (search.IsUsable(*it.target)) {
         return &it;
@@ -345,16 +348,16 @@
     return std::nullopt;
   }
   const base::Time now = search.query.now;
-  const Candidate first = Judge(pool, *a, RouteReason::kSampled, now);
+  const Candidate first = Evaluate(pool, *a, RouteReason::kSampled, now);
   const IndexedTarget* b = n > 1 ? draw_one() : a;
   if (b == a) {
     return first;
   }
-  const Candidate second = Judge(pool, *b, RouteReason::kSampled, now);
+  const Candidate second = Evaluate(pool, *b, RouteReason::kSampled, now);
   return second.wait < first.wait ? second : first;
 }
 
-std::optional<Router::Candidate> Router::Affine(
+std::optional<Router::Candidate> Router::PickAffine(
     const TargetPool& pool,
     std::span<const TargetPool::ZoneRange> zones,
     const Search& search) const {
@@ -376,16 +379,16 @@
         continue;
       }
       const Candidate found =
-          Judge(pool, *it, RouteReason::kPrefix, search.query.now);
+          Evaluate(pool, *it, RouteReason::kPrefix, search.query.now);
       if (!best || found.wait < best->wait) {
         best = found;
       }
     }
   }
-  return best ? best : Home(pool, zones, search);
+  return best ? best : PickHome(pool, zones, search);
 }
 
-std::optional<Router::Candidate> Router::Home(
+std::optional<Router::Candidate> Router::PickHome(
     const TargetPool& pool,
     std::span<const TargetPool::ZoneRange> zones,
     const Search& search) const {
@@ -395,7 +398,7 @@
     for (std::size_t i = zone.begin; i < zone.end; ++i) {
       const IndexedTarget& it = pool.members[i];
       const std::uint64_t weight =
-          HomeWeight(search.query.prefix_hash, it.id_hash);
+          RendezvousWeight(search.query.prefix_hash, it.id_hash);
       if (weight >= most && search.IsUsable(*it.target)) {
         home = &it;
         most = weight;
@@ -405,7 +408,7 @@
   if (home == nullptr) {
     return std::nullopt;
   }
-  return Judge(pool, *home, RouteReason::kPrefixHome, search.query.now);
+  return Evaluate(pool, *home, RouteReason::kPrefixHome, search.query.now);
 }
 
 std::optional<RouteChoice> Router::PickBaseline(const TargetGroup& group,
@@ -426,7 +429,7 @@
   if (options_.policy == RoutePolicy::kRandom) {
     start = base::UniformBelow(random_, n);
   } else if (options_.policy == RoutePolicy::kRoundRobin) {
-    start = turn_.fetch_add(1, std::memory_order_relaxed) % n;
+    start = next_round_robin_.fetch_add(1, std::memory_order_relaxed) % n;
   }
   const IndexedTarget* best = nullptr;
   for (std::size_t i = 0; i < n; ++i) {
--- a/src/request/send_history.cc
+++ b/src/request/send_history.cc
@@ -23,7 +23,7 @@
   const std::int64_t number = SlotNumber(now);
   Slot& slot = slots_[static_cast<std::size_t>(number) % kSlots];
   std::int64_t seen = slot.number.load(std::memory_order_relaxed);
-  // The one thread that moves the slot to its new time empties it.
+  // Only the thread that moves the slot to its new time resets it.
   if (seen != number && slot.number.compare_exchange_strong(
                             seen, number, std::memory_order_relaxed)) {
     slot.requests.store(0, std::memory_order_relaxed);
--- a/src/request/send_history.h
+++ b/src/request/send_history.h
@@ -1,9 +1,8 @@
-// What this process sent to one target lately, by time.
+// Work that this process recently sent to one target, by time.
 //
-// A load report describes a moment in the past. What was sent after that
-// moment is not in it, so routing adds it. The history is a ring of time
-// slots; it is lock-free, and a slot that is being recycled while it is read
-// may be counted short by the sends of that instant.
+// Routing uses it to add to a load report what was sent after the report was
+// made. The history is a lock-free ring of time slots. A slot that is reused
+// while it is read or written may lose the sends of that instant.
 #ifndef LYNXGLADE_REQUEST_SEND_HISTORY_H_
 #define LYNXGLADE_REQUEST_SEND_HISTORY_H_
 
@@ -17,7 +16,7 @@
 
 namespace lynxglade::request {
 
-// Sends summed over some time.
+// The sum of the sends of a time span.
 struct SentWork {
   int requests = 0;
   Cost cost;
@@ -26,7 +25,7 @@
 // One target's ring. Thread-safe.
 class SendHistory {
  public:
-  // Width of a slot and how far back the ring reaches.
+  // Width of a slot, number of slots, and the time span of the ring.
   static constexpr base::Duration kSlot = std::chrono::milliseconds(128);
   static constexpr std::size_t kSlots = 32;
   static constexpr base::Duration kSpan = kSlot * kSlots;
@@ -37,7 +36,7 @@
 
   void Record(const Cost& cost, base::Time now) noexcept;
 
-  // Sends at or after `since`, rounded down to the start of its slot and
+  // Sum of the sends since `since`, rounded down to the start of its slot and
   // limited to the last kSpan before `now`.
   SentWork SumSince(base::Time since, base::Time now) const noexcept;
 
--- a/src/request/target.h
+++ b/src/request/target.h
@@ -1,5 +1,5 @@
-// Targets as routing sees them: one immutable table, replaced as a whole, and
-// counters beside it that every request touches.
+// The table of targets that routing uses. A table is immutable and replaced as
+// a whole; the counters that requests update are kept apart in LocalLoad.
 #ifndef LYNXGLADE_REQUEST_TARGET_H_
 #define LYNXGLADE_REQUEST_TARGET_H_
 
@@ -20,10 +20,10 @@
 
 enum class EngineRole { kMixed, kPrefill, kDecode, kPlain };
 std::string_view ToString(EngineRole role) noexcept;
-// Returns false on other text.
+// Returns false if `text` names no role.
 bool ParseEngineRole(std::string_view text, EngineRole* role) noexcept;
 
-// What a target last said of its load.
+// A target's last load report.
 struct TargetLoad {
   int running = 0;
   int waiting = 0;
@@ -31,25 +31,25 @@
   base::Tokens running_decode{0};
   double prefill_tokens_per_s = 0;
   double decode_tokens_per_s = 0;
-  // When the report was made, by this process's clock (arrival less lag).
+  // When the report was made, on this process's clock (arrival minus lag).
   base::Time as_of{};
 };
 
-// What this process itself has under way at a target; written by every
-// request, so atomic and outside the table. Change it through InFlight
-// (request/in_flight.h), which keeps its parts in step.
+// What this process has in flight at a target. Updated by every request, hence
+// atomic and outside the immutable table. Update it through InFlight
+// (request/in_flight.h), which keeps the counters consistent.
 struct LocalLoad {
   std::atomic<int> running{0};
   std::atomic<std::int64_t> prefill_tokens{0};
   std::atomic<std::int64_t> decode_tokens{0};
-  // Nanoseconds on the clock until which the target is ejected; 0 when not.
-  // Written by OutlierEjector.
+  // End of the target's ejection in nanoseconds since the clock's epoch; 0 if
+  // it is not ejected. Written by OutlierEjector.
   std::atomic<std::int64_t> ejected_until{0};
-  // What was sent when, to correct reports that are older.
+  // Recent sends, to correct reports made before them.
   SendHistory history;
 };
 
-// One target. Only kServing takes new work.
+// Only kServing accepts new work.
 enum class TargetState { kServing, kDraining, kLeaving, kChanging, kEjected };
 std::string_view ToString(TargetState state) noexcept;
 
@@ -69,7 +69,7 @@
   std::shared_ptr<LocalLoad> local_load = std::make_shared<LocalLoad>();
 };
 
-// All targets in view, sorted by service so that one service's are adjacent.
+// All known targets, sorted by service.
 struct TargetTable {
   std::vector<Target> targets;
 };
--- a/src/request/target_index.cc
+++ b/src/request/target_index.cc
@@ -37,7 +37,7 @@
                      {load.prefill_tokens_per_s, load.decode_tokens_per_s});
 }
 
-void Arrange(TargetPool& pool, const TargetIndexOptions& options) {
+void SortAndAverage(TargetPool& pool, const TargetIndexOptions& options) {
   pool.seconds_per_request =
       std::chrono::duration<double>(options.time_per_request).count();
   std::ranges::sort(pool.members, [](const auto& a, const auto& b) {
@@ -87,15 +87,15 @@
     }
   }
   for (auto& [hash, group] : groups_) {
-    std::ranges::for_each(group.pools,
-                          [this](TargetPool& it) { Arrange(it, options_); });
+    std::ranges::for_each(
+        group.pools, [this](TargetPool& it) { SortAndAverage(it, options_); });
   }
 }
 
 void TargetIndex::Add(const Target& target, const base::ModelVersion& version) {
   std::uint64_t hash = GroupHash(target.service, target.model, version);
   auto it = groups_.find(hash);
-  // Two groups of one hash: the later takes the next free number.
+  // On a hash collision the later group takes the next free number.
   while (it != groups_.end() &&
          !IsGroup(it->second, target.service, target.model, version)) {
     it = groups_.find(++hash);
@@ -107,7 +107,7 @@
     group.version = version;
   }
   ++group.known;
-  // An engine without a model can run nothing yet.
+  // An engine without a loaded model cannot run requests.
   const bool loaded =
       target.role == EngineRole::kPlain || !target.model.empty();
   if (target.state == TargetState::kServing && loaded) {
--- a/src/request/target_index.h
+++ b/src/request/target_index.h
@@ -1,10 +1,9 @@
-// A target table arranged for routing: built once per table, read by every
+// An index of a target table for routing: built once per table, read by every
 // request.
 //
 // Holds, per service, model and version, the serving targets of each role,
-// split by zone. Targets that do not serve (draining, leaving, changing,
-// ejected by state) are counted but never listed, so that nothing that picks
-// from an index can give them new work.
+// grouped by zone. Targets in other states (draining, leaving, changing,
+// ejected) are counted but not listed, so that no new work is routed to them.
 #ifndef LYNXGLADE_REQUEST_TARGET_INDEX_H_
 #define LYNXGLADE_REQUEST_TARGET_INDEX_H_
 
@@ -21,17 +20,17 @@
 
 namespace lynxglade::request {
 
-// A serving target with what routing computes once.
+// A serving target with values precomputed for routing.
 struct IndexedTarget {
   const Target* target = nullptr;
   // Hash of the target's id.
   std::uint64_t id_hash = 0;
-  // Reported work ahead, in seconds at the target's own rates; for a target
-  // that reports no rates, its requests times the unit time.
+  // Reported backlog in seconds: its tokens at the target's reported rates, or
+  // its requests times time_per_request if the target reports no rates.
   double reported_seconds = 0;
 };
 
-// Serving targets of one role: all, with each zone's adjacent.
+// Serving targets of one role, sorted by zone and id hash.
 struct TargetPool {
   struct ZoneRange {
     base::ZoneId zone;
@@ -40,22 +39,22 @@
   };
   std::vector<IndexedTarget> members;
   std::vector<ZoneRange> zones;
-  // Mean reported work ahead; what an old report is drawn towards.
+  // Mean reported backlog, towards which an old report decays.
   double mean_seconds = 0;
-  // Seconds a request takes at a target that reports no rates.
+  // Run time assumed for a request at a target that reports no rates.
   double seconds_per_request = 0;
 
   bool empty() const noexcept { return members.empty(); }
-  // The zone's members, an empty range when it has none.
+  // The zone's members; an empty range if it has none.
   ZoneRange FindZone(const base::ZoneId& zone) const noexcept;
 };
 
-// Everything that serves one (service, model, version).
+// The targets of one (service, model, version).
 struct TargetGroup {
   base::ServiceName service;
   base::ModelName model;
   base::ModelVersion version;  // empty: any
-  // By EngineRole.
+  // Indexed by EngineRole.
   std::array<TargetPool, 4> pools;
   // Targets of the group in any state.
   std::size_t known = 0;
@@ -67,14 +66,14 @@
 };
 
 struct TargetIndexOptions {
-  // Time a request takes at a target that reports no rates.
+  // Run time assumed for a request at a target that reports no rates.
   base::Duration time_per_request = std::chrono::milliseconds(50);
 };
 
-// Immutable after construction; thread-safe. Keeps its table alive.
+// Immutable, hence thread-safe. Shares ownership of its table.
 class TargetIndex {
  public:
-  // An index of nothing.
+  // An empty index.
   TargetIndex();
   explicit TargetIndex(std::shared_ptr<const TargetTable> table,
                        TargetIndexOptions options = {});
@@ -83,12 +82,12 @@
   TargetIndex(const TargetIndex&) = delete;
   TargetIndex& operator=(const TargetIndex&) = delete;
 
-  // Null when no target of that kind is known. An empty version means any;
-  // an empty model is a plain service's.
+  // Null if no such target is known. An empty version matches any; `model` is
+  // empty for plain services.
   const TargetGroup* Find(const base::ServiceName& service,
                           const base::ModelName& model,
                           const base::ModelVersion& version) const noexcept;
-  // Whether any target of the service is known, in whatever state.
+  // Whether any target of the service is known, in any state.
   bool HasService(const base::ServiceName& service) const noexcept;
 
   const TargetTable& table() const noexcept { return *table_; }
@@ -99,7 +98,8 @@
 
   std::shared_ptr<const TargetTable> table_;
   TargetIndexOptions options_;
-  // By hash of service, model and version; Find checks the names.
+  // Keyed by the hash of service, model and version, with linear probing on
+  // collisions.
   std::unordered_map<std::uint64_t, TargetGroup> groups_;
   std::unordered_map<base::ServiceName, std::size_t> services_;
 };
--- a/tests/request/fleet_model.cc
+++ b/tests/request/fleet_model.cc
@@ -44,7 +44,7 @@
 struct ModelRouter {
   base::ZoneId zone;
   std::unique_ptr<Router> router;
-  TargetTable table;  // its own LocalLoad; loads as reported
+  TargetTable table;  // with this router's LocalLoad; loads as reported
   TargetIndex index;
   bool stale = true;
 };
@@ -170,7 +170,7 @@
     ModelTarget& target = targets_[n];
     auto prefill = static_cast<double>(query.cost.prefill.value());
     const auto decode = static_cast<double>(query.cost.decode.value());
-    if (query.prefix_hash != 0 && Touch(target, query.prefix_hash)) {
+    if (query.prefix_hash != 0 && AccessCache(target, query.prefix_hash)) {
       prefill *= 1 - options_.cached_part;
       ++hits_;
     }
@@ -196,8 +196,8 @@
     });
   }
 
-  // Whether the prefix was cached; caches it.
-  bool Touch(ModelTarget& target, std::uint64_t prefix) const {
+  // Returns whether the prefix was cached, and caches it (LRU).
+  bool AccessCache(ModelTarget& target, std::uint64_t prefix) const {
     const auto it = std::ranges::find(target.cache, prefix);
     const bool hit = it != target.cache.end();
     if (hit) {
@@ -262,7 +262,7 @@
   }
 
   const FleetModelOptions options_;
-  // Arrivals and routers draw apart, so that every variant gets one trace.
+  // Separate sources, so that arrivals are the same for every router variant.
   const base::RandomSource random_;
   const base::RandomSource router_random_;
   std::vector<ModelTarget> targets_;
--- a/tests/request/router_test.cc
+++ b/tests/request/router_test.cc
@@ -35,7 +35,7 @@
   return it;
 }
 
-// Work ahead of the target, as it reports it.
+// Sets the target's reported backlog, as prefill tokens.
 void Report(Target& target, double seconds, base::Time as_of) {
   target.load.queued_prefill =
       base::Tokens(static_cast<std::int64_t>(seconds * 1000));
@@ -128,19 +128,19 @@
       }
       RC_ASSERT(it->state == TargetState::kServing);
       RC_ASSERT(std::ranges::find(excluded, it->id) == excluded.end());
-      // An ejected one only where nothing else is left.
+      // Ejected targets are picked only if no other is usable.
       const bool ejected = OutlierEjector::IsEjected(*it, kNow);
       RC_ASSERT((!ejected || choice->reason == RouteReason::kAllEjected));
     }
   }
 }
 
-TEST(RouterTest, ALeavingTargetGetsNothingFromTheNextTableOn) {
+TEST(RouterTest, LeavingTargetGetsNoRequestsFromTheNextTable) {
   TargetTable table;
   for (const char* id : {"t0", "t1", "t2"}) {
     table.targets.push_back(MakeTarget(id, "a"));
   }
-  // The prefix lives at one of them; that one leaves.
+  // The target with affinity for the prefix leaves.
   Router router({}, base::SeededRandom(1));
   RouteQuery query = Query();
   query.prefix_hash = 42;
@@ -151,10 +151,10 @@
       TargetState::kLeaving;
   const auto after = Count(router, IndexOf(table), query, 200);
   EXPECT_FALSE(after.contains(home));
-  EXPECT_EQ(after.size(), 1u) << "the prefix has a new home";
+  EXPECT_EQ(after.size(), 1u) << "the prefix moves to one other target";
 }
 
-TEST(RouterTest, InstancesAgreeOnAPrefixHomeAndLeaveItWhenItIsOverloaded) {
+TEST(RouterTest, InstancesAgreeOnPrefixTargetUnlessItIsOverloaded) {
   TargetTable table;
   for (int i = 0; i < 10; ++i) {
     table.targets.push_back(MakeTarget("t" + std::to_string(i), "a"));
@@ -170,21 +170,21 @@
     ASSERT_EQ(Count(other, IndexOf(table), query, 5), first);
     homes.insert(first.begin()->first);
   }
-  EXPECT_GE(homes.size(), 8u) << "prefixes spread over targets";
+  EXPECT_GE(homes.size(), 8u) << "prefixes are spread over the targets";
 
   RouteQuery query = Query();
   query.prefix_hash = 77;
-  query.cost.prefill = base::Tokens(500);  // a hit saves 0.8 * 0.5 s
+  query.cost.prefill = base::Tokens(500);  // a cache hit saves 0.8 * 0.5 s
   const std::string home = Count(one, IndexOf(table), query, 1).begin()->first;
   auto& target =
       *std::ranges::find(table.targets, base::TargetId(home), &Target::id);
-  Report(target, 0.45, kNow);  // within 0.1 s + 0.4 s
+  Report(target, 0.45, kNow);  // affinity_slack 0.1 s + saving 0.4 s
   EXPECT_EQ(Count(one, IndexOf(table), query, 20)[home], 20);
   Report(target, 0.60, kNow);
   EXPECT_EQ(Count(one, IndexOf(table), query, 20)[home], 0);
 }
 
-TEST(RouterTest, OtherZonesTakeOverOnlyWhenTheOwnOneIsOut) {
+TEST(RouterTest, UsesOtherZonesOnlyWhenLocalZoneIsOverloadedOrDown) {
   TargetTable table;
   for (const char* zone : {"a", "b"}) {
     for (int i = 0; i < 3; ++i) {
@@ -204,7 +204,8 @@
   for (int i = 0; i < 3; ++i) {
     Report(table.targets[static_cast<std::size_t>(i)], 0.4, kNow);
   }
-  EXPECT_EQ(in_zone('a'), 200) << "a short wait does not leave the zone";
+  EXPECT_EQ(in_zone('a'), 200)
+      << "a wait below max_local_wait stays in the zone";
   for (int i = 0; i < 3; ++i) {
     Report(table.targets[static_cast<std::size_t>(i)], 3, kNow);
   }
@@ -216,7 +217,7 @@
   EXPECT_EQ(in_zone('b'), 200);
 }
 
-TEST(RouterTest, SplitsPrefillAndDecodeOnlyWhereThatIsSooner) {
+TEST(RouterTest, SplitsPrefillAndDecodeOnlyWhenFaster) {
   TargetTable table;
   table.targets = {MakeTarget("p", "a", EngineRole::kPrefill),
                    MakeTarget("d", "a", EngineRole::kDecode),
@@ -249,7 +250,7 @@
   EXPECT_EQ(fallback->reason, RouteReason::kRoleFallback);
 }
 
-TEST(RouterTest, AddsOwnSendsUntilAReportHoldsThem) {
+TEST(RouterTest, AddsSendsUntilAReportIncludesThem) {
   TargetTable table;
   table.targets = {MakeTarget("t", "a")};
   RouterOptions options;
@@ -268,14 +269,14 @@
     const InFlight sent(table.targets[0], {base::Tokens(500), base::Tokens(50)},
                         kNow);
     EXPECT_DOUBLE_EQ(estimate(kNow), 2);
-    // This report was made later, so it holds what was sent before.
+    // A report made after the send includes it.
     Report(table.targets[0], 2, kNow + std::chrono::seconds(1));
     EXPECT_DOUBLE_EQ(estimate(kNow + std::chrono::seconds(1)), 2);
-    // A report so old that the history does not reach it: all under way.
+    // The report is older than the send history: all in-flight work counts.
     Report(table.targets[0], 0, kNow - std::chrono::minutes(5));
     EXPECT_DOUBLE_EQ(estimate(kNow), 1);
   }
-  EXPECT_DOUBLE_EQ(estimate(kNow), 0) << "what ended no longer counts";
+  EXPECT_DOUBLE_EQ(estimate(kNow), 0) << "ended attempts do not count";
 }
 
 TEST(RouterTest, DoesNotHerdOnReportsTwoSecondsLate) {
@@ -286,36 +287,36 @@
       options.router.policy = policy;
       return RunFleetModel(options);
     };
-    const auto ours = run(RoutePolicy::kDefault);
-    const auto herd = run(RoutePolicy::kLeastReported);
+    const auto adaptive = run(RoutePolicy::kDefault);
+    const auto least_reported = run(RoutePolicy::kLeastReported);
     const auto random = run(RoutePolicy::kRandom);
-    const auto turns = run(RoutePolicy::kRoundRobin);
-    EXPECT_EQ(ours.unrouted, 0u);
-    EXPECT_LT(ours.max_backlog, herd.max_backlog / 4);
-    EXPECT_LT(ours.max_backlog, random.max_backlog);
-    EXPECT_LT(ours.p95_first_token, random.p95_first_token / 1.5);
-    EXPECT_LT(ours.p95_first_token, turns.p95_first_token);
-    // Each half of the correction is needed.
+    const auto round_robin = run(RoutePolicy::kRoundRobin);
+    EXPECT_EQ(adaptive.unrouted, 0u);
+    EXPECT_LT(adaptive.max_backlog, least_reported.max_backlog / 4);
+    EXPECT_LT(adaptive.max_backlog, random.max_backlog);
+    EXPECT_LT(adaptive.p95_first_token, random.p95_first_token / 1.5);
+    EXPECT_LT(adaptive.p95_first_token, round_robin.p95_first_token);
+    // Both corrections of the reports contribute.
     options.router = {};
     options.router.age_reports = false;
-    EXPECT_LT(ours.p95_first_token, RunFleetModel(options).p95_first_token);
+    EXPECT_LT(adaptive.p95_first_token, RunFleetModel(options).p95_first_token);
     options.router = {};
     options.router.add_unreported_sends = false;
-    EXPECT_LT(ours.p95_first_token, RunFleetModel(options).p95_first_token);
+    EXPECT_LT(adaptive.p95_first_token, RunFleetModel(options).p95_first_token);
   }
 }
 
-TEST(RouterTest, ServesThroughTheLossOfAZoneAndGainsByAffinity) {
+TEST(RouterTest, SurvivesZoneLossAndGainsFromAffinity) {
   FleetModelOptions options;
   options.prefixes = 300;
   options.utilization = 0.6;
   options.zone_lost_at = std::chrono::seconds(120);
-  const auto ours = RunFleetModel(options);
-  EXPECT_EQ(ours.unrouted, 0u);
+  const auto adaptive = RunFleetModel(options);
+  EXPECT_EQ(adaptive.unrouted, 0u);
   options.router.policy = RoutePolicy::kNoAffinity;
   const auto without = RunFleetModel(options);
-  EXPECT_GT(ours.cache_hits, 1.5 * without.cache_hits);
-  EXPECT_LT(ours.p95_first_token, without.p95_first_token);
+  EXPECT_GT(adaptive.cache_hits, 1.5 * without.cache_hits);
+  EXPECT_LT(adaptive.p95_first_token, without.p95_first_token);
 }
 
 TEST(RouterTest, PicksFromManyThreads) {
