--- a/src/request/admission.cc
+++ b/src/request/admission.cc
@@ -157,7 +157,7 @@
                        request.deadline, cost};
   Line::Waiter waiter;
   std::unique_lock lock(line->mutex);
-  std::vector<Dropped> dropped;
+  std::vector<DroppedRequest> dropped;
   const auto id = line->queue.Enqueue(item, clock_(), refusal, &dropped);
   if (id) {
     line->waiters.emplace(*id, &waiter);
@@ -237,7 +237,7 @@
 
 void Admission::Pump(Line& line) {
   const base::Time now = clock_();
-  std::vector<Dropped> dropped;
+  std::vector<DroppedRequest> dropped;
   line.queue.Expire(now, &dropped);
   Notify(line, dropped);
   while (const auto id = line.queue.Dequeue(now)) {
@@ -248,8 +248,8 @@
   }
 }
 
-void Admission::Notify(Line& line, const std::vector<Dropped>& dropped) {
-  for (const Dropped& drop : dropped) {
+void Admission::Notify(Line& line, const std::vector<DroppedRequest>& dropped) {
+  for (const DroppedRequest& drop : dropped) {
     const auto it = line.waiters.find(drop.id);
     it->second->refused = drop.refusal;
     it->second->changed.notify_one();
--- a/src/request/admission.h
+++ b/src/request/admission.h
@@ -102,7 +102,7 @@
   Line* FindLine(const base::ServiceName& service, bool make);
   // Both need the line's lock.
   void Pump(Line& line);
-  static void Notify(Line& line, const std::vector<Dropped>& dropped);
+  static void Notify(Line& line, const std::vector<DroppedRequest>& dropped);
   void Complete(Line& line, EntryId id, const std::optional<Cost>& actual);
 
   const FairQueueOptions options_;
--- a/src/request/fair_queue.cc
+++ b/src/request/fair_queue.cc
@@ -58,10 +58,11 @@
   shares_ = std::move(shares);
 }
 
-std::optional<EntryId> FairQueue::Enqueue(const QueueItem& item,
-                                          base::Time now,
-                                          Refusal* refusal,
-                                          std::vector<Dropped>* dropped) {
+std::optional<EntryId> FairQueue::Enqueue(
+    const QueueItem& item,
+    base::Time now,
+    Refusal* refusal,
+    std::vector<DroppedRequest>* dropped) {
   const auto refuse = [&](RefusalReason reason, base::Duration retry_after) {
     *refusal = MakeRefusal(reason, retry_after);
     return std::nullopt;
@@ -131,7 +132,7 @@
   return id;
 }
 
-void FairQueue::Expire(base::Time now, std::vector<Dropped>* dropped) {
+void FairQueue::Expire(base::Time now, std::vector<DroppedRequest>* dropped) {
   while (!expiries_.empty() && expiries_.begin()->first <= now) {
     const EntryId id = expiries_.begin()->second;
     const Entry& entry = entries_.at(id);
@@ -266,7 +267,7 @@
 void FairQueue::Drop(EntryId id,
                      RefusalReason reason,
                      base::Duration retry_after,
-                     std::vector<Dropped>* dropped) {
+                     std::vector<DroppedRequest>* dropped) {
   dropped->push_back({id, MakeRefusal(reason, retry_after)});
   Remove(id);
 }
@@ -286,7 +287,7 @@
 
 bool FairQueue::MakeRoom(const QueueItem& item,
                          double work,
-                         std::vector<Dropped>* dropped) {
+                         std::vector<DroppedRequest>* dropped) {
   // The contract with the most waiting work for its share gives way.
   const auto burden = [this](const auto& it) {
     double waiting = 0;
@@ -316,7 +317,7 @@
 bool FairQueue::MakeTime(const QueueItem& item,
                          double work,
                          base::Duration excess,
-                         std::vector<Dropped>* dropped) {
+                         std::vector<DroppedRequest>* dropped) {
   const auto flow = flows_.find(item.contract);
   if (flow == flows_.end()) {
     return false;
--- a/src/request/fair_queue.h
+++ b/src/request/fair_queue.h
@@ -62,7 +62,7 @@
 };
 
 // A waiting request that was dropped, and what its caller is told.
-struct Dropped {
+struct DroppedRequest {
   EntryId id;
   Refusal refusal;
 };
@@ -83,12 +83,12 @@
   std::optional<EntryId> Enqueue(const QueueItem& item,
                                  base::Time now,
                                  Refusal* refusal,
-                                 std::vector<Dropped>* dropped);
+                                 std::vector<DroppedRequest>* dropped);
   // The next request to run, when one waits and concurrency allows.
   std::optional<EntryId> Dequeue(base::Time now);
   // Drops what can no longer make its deadline. Call before Dequeue, and at
   // each waiting request's ExpiryOf.
-  void Expire(base::Time now, std::vector<Dropped>* dropped);
+  void Expire(base::Time now, std::vector<DroppedRequest>* dropped);
   // The caller went away before the request ran.
   void Cancel(EntryId id);
   // A dequeued request ended, having cost `actual`; nullopt when not known.
@@ -145,15 +145,15 @@
   void Drop(EntryId id,
             RefusalReason reason,
             base::Duration retry_after,
-            std::vector<Dropped>* dropped);
+            std::vector<DroppedRequest>* dropped);
   Refusal MakeRefusal(RefusalReason reason, base::Duration retry_after) const;
   bool MakeRoom(const QueueItem& item,
                 double work,
-                std::vector<Dropped>* dropped);
+                std::vector<DroppedRequest>* dropped);
   bool MakeTime(const QueueItem& item,
                 double work,
                 base::Duration excess,
-                std::vector<Dropped>* dropped);
+                std::vector<DroppedRequest>* dropped);
   // Waiting requests of one line with less worth for their work, least first.
   std::vector<EntryId> LessWorthy(const Line& line, double density) const;
   double DensityOf(EntryId id) const;
--- a/tests/request/admission_model.cc
+++ b/tests/request/admission_model.cc
@@ -118,7 +118,7 @@
     ++result.offered;
     result.offered_worth += offer.worth;
     Refusal refusal;
-    std::vector<Dropped> dropped;
+    std::vector<DroppedRequest> dropped;
     const auto id = queue_.Enqueue(item, now_, &refusal, &dropped);
     if (id) {
       offers_.emplace(*id, offer);
@@ -128,8 +128,8 @@
     Take(dropped);
   }
 
-  void Take(const std::vector<Dropped>& dropped) {
-    for (const Dropped& it : dropped) {
+  void Take(const std::vector<DroppedRequest>& dropped) {
+    for (const DroppedRequest& it : dropped) {
       const Offer& offer = offers_.at(it.id);
       ++result_.contracts[offer.contract]
             .refused[std::string(ToString(it.refusal.reason))];
@@ -138,7 +138,7 @@
   }
 
   void Pump() {
-    std::vector<Dropped> dropped;
+    std::vector<DroppedRequest> dropped;
     queue_.Expire(now_, &dropped);
     Take(dropped);
     while (const auto id = queue_.Dequeue(now_)) {
--- a/tests/request/fair_queue_test.cc
+++ b/tests/request/fair_queue_test.cc
@@ -33,7 +33,7 @@
 // work takes `slots` seconds.
 void Teach(FairQueue& queue, int slots) {
   Refusal refusal;
-  std::vector<Dropped> dropped;
+  std::vector<DroppedRequest> dropped;
   const auto id = queue.Enqueue(Item("teacher", 100), kNow, &refusal, &dropped);
   ASSERT_EQ(queue.Dequeue(kNow), id);
   queue.Complete(*id, Item("teacher", 100).cost,
@@ -57,7 +57,7 @@
   std::map<EntryId, std::size_t> owner;
   const auto offer = [&](std::size_t i) {
     Refusal refusal;
-    std::vector<Dropped> dropped;
+    std::vector<DroppedRequest> dropped;
     QueueItem item = Item(std::to_string(i), 100);
     item.priority = priorities[i];
     owner[*queue.Enqueue(item, kNow, &refusal, &dropped)] = i;
@@ -141,7 +141,7 @@
   FairQueue queue;
   queue.SetCapacity({1, kRates});
   Refusal refusal;
-  std::vector<Dropped> dropped;
+  std::vector<DroppedRequest> dropped;
   std::map<EntryId, std::string> owner;
   const auto offer = [&](const std::string& contract) {
     owner[*queue.Enqueue(Item(contract, 100), kNow, &refusal, &dropped)] =
@@ -176,7 +176,7 @@
   FairQueue queue;
   queue.SetCapacity({1, kRates});
   Refusal refusal;
-  std::vector<Dropped> dropped;
+  std::vector<DroppedRequest> dropped;
   const auto first = queue.Enqueue(Item("a", 10), kNow, &refusal, &dropped);
   const auto late = queue.Enqueue(Item("a", 10), kNow, &refusal, &dropped);
   QueueItem urgent = Item("a", 10);
@@ -195,7 +195,7 @@
   queue.SetCapacity({1, kRates});
   Teach(queue, 1);
   Refusal refusal;
-  std::vector<Dropped> dropped;
+  std::vector<DroppedRequest> dropped;
   for (int i = 0; i < 5; ++i) {
     ASSERT_TRUE(queue.Enqueue(Item("a", 1000), kNow, &refusal, &dropped));
   }
@@ -223,7 +223,7 @@
   queue.SetCapacity({1, kRates});
   Teach(queue, 1);
   Refusal refusal;
-  std::vector<Dropped> dropped;
+  std::vector<DroppedRequest> dropped;
   std::vector<EntryId> ids;
   for (const double worth : {5.0, 1.0, 3.0, 2.0, 4.0}) {
     QueueItem item = Item("a", 1000);
@@ -255,7 +255,7 @@
   queue.SetCapacity({1, kRates});
   queue.SetShares({{base::ContractId("a"), 0.5}, {base::ContractId("b"), 0.5}});
   Refusal refusal;
-  std::vector<Dropped> dropped;
+  std::vector<DroppedRequest> dropped;
   std::vector<EntryId> ids;
   for (const double worth : {9.0, 7.0, 8.0}) {
     QueueItem item = Item("a", 100);
@@ -275,7 +275,7 @@
   queue.SetCapacity({1, kRates});
   Teach(queue, 1);
   Refusal refusal;
-  std::vector<Dropped> dropped;
+  std::vector<DroppedRequest> dropped;
   queue.Enqueue(Item("a", 1000), kNow, &refusal, &dropped);
   queue.Dequeue(kNow);
   QueueItem item = Item("b", 1000);
