--- a/src/request/fair_queue.cc
+++ b/src/request/fair_queue.cc
@@ -48,7 +48,7 @@
 }  // namespace
 
 FairQueue::FairQueue(FairQueueOptions options)
-    : options_(options), unit_run_s_(Seconds(options.initial_run)) {}
+    : options_(options), unit_run_s_(Seconds(options.initial_run_time)) {}
 
 void FairQueue::SetCapacity(const Capacity& capacity) {
   capacity_ = capacity;
--- a/src/request/fair_queue.h
+++ b/src/request/fair_queue.h
@@ -41,7 +41,7 @@
   // Share of a contract without an intent on the service.
   double default_share = 0.01;
   // Work of a request at targets that count no tokens, until measured.
-  base::Duration initial_run = std::chrono::milliseconds(50);
+  base::Duration initial_run_time = std::chrono::milliseconds(50);
   // Weight of the newest measurement of run times and efficiency.
   double smoothing = 0.1;
   // Bounds of retry_after.
