--- a/src/request/admission.cc
+++ b/src/request/admission.cc
@@ -9,42 +9,44 @@
 
 namespace {
 
-// How often a waiting thread asks whether its caller is still there.
-constexpr base::Duration kCallerCheck = std::chrono::milliseconds(250);
+// Interval at which a waiting thread polls whether its caller disconnected.
+constexpr base::Duration kCallerCheckInterval = std::chrono::milliseconds(250);
 
-// Tokens of a target are counted only when it is an engine.
+// Only engines count tokens; plain targets do not.
 bool CountsTokens(const Target& target) noexcept {
   return target.role != EngineRole::kPlain;
 }
 
-double KnownOr(double rate, double otherwise) noexcept {
-  return rate > 0 ? rate : otherwise;
+double ReportedOr(double rate, double fallback) noexcept {
+  return rate > 0 ? rate : fallback;
 }
 
 }  // namespace
 
-// One service's queue and the threads in it.
-struct Ticket::Line {
-  // A waiting thread; lives on its stack.
+// One service's queue and the threads that wait in it.
+struct Ticket::ServiceQueue {
+  // A waiting thread, on whose stack this object is allocated.
   struct Waiter {
     std::condition_variable changed;
     bool granted = false;
     std::optional<Refusal> refused;
   };
 
-  explicit Line(const FairQueueOptions& options) : queue(options) {}
+  explicit ServiceQueue(const FairQueueOptions& options) : queue(options) {}
 
   std::mutex mutex;
   FairQueue queue;
   std::map<EntryId, Waiter*> waiters;
 };
 
-Ticket::Ticket(Admission* admission, Line* line, EntryId id) noexcept
-    : admission_(admission), line_(line), id_(id) {}
+Ticket::Ticket(Admission* admission,
+               ServiceQueue* service_queue,
+               EntryId id) noexcept
+    : admission_(admission), service_queue_(service_queue), id_(id) {}
 
 Ticket::Ticket(Ticket&& other) noexcept
     : admission_(std::exchange(other.admission_, nullptr)),
-      line_(other.line_),
+      service_queue_(other.service_queue_),
       id_(other.id_),
       actual_(other.actual_) {}
 
@@ -52,7 +54,7 @@
   if (this != &other) {
     Release();
     admission_ = std::exchange(other.admission_, nullptr);
-    line_ = other.line_;
+    service_queue_ = other.service_queue_;
     id_ = other.id_;
     actual_ = other.actual_;
   }
@@ -65,7 +67,7 @@
 
 void Ticket::Release() noexcept {
   if (admission_ != nullptr) {
-    std::exchange(admission_, nullptr)->Complete(*line_, id_, actual_);
+    std::exchange(admission_, nullptr)->Complete(*service_queue_, id_, actual_);
   }
 }
 
@@ -85,13 +87,13 @@
     sum.concurrency += options.requests_per_engine;
     if (it.role != EngineRole::kDecode) {
       sum.rates.prefill_tokens_per_s +=
-          KnownOr(it.load.prefill_tokens_per_s,
-                  options.engine_rates.prefill_tokens_per_s);
+          ReportedOr(it.load.prefill_tokens_per_s,
+                     options.engine_rates.prefill_tokens_per_s);
     }
     if (it.role != EngineRole::kPrefill) {
       sum.rates.decode_tokens_per_s +=
-          KnownOr(it.load.decode_tokens_per_s,
-                  options.engine_rates.decode_tokens_per_s);
+          ReportedOr(it.load.decode_tokens_per_s,
+                     options.engine_rates.decode_tokens_per_s);
     }
   }
   const auto n = static_cast<double>(std::max<std::size_t>(entry_instances, 1));
@@ -124,17 +126,17 @@
 
 void Admission::SetCapacity(const base::ServiceName& service,
                             const Capacity& capacity) {
-  Line& line = *FindLine(service, true);
-  const std::scoped_lock lock(line.mutex);
-  line.queue.SetCapacity(capacity);
-  Pump(line);
+  ServiceQueue& service_queue = *FindQueue(service, true);
+  const std::scoped_lock lock(service_queue.mutex);
+  service_queue.queue.SetCapacity(capacity);
+  DispatchReady(service_queue);
 }
 
 void Admission::SetShares(const base::ServiceName& service,
                           std::map<base::ContractId, double> shares) {
-  Line& line = *FindLine(service, true);
-  const std::scoped_lock lock(line.mutex);
-  line.queue.SetShares(std::move(shares));
+  ServiceQueue& service_queue = *FindQueue(service, true);
+  const std::scoped_lock lock(service_queue.mutex);
+  service_queue.queue.SetShares(std::move(shares));
 }
 
 std::optional<Ticket> Admission::Admit(
@@ -147,29 +149,30 @@
     return std::nullopt;
   };
   if (stopped_.load(std::memory_order_relaxed)) {
-    return refuse(RefusalReason::kStopping, "this instance is stopping");
+    return refuse(RefusalReason::kStopping, "the instance is shutting down");
   }
-  Line* line = FindLine(request.service, false);
-  if (line == nullptr) {
-    return refuse(RefusalReason::kNoTarget, "no capacity for this service now");
+  ServiceQueue* service_queue = FindQueue(request.service, false);
+  if (service_queue == nullptr) {
+    return refuse(RefusalReason::kNoTarget, "the service has no capacity");
   }
   const QueueItem item{request.contract, request.priority, request.worth,
                        request.deadline, cost};
-  Line::Waiter waiter;
-  std::unique_lock lock(line->mutex);
+  ServiceQueue::Waiter waiter;
+  std::unique_lock lock(service_queue->mutex);
   std::vector<DroppedRequest> dropped;
-  const auto id = line->queue.Enqueue(item, clock_(), refusal, &dropped);
+  const auto id =
+      service_queue->queue.Enqueue(item, clock_(), refusal, &dropped);
   if (id) {
-    line->waiters.emplace(*id, &waiter);
+    service_queue->waiters.emplace(*id, &waiter);
   }
-  Notify(*line, dropped);
-  Pump(*line);
+  Notify(*service_queue, dropped);
+  DispatchReady(*service_queue);
   if (!id) {
     return std::nullopt;
   }
   while (!waiter.granted && !waiter.refused) {
     if (caller_gone) {
-      // The hook may do I/O: never under the lock.
+      // The hook may do I/O, so call it without the lock.
       lock.unlock();
       const bool gone = caller_gone();
       lock.lock();
@@ -177,24 +180,26 @@
         break;
       }
       if (gone) {
-        line->waiters.erase(*id);
-        line->queue.Cancel(*id);
-        return refuse(RefusalReason::kCallerGone, "the caller went away");
+        service_queue->waiters.erase(*id);
+        service_queue->queue.Cancel(*id);
+        return refuse(RefusalReason::kCallerGone, "the caller disconnected");
       }
     }
-    const base::Time expiry = line->queue.ExpiryOf(*id).value_or(item.deadline);
-    base::Duration pause = std::max(expiry - clock_(), base::Duration::zero());
+    const base::Time expiry =
+        service_queue->queue.ExpiryOf(*id).value_or(item.deadline);
+    base::Duration timeout =
+        std::max(expiry - clock_(), base::Duration::zero());
     if (caller_gone) {
-      pause = std::min(pause, kCallerCheck);
+      timeout = std::min(timeout, kCallerCheckInterval);
     }
-    waiter.changed.wait_for(lock, pause);
-    Pump(*line);
+    waiter.changed.wait_for(lock, timeout);
+    DispatchReady(*service_queue);
   }
   if (waiter.refused) {
     *refusal = *waiter.refused;
     return std::nullopt;
   }
-  return Ticket(this, line, *id);
+  return Ticket(this, service_queue, *id);
 }
 
 void Admission::Stop() noexcept {
@@ -202,67 +207,68 @@
 }
 
 std::size_t Admission::waiting() const {
-  const std::scoped_lock lock(lines_mutex_);
+  const std::scoped_lock lock(queues_mutex_);
   std::size_t n = 0;
-  for (const auto& [service, line] : lines_) {
-    const std::scoped_lock line_lock(line->mutex);
-    n += line->queue.waiting();
+  for (const auto& [service, service_queue] : queues_) {
+    const std::scoped_lock queue_lock(service_queue->mutex);
+    n += service_queue->queue.waiting();
   }
   return n;
 }
 
 int Admission::running() const {
-  const std::scoped_lock lock(lines_mutex_);
+  const std::scoped_lock lock(queues_mutex_);
   int n = 0;
-  for (const auto& [service, line] : lines_) {
-    const std::scoped_lock line_lock(line->mutex);
-    n += line->queue.running();
+  for (const auto& [service, service_queue] : queues_) {
+    const std::scoped_lock queue_lock(service_queue->mutex);
+    n += service_queue->queue.running();
   }
   return n;
 }
 
-Admission::Line* Admission::FindLine(const base::ServiceName& service,
-                                     bool make) {
-  const std::scoped_lock lock(lines_mutex_);
-  const auto it = lines_.find(service);
-  if (it != lines_.end()) {
+Admission::ServiceQueue* Admission::FindQueue(const base::ServiceName& service,
+                                              bool create) {
+  const std::scoped_lock lock(queues_mutex_);
+  const auto it = queues_.find(service);
+  if (it != queues_.end()) {
     return it->second.get();
   }
-  if (!make) {
+  if (!create) {
     return nullptr;
   }
-  return lines_.emplace(service, std::make_unique<Line>(options_))
+  return queues_.emplace(service, std::make_unique<ServiceQueue>(options_))
       .first->second.get();
 }
 
-void Admission::Pump(Line& line) {
+void Admission::DispatchReady(ServiceQueue& service_queue) {
   const base::Time now = clock_();
   std::vector<DroppedRequest> dropped;
-  line.queue.Expire(now, &dropped);
-  Notify(line, dropped);
-  while (const auto id = line.queue.Dequeue(now)) {
-    const auto it = line.waiters.find(*id);
+  service_queue.queue.Expire(now, &dropped);
+  Notify(service_queue, dropped);
+  while (const auto id = service_queue.queue.Dequeue(now)) {
+    const auto it = service_queue.waiters.find(*id);
     it->second->granted = true;
     it->second->changed.notify_one();
-    line.waiters.erase(it);
+    service_queue.waiters.erase(it);
   }
 }
 
-void Admission::Notify(Line& line, const std::vector<DroppedRequest>& dropped) {
+void Admission::Notify(ServiceQueue& service_queue,
+                       const std::vector<DroppedRequest>& dropped) {
   for (const DroppedRequest& drop : dropped) {
-    const auto it = line.waiters.find(drop.id);
+    const auto it = service_queue.waiters.find(drop.id);
     it->second->refused = drop.refusal;
     it->second->changed.notify_one();
-    line.waiters.erase(it);
+    service_queue.waiters.erase(it);
   }
 }
 
-void Admission::Complete(Line& line,
+void Admission::Complete(ServiceQueue& service_queue,
                          EntryId id,
                          const std::optional<Cost>& actual) {
-  const std::scoped_lock lock(line.mutex);
-  line.queue.Complete(id, actual, clock_());
-  Pump(line);
+  const std::scoped_lock lock(service_queue.mutex);
+  service_queue.queue.Complete(id, actual, clock_());
+  DispatchReady(service_queue);
 }
 
 }  // namespace lynxglade::request
--- a/src/request/fair_queue.cc
+++ b/src/request/fair_queue.cc
@@ -10,45 +10,45 @@
 
 namespace {
 
-constexpr double kLeastWork = 1e-6;
-constexpr double kLeastShare = 1e-6;
-// Saturated time from which a measurement of speed counts, and its bounds.
-constexpr base::Duration kSpeedWindow = std::chrono::seconds(1);
-constexpr double kMinSpeed = 0.05;
-constexpr double kMaxSpeed = 20;
+constexpr double kMinWork = 1e-6;
+constexpr double kMinShare = 1e-6;
+// Minimum saturated time for a throughput sample, and bounds of the average.
+constexpr base::Duration kThroughputWindow = std::chrono::seconds(1);
+constexpr double kMinThroughput = 0.05;
+constexpr double kMaxThroughput = 20;
 
 double Seconds(base::Duration d) noexcept {
   return std::chrono::duration<double>(d).count();
 }
 
 base::Duration FromSeconds(double seconds) noexcept {
-  // A day stands for all that is longer, far from overflow.
-  constexpr double kLongest = 86400;
+  // Limits the result to a day, so that the conversion cannot overflow.
+  constexpr double kMaxSeconds = 86400;
   return std::chrono::duration_cast<base::Duration>(
-      std::chrono::duration<double>(std::min(seconds, kLongest)));
+      std::chrono::duration<double>(std::min(seconds, kMaxSeconds)));
 }
 
 std::string MessageFor(RefusalReason reason) {
   switch (reason) {
     case RefusalReason::kDeadlinePassed:
-      return "the deadline passed before the request could be queued";
+      return "the deadline passed before the request was queued";
     case RefusalReason::kDeadlineHopeless:
-      return "the contract's queue is too long for this deadline";
+      return "the estimated queue wait exceeds the deadline";
     case RefusalReason::kQueueFull:
-      return "the queue is full of requests of no less worth";
+      return "the queue is full and holds no request of lower worth";
     case RefusalReason::kQueueTimeout:
-      return "the deadline could no longer be met while waiting";
+      return "the request waited until its deadline could not be met";
     case RefusalReason::kShed:
-      return "dropped from the queue for requests of more worth";
+      return "evicted from the queue in favour of another request";
     default:
-      return "no capacity for this service now";
+      return "the service has no capacity";
   }
 }
 
 }  // namespace
 
 FairQueue::FairQueue(FairQueueOptions options)
-    : options_(options), unit_run_s_(Seconds(options.initial_run_time)) {}
+    : options_(options), mean_run_s_(Seconds(options.initial_run_time)) {}
 
 void FairQueue::SetCapacity(const Capacity& capacity) {
   capacity_ = capacity;
@@ -76,24 +76,25 @@
   const double work = WorkOf(item.cost);
   const base::Duration wait = EstimateWait(item.contract, item.priority);
   const base::Duration excess = now + wait + RunTime(work) - item.deadline;
-  // With no wait ahead it is tried even if it looks too long: only a run can
-  // correct an estimate that is wrong.
+  // Without a wait, accept the request even if its estimated run time exceeds
+  // the deadline: only a run can correct a wrong estimate.
   if (wait > base::Duration::zero() && excess > base::Duration::zero() &&
-      !MakeTime(item, work, excess, dropped)) {
+      !EvictForDeadline(item, work, excess, dropped)) {
     return refuse(RefusalReason::kDeadlineHopeless, excess);
   }
   if (entries_.size() >= options_.max_waiting &&
-      !MakeRoom(item, work, dropped)) {
+      !EvictForSpace(item, work, dropped)) {
     return refuse(RefusalReason::kQueueFull, wait);
   }
   const EntryId id(next_id_++);
-  Flow& flow = TouchFlow(item.contract);
+  Flow& flow = FindOrCreateFlow(item.contract);
   if (flow.waiting == 0) {
     flow.virtual_time = std::max(flow.virtual_time, virtual_now_);
   }
-  Line& line = flow.lines[static_cast<std::size_t>(LineOf(item))];
-  line.ids.insert(id);
-  line.work += work;
+  PriorityLevel& level =
+      flow.levels[static_cast<std::size_t>(PriorityIndex(item))];
+  level.ids.insert(id);
+  level.work += work;
   ++flow.waiting;
   const base::Time expiry = std::max(now, item.deadline - RunTime(work));
   entries_.emplace(id, Entry{item, work, expiry});
@@ -115,9 +116,9 @@
   if (next == nullptr) {
     return std::nullopt;
   }
-  const auto line = std::ranges::find_if(
-      next->lines, [](const Line& it) { return !it.ids.empty(); });
-  const EntryId id = *line->ids.begin();
+  const auto level = std::ranges::find_if(
+      next->levels, [](const PriorityLevel& it) { return !it.ids.empty(); });
+  const EntryId id = *level->ids.begin();
   const Entry entry = entries_.at(id);
   Remove(id);
   virtual_now_ = next->virtual_time;
@@ -125,9 +126,9 @@
   ++next->running;
   running_.emplace(id, Running{entry.item.contract, entry.work, now});
   if (!IsSaturated()) {
-    busy_ = {};
-  } else if (!busy_.since) {
-    busy_ = {now, 0};
+    saturated_ = {};
+  } else if (!saturated_.since) {
+    saturated_ = {now, 0};
   }
   return id;
 }
@@ -156,7 +157,7 @@
   }
   Running run = it->second;
   running_.erase(it);
-  Flow& flow = TouchFlow(run.contract);
+  Flow& flow = FindOrCreateFlow(run.contract);
   --flow.running;
   if (actual) {
     const bool ran = *actual != Cost{};
@@ -165,10 +166,11 @@
     run.work = work;
   }
   if (run.work > 0) {
-    Learn(run, now);
+    UpdateEstimates(run, now);
   }
   if (running_.empty() && entries_.empty()) {
-    // Debts end with the busy period: nobody waits for what was used.
+    // The queue is idle: drop all virtual times, so that work done while there
+    // was no contention is not charged later.
     flows_.clear();
     virtual_now_ = 0;
   }
@@ -188,15 +190,15 @@
   double ahead = 0;
   const auto flow = flows_.find(contract);
   if (flow != flows_.end()) {
-    const int line = std::clamp(priority.value(), 0, kPriorities - 1);
-    for (int i = 0; i <= line; ++i) {
-      ahead += flow->second.lines[static_cast<std::size_t>(i)].work;
+    const int level = std::clamp(priority.value(), 0, kPriorities - 1);
+    for (int i = 0; i <= level; ++i) {
+      ahead += flow->second.levels[static_cast<std::size_t>(i)].work;
     }
-    // What it was given beyond its share has to be waited off, too.
-    const double lead = flow->second.virtual_time - virtual_now_;
-    ahead += std::max(0.0, lead) * ShareOf(contract);
+    // A contract that ran ahead of its share waits for the others to catch up.
+    const double virtual_lead = flow->second.virtual_time - virtual_now_;
+    ahead += std::max(0.0, virtual_lead) * ShareOf(contract);
   }
-  return FromSeconds(ahead / SpeedOf(contract));
+  return FromSeconds(ahead / ThroughputOf(contract));
 }
 
 double FairQueue::WorkOf(const Cost& cost) const noexcept {
@@ -204,11 +206,11 @@
                              capacity_.rates.decode_tokens_per_s > 0;
   const double work = counts_tokens
                           ? WorkSeconds(cost, capacity_.rates)
-                          : unit_run_s_ / std::max(1, capacity_.concurrency);
-  return std::max(work, kLeastWork);
+                          : mean_run_s_ / std::max(1, capacity_.concurrency);
+  return std::max(work, kMinWork);
 }
 
-int FairQueue::LineOf(const QueueItem& item) noexcept {
+int FairQueue::PriorityIndex(const QueueItem& item) noexcept {
   return std::clamp(item.priority.value(), 0, kPriorities - 1);
 }
 
@@ -216,10 +218,10 @@
   const auto it = shares_.find(contract);
   const double share =
       it == shares_.end() ? options_.default_share : it->second;
-  return std::max(share, kLeastShare);
+  return std::max(share, kMinShare);
 }
 
-double FairQueue::SpeedOf(const base::ContractId& contract) const {
+double FairQueue::ThroughputOf(const base::ContractId& contract) const {
   const double own = ShareOf(contract);
   double all = own;
   for (const auto& [id, flow] : flows_) {
@@ -227,7 +229,7 @@
       all += ShareOf(id);
     }
   }
-  return speed_ * own / all;
+  return throughput_ * own / all;
 }
 
 base::Duration FairQueue::RunTime(double work) const noexcept {
@@ -238,12 +240,13 @@
   return !entries_.empty() && running() >= capacity_.concurrency;
 }
 
-FairQueue::Flow& FairQueue::TouchFlow(const base::ContractId& contract) {
+FairQueue::Flow& FairQueue::FindOrCreateFlow(const base::ContractId& contract) {
   const auto it = flows_.find(contract);
   if (it != flows_.end()) {
     return it->second;
   }
-  // Contracts that are idle and owe nothing need not be remembered.
+  // Remove idle contracts whose virtual time has been reached: a new flow would
+  // start at the same virtual time.
   std::erase_if(flows_, [this](const auto& flow) {
     return flow.second.waiting == 0 && flow.second.running == 0 &&
            flow.second.virtual_time <= virtual_now_;
@@ -255,10 +258,11 @@
   const auto it = entries_.find(id);
   const Entry& entry = it->second;
   Flow& flow = flows_.at(entry.item.contract);
-  Line& line = flow.lines[static_cast<std::size_t>(LineOf(entry.item))];
-  line.ids.erase(id);
-  // An empty line has exactly no work, whatever rounding left over.
-  line.work = line.ids.empty() ? 0 : line.work - entry.work;
+  PriorityLevel& level =
+      flow.levels[static_cast<std::size_t>(PriorityIndex(entry.item))];
+  level.ids.erase(id);
+  // Reset to exactly 0 when empty, against accumulated rounding errors.
+  level.work = level.ids.empty() ? 0 : level.work - entry.work;
   --flow.waiting;
   expiries_.erase({entry.expiry, id});
   entries_.erase(it);
@@ -285,14 +289,15 @@
   return refusal;
 }
 
-bool FairQueue::MakeRoom(const QueueItem& item,
-                         double work,
-                         std::vector<DroppedRequest>* dropped) {
-  // The contract with the most waiting work for its share gives way.
+bool FairQueue::EvictForSpace(const QueueItem& item,
+                              double work,
+                              std::vector<DroppedRequest>* dropped) {
+  // The request is taken from the contract with the most waiting work relative
+  // to its share.
   const auto burden = [this](const auto& it) {
     double waiting = 0;
-    for (const Line& line : it.second.lines) {
-      waiting += line.work;
+    for (const PriorityLevel& level : it.second.levels) {
+      waiting += level.work;
     }
     return waiting / ShareOf(it.first);
   };
@@ -300,11 +305,13 @@
   const bool is_own = fullest->first == item.contract;
   const double density =
       is_own ? item.worth.value() / work : std::numeric_limits<double>::max();
-  // Least urgent line first; in it the least worth for its work.
-  for (int i = kPriorities - 1; i >= (is_own ? LineOf(item) : 0); --i) {
-    const auto victims = LessWorthy(
-        fullest->second.lines[static_cast<std::size_t>(i)],
-        i > LineOf(item) ? std::numeric_limits<double>::max() : density);
+  // Least urgent priority first; within it, the lowest worth per work. The
+  // item's own contract loses only less urgent requests, or equally urgent ones
+  // of lower density.
+  for (int i = kPriorities - 1; i >= (is_own ? PriorityIndex(item) : 0); --i) {
+    const auto victims = EntriesBelowDensity(
+        fullest->second.levels[static_cast<std::size_t>(i)],
+        i > PriorityIndex(item) ? std::numeric_limits<double>::max() : density);
     if (!victims.empty()) {
       Drop(victims.front(), RefusalReason::kShed,
            EstimateWait(fullest->first, Priority(i)), dropped);
@@ -314,20 +321,22 @@
   return false;
 }
 
-bool FairQueue::MakeTime(const QueueItem& item,
-                         double work,
-                         base::Duration excess,
-                         std::vector<DroppedRequest>* dropped) {
+bool FairQueue::EvictForDeadline(const QueueItem& item,
+                                 double work,
+                                 base::Duration excess,
+                                 std::vector<DroppedRequest>* dropped) {
   const auto flow = flows_.find(item.contract);
   if (flow == flows_.end()) {
     return false;
   }
-  const double needed = Seconds(excess) * SpeedOf(item.contract);
-  const Line& line = flow->second.lines[static_cast<std::size_t>(LineOf(item))];
+  const double needed = Seconds(excess) * ThroughputOf(item.contract);
+  const PriorityLevel& level =
+      flow->second.levels[static_cast<std::size_t>(PriorityIndex(item))];
   double freed = 0;
   double lost = 0;
   std::vector<EntryId> victims;
-  for (const EntryId id : LessWorthy(line, item.worth.value() / work)) {
+  for (const EntryId id :
+       EntriesBelowDensity(level, item.worth.value() / work)) {
     const Entry& entry = entries_.at(id);
     freed += entry.work;
     lost += entry.item.worth.value();
@@ -346,10 +355,10 @@
   return true;
 }
 
-std::vector<EntryId> FairQueue::LessWorthy(const Line& line,
-                                           double density) const {
+std::vector<EntryId> FairQueue::EntriesBelowDensity(const PriorityLevel& level,
+                                                    double density) const {
   std::vector<EntryId> ids;
-  std::ranges::copy_if(line.ids, std::back_inserter(ids),
+  std::ranges::copy_if(level.ids, std::back_inserter(ids),
                        [&](EntryId id) { return DensityOf(id) < density; });
   std::ranges::sort(ids, {}, [this](EntryId id) { return DensityOf(id); });
   return ids;
@@ -360,23 +369,23 @@
   return entry.item.worth.value() / entry.work;
 }
 
-void FairQueue::Learn(const Running& run, base::Time now) {
+void FairQueue::UpdateEstimates(const Running& run, base::Time now) {
   const double weight = options_.smoothing;
   const double seconds = Seconds(now - run.started);
   const double ratio = seconds / run.work;
   run_ratio_ =
       run_ratio_ ? *run_ratio_ + weight * (ratio - *run_ratio_) : ratio;
-  unit_run_s_ += weight * (seconds - unit_run_s_);
-  if (!busy_.since) {
+  mean_run_s_ += weight * (seconds - mean_run_s_);
+  if (!saturated_.since) {
     return;
   }
-  busy_.work += run.work;
-  const base::Duration elapsed = now - *busy_.since;
-  if (elapsed >= kSpeedWindow) {
-    const double sample = busy_.work / Seconds(elapsed);
-    speed_ =
-        std::clamp(speed_ + weight * (sample - speed_), kMinSpeed, kMaxSpeed);
-    busy_ = {now, 0};
+  saturated_.work += run.work;
+  const base::Duration elapsed = now - *saturated_.since;
+  if (elapsed >= kThroughputWindow) {
+    const double sample = saturated_.work / Seconds(elapsed);
+    throughput_ = std::clamp(throughput_ + weight * (sample - throughput_),
+                             kMinThroughput, kMaxThroughput);
+    saturated_ = {now, 0};
   }
 }
 
--- a/src/request/fair_queue.h
+++ b/src/request/fair_queue.h
@@ -1,12 +1,12 @@
-// Shares a service's capacity among contracts.
+// Weighted fair queue that divides a service's capacity among contracts.
 //
 // Start-time fair queueing: each contract has a virtual time that advances by
-// the work it is given over its share, and the waiting contract that is
-// furthest behind goes next. No contract's share is left idle while another
-// waits, and an idle contract saves up nothing. Inside a contract the most
-// urgent priority goes first. Work is seconds of the whole capacity, estimated
-// from prefill and decode tokens at measured rates and corrected when the
-// request ends. See docs/notes/admission.md.
+// the work dequeued for it divided by its share, and the waiting contract with
+// the smallest virtual time goes next. The scheduler is work-conserving, and a
+// contract accumulates no credit while it is idle. Within a contract the most
+// urgent priority goes first. Work is expressed in seconds of the whole
+// capacity, estimated from prefill and decode tokens at the targets' rates and
+// corrected when the request ends. See docs/notes/admission.md.
 #ifndef LYNXGLADE_REQUEST_FAIR_QUEUE_H_
 #define LYNXGLADE_REQUEST_FAIR_QUEUE_H_
 
@@ -27,32 +27,33 @@
 
 namespace lynxglade::request {
 
-// What this process may use of a service's targets.
+// The part of a service's capacity that this process may use.
 struct Capacity {
-  // Requests under way at once.
+  // Maximum number of requests in flight.
   int concurrency = 0;
-  // Sum over the targets; zeros where the targets count no tokens.
+  // Sum over the targets; zero if the targets do not count tokens.
   Rates rates;
 };
 
 struct FairQueueOptions {
-  // Requests waiting at once, over all contracts.
+  // Maximum number of waiting requests, over all contracts.
   std::size_t max_waiting = 4096;
-  // Share of a contract without an intent on the service.
+  // Share of a contract for which SetShares gave none.
   double default_share = 0.01;
-  // Work of a request at targets that count no tokens, until measured.
+  // Initial estimate of a request's run time at targets that do not count
+  // tokens.
   base::Duration initial_run_time = std::chrono::milliseconds(50);
-  // Weight of the newest measurement of run times and efficiency.
+  // Weight of a new sample in the moving averages of run time and throughput.
   double smoothing = 0.1;
   // Bounds of retry_after.
   base::Duration min_retry_after = std::chrono::milliseconds(100);
   base::Duration max_retry_after = std::chrono::seconds(30);
 };
 
-// Names a request in its queue.
+// Identifies a request within its queue.
 using EntryId = base::StrongNumber<struct EntryIdTag, std::uint64_t>;
 
-// What the queue must know of a request.
+// The properties of a request that the queue uses.
 struct QueueItem {
   base::ContractId contract;
   Priority priority{5};
@@ -61,7 +62,7 @@
   Cost cost;
 };
 
-// A waiting request that was dropped, and what its caller is told.
+// A waiting request that was dropped, and the refusal for its caller.
 struct DroppedRequest {
   EntryId id;
   Refusal refusal;
@@ -78,30 +79,32 @@
   // Shares by contract, each above 0.
   void SetShares(std::map<base::ContractId, double> shares);
 
-  // Puts a request in line. nullopt: `*refusal` (outcome not-run) says why.
-  // Requests of less worth that had to make room go to `*dropped`.
+  // Queues a request. On nullopt `*refusal` is set, with outcome not-run.
+  // Waiting requests that were evicted in favour of others are appended to
+  // `*dropped`.
   std::optional<EntryId> Enqueue(const QueueItem& item,
                                  base::Time now,
                                  Refusal* refusal,
                                  std::vector<DroppedRequest>* dropped);
-  // The next request to run, when one waits and concurrency allows.
+  // Returns the next request to run, if one waits and concurrency allows it.
   std::optional<EntryId> Dequeue(base::Time now);
-  // Drops what can no longer make its deadline. Call before Dequeue, and at
-  // each waiting request's ExpiryOf.
+  // Drops the requests that can no longer meet their deadline. Call before
+  // Dequeue, and at each waiting request's ExpiryOf time.
   void Expire(base::Time now, std::vector<DroppedRequest>* dropped);
-  // The caller went away before the request ran.
+  // Removes a waiting request whose caller disconnected.
   void Cancel(EntryId id);
-  // A dequeued request ended, having cost `actual`; nullopt when not known.
+  // Reports that a dequeued request ended. `actual` is its real cost, nullopt
+  // if unknown, and zero if it did not run.
   void Complete(EntryId id, const std::optional<Cost>& actual, base::Time now);
 
-  // When a waiting request will be dropped; nullopt when it does not wait.
+  // When a waiting request will be dropped; nullopt if it is not waiting.
   std::optional<base::Time> ExpiryOf(EntryId id) const;
   std::size_t waiting() const noexcept { return entries_.size(); }
   int running() const noexcept { return static_cast<int>(running_.size()); }
-  // Time until a request of that contract and priority would start.
+  // Estimated time until a new request of that contract and priority starts.
   base::Duration EstimateWait(const base::ContractId& contract,
                               Priority priority) const;
-  // Work of a cost: seconds of the whole capacity.
+  // Work of a request, in seconds of the whole capacity.
   double WorkOf(const Cost& cost) const noexcept;
 
  private:
@@ -112,14 +115,14 @@
     double work = 0;
     base::Time expiry{};
   };
-  // Waiting requests of one priority, in order of arrival.
-  struct Line {
+  // A contract's waiting requests of one priority, in order of arrival.
+  struct PriorityLevel {
     std::set<EntryId> ids;
     double work = 0;
   };
   struct Flow {
     double virtual_time = 0;
-    std::array<Line, kPriorities> lines;
+    std::array<PriorityLevel, kPriorities> levels;
     std::size_t waiting = 0;
     int running = 0;
   };
@@ -128,36 +131,42 @@
     double work = 0;
     base::Time started{};
   };
-  // Work done while requests waited, to learn the capacity's real speed.
-  struct Busy {
+  // Work completed since the queue became saturated, to measure throughput.
+  struct SaturatedPeriod {
     std::optional<base::Time> since;
     double work = 0;
   };
 
-  static int LineOf(const QueueItem& item) noexcept;
+  static int PriorityIndex(const QueueItem& item) noexcept;
   double ShareOf(const base::ContractId& contract) const;
-  // The contract's part of the speed, were it waiting too.
-  double SpeedOf(const base::ContractId& contract) const;
+  // The contract's part of the throughput among the waiting contracts, counting
+  // itself as waiting.
+  double ThroughputOf(const base::ContractId& contract) const;
   base::Duration RunTime(double work) const noexcept;
   bool IsSaturated() const noexcept;
-  Flow& TouchFlow(const base::ContractId& contract);
+  Flow& FindOrCreateFlow(const base::ContractId& contract);
   void Remove(EntryId id);
   void Drop(EntryId id,
             RefusalReason reason,
             base::Duration retry_after,
             std::vector<DroppedRequest>* dropped);
   Refusal MakeRefusal(RefusalReason reason, base::Duration retry_after) const;
-  bool MakeRoom(const QueueItem& item,
-                double work,
-                std::vector<DroppedRequest>* dropped);
-  bool MakeTime(const QueueItem& item,
-                double work,
-                base::Duration excess,
-                std::vector<DroppedRequest>* dropped);
-  // Waiting requests of one line with less worth for their work, least first.
-  std::vector<EntryId> LessWorthy(const Line& line, double density) const;
+  // Makes space in a full queue by dropping one request.
+  bool EvictForSpace(const QueueItem& item,
+                     double work,
+                     std::vector<DroppedRequest>* dropped);
+  // Shortens the item's wait by `excess` by dropping requests of the same
+  // contract and priority that are worth less in total. All or nothing.
+  bool EvictForDeadline(const QueueItem& item,
+                        double work,
+                        base::Duration excess,
+                        std::vector<DroppedRequest>* dropped);
+  // Waiting requests whose worth per work is less than `density`, lowest first.
+  std::vector<EntryId> EntriesBelowDensity(const PriorityLevel& level,
+                                           double density) const;
+  // Worth per work.
   double DensityOf(EntryId id) const;
-  void Learn(const Running& run, base::Time now);
+  void UpdateEstimates(const Running& run, base::Time now);
 
   const FairQueueOptions options_;
   Capacity capacity_;
@@ -166,14 +175,15 @@
   std::map<EntryId, Entry> entries_;
   std::map<EntryId, Running> running_;
   std::set<std::pair<base::Time, EntryId>> expiries_;
-  // Virtual time of the request that was given out last.
+  // Virtual start time of the request dequeued last.
   double virtual_now_ = 0;
-  // Run time over work, and run time; learned.
+  // Moving averages of run time over work, and of run time in seconds.
   std::optional<double> run_ratio_;
-  double unit_run_s_;
-  // Work done a second while saturated; 1 if the rates are right.
-  double speed_ = 1;
-  Busy busy_;
+  double mean_run_s_;
+  // Moving average of work completed per second while saturated; 1 if the
+  // capacity's rates are accurate.
+  double throughput_ = 1;
+  SaturatedPeriod saturated_;
   std::uint64_t next_id_ = 1;
 };
 
--- a/tests/request/admission_model.cc
+++ b/tests/request/admission_model.cc
@@ -30,7 +30,7 @@
   }
 };
 
-struct Offer {
+struct ModelRequest {
   std::string contract;
   double work = 0;
   Cost actual;
@@ -47,9 +47,9 @@
     queue_.SetCapacity({options.concurrency, options.rates});
     std::map<base::ContractId, double> shares;
     for (const ModelContract& it : options.contracts) {
-      shares[Line(it.name)] += it.share;
-      // Each contract draws from its own source, so that its requests are the
-      // same whoever else is there.
+      shares[FlowOf(it.name)] += it.share;
+      // A separate source per contract, so that its requests do not depend on
+      // the other contracts.
       random_.push_back(base::SeededRandom(options.seed * 1000 +
                                            base::Hash64(it.name) % 1000));
     }
@@ -65,7 +65,7 @@
       events_.pop();
       now_ = event.at;
       event.run();
-      Pump();
+      Dispatch();
     }
     return result_;
   }
@@ -75,7 +75,7 @@
     events_.push({at, next_order_++, std::move(run)});
   }
 
-  base::ContractId Line(const std::string& contract) const {
+  base::ContractId FlowOf(const std::string& contract) const {
     return base::ContractId(options_.fair ? contract : "all");
   }
 
@@ -103,66 +103,66 @@
     if (next < end_) {
       At(next, [this, i] { Arrive(i); });
     }
-    Offer offer;
-    offer.contract = contract.name;
-    offer.work = MeanWork() * (0.5 + base::UniformReal(random));
-    offer.actual = CostOf(offer.work, contract.prefill_part);
-    offer.worth = contract.worth;
-    offer.deadline = now_ + contract.deadline;
+    ModelRequest request;
+    request.contract = contract.name;
+    request.work = MeanWork() * (0.5 + base::UniformReal(random));
+    request.actual = CostOf(request.work, contract.prefill_part);
+    request.worth = contract.worth;
+    request.deadline = now_ + contract.deadline;
     const double off =
         std::pow(options_.estimate_error, 2 * base::UniformReal(random) - 1);
-    const QueueItem item{Line(contract.name), Priority(5),
-                         base::Worth(offer.worth), offer.deadline,
-                         CostOf(offer.work * off, contract.prefill_part)};
+    const QueueItem item{FlowOf(contract.name), Priority(5),
+                         base::Worth(request.worth), request.deadline,
+                         CostOf(request.work * off, contract.prefill_part)};
     ContractResult& result = result_.contracts[contract.name];
     ++result.offered;
-    result.offered_worth += offer.worth;
+    result.offered_worth += request.worth;
     Refusal refusal;
     std::vector<DroppedRequest> dropped;
     const auto id = queue_.Enqueue(item, now_, &refusal, &dropped);
     if (id) {
-      offers_.emplace(*id, offer);
+      requests_.emplace(*id, request);
     } else {
       ++result.refused[std::string(ToString(refusal.reason))];
     }
-    Take(dropped);
+    CountRefused(dropped);
   }
 
-  void Take(const std::vector<DroppedRequest>& dropped) {
+  void CountRefused(const std::vector<DroppedRequest>& dropped) {
     for (const DroppedRequest& it : dropped) {
-      const Offer& offer = offers_.at(it.id);
-      ++result_.contracts[offer.contract]
+      const ModelRequest& request = requests_.at(it.id);
+      ++result_.contracts[request.contract]
             .refused[std::string(ToString(it.refusal.reason))];
-      offers_.erase(it.id);
+      requests_.erase(it.id);
     }
   }
 
-  void Pump() {
+  void Dispatch() {
     std::vector<DroppedRequest> dropped;
     queue_.Expire(now_, &dropped);
-    Take(dropped);
+    CountRefused(dropped);
     while (const auto id = queue_.Dequeue(now_)) {
-      const Offer offer = offers_.at(*id);
-      offers_.erase(*id);
+      const ModelRequest request = requests_.at(*id);
+      requests_.erase(*id);
       const base::Time done =
-          now_ + FromSeconds(offer.work * options_.concurrency);
-      At(done, [this, offer, id] { Finish(*id, offer); });
+          now_ + FromSeconds(request.work * options_.concurrency);
+      At(done, [this, request, id] { Finish(*id, request); });
     }
     if (queue_.waiting() > 0 && queue_.running() < options_.concurrency) {
       ++result_.idle_while_waiting;
     }
   }
 
-  void Finish(EntryId id, const Offer& offer) {
-    queue_.Complete(id, offer.actual, now_);
-    ContractResult& result = result_.contracts[offer.contract];
-    result.work += offer.work;
-    if (now_ > offer.deadline) {
+  void Finish(EntryId id, const ModelRequest& request) {
+    queue_.Complete(id, request.actual, now_);
+    ContractResult& result = result_.contracts[request.contract];
+    result.work += request.work;
+    if (now_ > request.deadline) {
       ++result.late;
       return;
     }
     ++result.in_time;
-    result.goodput += offer.worth;
+    result.goodput += request.worth;
   }
 
   const AdmissionModelOptions options_;
@@ -170,7 +170,7 @@
   base::Time end_;
   std::vector<base::RandomSource> random_;
   FairQueue queue_;
-  std::map<EntryId, Offer> offers_;
+  std::map<EntryId, ModelRequest> requests_;
   std::uint64_t next_order_ = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   AdmissionModelResult result_;
--- a/tests/request/admission_model.h
+++ b/tests/request/admission_model.h
@@ -1,5 +1,6 @@
-// A service behind one admission queue, driven by a virtual clock and a seed.
-// Shared by the fair queue's tests and bench/admission_experiment.
+// Discrete-event model of a service behind one fair queue. Seeded and
+// deterministic. Shared by the fair queue's tests and
+// bench/admission_experiment.
 #ifndef LYNXGLADE_TESTS_REQUEST_ADMISSION_MODEL_H_
 #define LYNXGLADE_TESTS_REQUEST_ADMISSION_MODEL_H_
 
@@ -18,9 +19,9 @@
 struct ModelContract {
   std::string name;
   double share = 0;
-  // Work offered over the whole capacity.
+  // Offered load as a fraction of the whole capacity.
   double load = 0;
-  // The prefill's part of the work.
+  // Fraction of the work that is prefill.
   double prefill_part = 0.5;
   double worth = 1;
   base::Duration deadline = std::chrono::seconds(10);
@@ -32,9 +33,9 @@
   Rates rates{64000, 6400};
   // Mean run time of a request.
   base::Duration run_time = std::chrono::milliseconds(500);
-  // Estimates are off by up to this factor either way.
+  // Cost estimates are too high or too low by up to this factor.
   double estimate_error = 2;
-  // Off: one line for all, as without shares.
+  // False: all contracts share one flow.
   bool fair = true;
   base::Duration run_for = std::chrono::seconds(200);
   std::uint64_t seed = 1;
@@ -45,16 +46,16 @@
   std::size_t in_time = 0;
   std::size_t late = 0;
   double offered_worth = 0;
-  // Worth of what was delivered by its deadline.
+  // Total worth of the requests completed by their deadlines.
   double goodput = 0;
-  // Work given, in seconds of the whole capacity.
+  // Work completed, in seconds of the whole capacity.
   double work = 0;
   std::map<std::string, std::size_t> refused;
 };
 
 struct AdmissionModelResult {
   std::map<std::string, ContractResult> contracts;
-  // Times at which a request waited although a place was free.
+  // Events after which a request waited although concurrency was available.
   std::size_t idle_while_waiting = 0;
 };
 
--- a/tests/request/fair_queue_test.cc
+++ b/tests/request/fair_queue_test.cc
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr base::Time kNow = base::Time() + std::chrono::hours(1);
-// One unit of work is a token of either kind, a thousand a second.
+// Prefill and decode tokens are equally expensive.
 constexpr Rates kRates{1000, 1000};
 
 QueueItem Item(const std::string& contract, std::int64_t tokens) {
@@ -29,9 +29,9 @@
   return item;
 }
 
-// Runs one request to its end, so that the queue knows run times: a second of
+// Runs one request to its end, from which the queue learns that one second of
 // work takes `slots` seconds.
-void Teach(FairQueue& queue, int slots) {
+void LearnRunTime(FairQueue& queue, int slots) {
   Refusal refusal;
   std::vector<DroppedRequest> dropped;
   const auto id = queue.Enqueue(Item("teacher", 100), kNow, &refusal, &dropped);
@@ -49,7 +49,7 @@
   std::vector<Priority> priorities;
   for (std::size_t i = 0; i < n; ++i) {
     shares[base::ContractId(std::to_string(i))] = *rc::gen::inRange(1, 10);
-    // Estimates say 100; what it really costs differs by contract.
+    // The estimate is 100 for all; the real cost differs by contract.
     sizes.push_back(*rc::gen::inRange(50, 200));
     priorities.push_back(Priority(*rc::gen::inRange(0, 10)));
   }
@@ -79,7 +79,7 @@
     work[i] += static_cast<double>(sizes[i]);
     queue.Complete(done, Cost{base::Tokens(sizes[i]), {}}, kNow);
   }
-  // Work over share is equal but for the requests under way.
+  // Work over share is equal except for the requests in flight.
   std::vector<double> normal;
   for (std::size_t i = 0; i < n; ++i) {
     normal.push_back(work[i] / shares[base::ContractId(std::to_string(i))]);
@@ -88,7 +88,7 @@
   RC_ASSERT(most - least <= 200.0 * 6);
 }
 
-RC_GTEST_PROP(FairQueueTest, NoPlaceIsFreeWhileARequestWaits, ()) {
+RC_GTEST_PROP(FairQueueTest, IsWorkConserving, ()) {
   AdmissionModelOptions options;
   options.run_for = std::chrono::seconds(20);
   options.seed = *rc::gen::inRange<std::uint64_t>(1, 1000);
@@ -101,7 +101,7 @@
   }
   const auto result = RunAdmissionModel(options);
   RC_ASSERT(result.idle_while_waiting == 0u);
-  // Nothing is lost: each request ran or was refused with a reason.
+  // Each request either ran or was refused with a reason.
   for (const auto& [name, it] : result.contracts) {
     std::size_t refused = 0;
     for (const auto& [reason, count] : it.refused) {
@@ -111,7 +111,7 @@
   }
 }
 
-TEST(FairQueueTest, AFloodOfTenSharesLeavesOthersTheirGoodput) {
+TEST(FairQueueTest, OverloadByOneContractLeavesOthersTheirGoodput) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     AdmissionModelOptions options;
     options.seed = seed;
@@ -127,17 +127,17 @@
     auto together = RunAdmissionModel(options).contracts;
     EXPECT_GE(together["albums"].goodput, 0.95 * alone["albums"]);
     EXPECT_GE(together["nesting"].goodput, 0.95 * alone["nesting"]);
-    // The flood has its own share, and what the others left.
+    // The overloading contract gets its share and unused capacity.
     EXPECT_GE(together["flood"].work, 0.3 * 190);
 
-    // One line for all, as a check that the flood would have hurt.
+    // Without shares the overload would harm the others.
     options.fair = false;
     together = RunAdmissionModel(options).contracts;
     EXPECT_LT(together["albums"].goodput, 0.5 * alone["albums"]);
   }
 }
 
-TEST(FairQueueTest, AnIdleContractSavesUpNothing) {
+TEST(FairQueueTest, IdleContractAccumulatesNoCredit) {
   FairQueue queue;
   queue.SetCapacity({1, kRates});
   Refusal refusal;
@@ -156,7 +156,7 @@
   for (int i = 0; i < 60; ++i) {
     offer("a");
   }
-  // b runs once and is idle while a goes on.
+  // b runs once and is idle while a continues.
   int runs_of_b = 0;
   for (int i = 0; i < 40; ++i) {
     runs_of_b += run_one() == "b" ? 1 : 0;
@@ -172,7 +172,7 @@
   EXPECT_GE(runs_of_b, 1 + 4);
 }
 
-TEST(FairQueueTest, TheMostUrgentGoesFirstWithinAContract) {
+TEST(FairQueueTest, MostUrgentPriorityGoesFirstWithinAContract) {
   FairQueue queue;
   queue.SetCapacity({1, kRates});
   Refusal refusal;
@@ -183,24 +183,24 @@
   urgent.priority = Priority(0);
   const auto next = queue.Enqueue(urgent, kNow, &refusal, &dropped);
   EXPECT_EQ(queue.Dequeue(kNow), next);
-  EXPECT_EQ(queue.Dequeue(kNow), std::nullopt) << "one at a time";
+  EXPECT_EQ(queue.Dequeue(kNow), std::nullopt) << "concurrency is 1";
   queue.Complete(*next, std::nullopt, kNow);
   EXPECT_EQ(queue.Dequeue(kNow), first);
   queue.Complete(*first, std::nullopt, kNow);
   EXPECT_EQ(queue.Dequeue(kNow), late);
 }
 
-TEST(FairQueueTest, RefusesHopelessDeadlinesAtOnceAndSaysWhenToComeBack) {
+TEST(FairQueueTest, RefusesUnreachableDeadlinesWithRetryAfter) {
   FairQueue queue;
   queue.SetCapacity({1, kRates});
-  Teach(queue, 1);
+  LearnRunTime(queue, 1);
   Refusal refusal;
   std::vector<DroppedRequest> dropped;
   for (int i = 0; i < 5; ++i) {
     ASSERT_TRUE(queue.Enqueue(Item("a", 1000), kNow, &refusal, &dropped));
   }
   queue.Dequeue(kNow);
-  // Four seconds of work wait, and one is on its way to the account.
+  // Four seconds of work wait, and one is running.
   QueueItem item = Item("a", 1000);
   item.deadline = kNow + std::chrono::seconds(3);
   EXPECT_FALSE(queue.Enqueue(item, kNow, &refusal, &dropped));
@@ -209,7 +209,7 @@
   ASSERT_TRUE(refusal.retry_after);
   EXPECT_GE(*refusal.retry_after, std::chrono::seconds(2));
   EXPECT_LE(*refusal.retry_after, std::chrono::seconds(4));
-  // Another contract does not wait behind the first one's line.
+  // Another contract does not wait behind the first one's backlog.
   item.contract = base::ContractId("b");
   EXPECT_TRUE(queue.Enqueue(item, kNow, &refusal, &dropped));
   item.deadline = kNow;
@@ -218,10 +218,10 @@
   EXPECT_TRUE(dropped.empty());
 }
 
-TEST(FairQueueTest, ShedsTheLeastWorthToMeetADeadlineOfMore) {
+TEST(FairQueueTest, ShedsLowestWorthToMeetDeadlineOfHigherWorth) {
   FairQueue queue;
   queue.SetCapacity({1, kRates});
-  Teach(queue, 1);
+  LearnRunTime(queue, 1);
   Refusal refusal;
   std::vector<DroppedRequest> dropped;
   std::vector<EntryId> ids;
@@ -230,7 +230,7 @@
     item.worth = base::Worth(worth);
     ids.push_back(*queue.Enqueue(item, kNow, &refusal, &dropped));
   }
-  // Five seconds wait; the deadline leaves room for three and itself.
+  // Five seconds of work wait; the deadline allows three and the item itself.
   QueueItem item = Item("a", 1000);
   item.worth = base::Worth(10);
   item.deadline = kNow + std::chrono::milliseconds(4100);
@@ -240,7 +240,7 @@
   EXPECT_EQ(dropped[1].id, ids[3]);
   EXPECT_EQ(dropped[0].refusal.reason, RefusalReason::kShed);
   EXPECT_EQ(dropped[0].refusal.outcome, base::Outcome::kNotRun);
-  // No trade that loses worth: 3 is not given for 2.
+  // A request of worth 3 is not dropped for one of worth 2.
   dropped.clear();
   item.worth = base::Worth(2);
   item.deadline = kNow + std::chrono::milliseconds(2100);
@@ -248,7 +248,7 @@
   EXPECT_TRUE(dropped.empty());
 }
 
-TEST(FairQueueTest, AFullQueueTakesFromTheContractFurthestOverItsShare) {
+TEST(FairQueueTest, FullQueueDropsFromContractFurthestOverItsShare) {
   FairQueueOptions options;
   options.max_waiting = 3;
   FairQueue queue(options);
@@ -270,10 +270,10 @@
   EXPECT_EQ(queue.waiting(), 3u);
 }
 
-TEST(FairQueueTest, DropsWaitingRequestsWhenTheirDeadlineIsLost) {
+TEST(FairQueueTest, DropsWaitingRequestsThatCannotMeetTheirDeadline) {
   FairQueue queue;
   queue.SetCapacity({1, kRates});
-  Teach(queue, 1);
+  LearnRunTime(queue, 1);
   Refusal refusal;
   std::vector<DroppedRequest> dropped;
   queue.Enqueue(Item("a", 1000), kNow, &refusal, &dropped);
@@ -282,7 +282,7 @@
   item.deadline = kNow + std::chrono::seconds(5);
   const auto id = queue.Enqueue(item, kNow, &refusal, &dropped);
   const auto expiry = queue.ExpiryOf(*id);
-  // A second of run time has to be left.
+  // The request needs a second of run time before its deadline.
   EXPECT_EQ(expiry, kNow + std::chrono::seconds(4));
   queue.Expire(*expiry - std::chrono::milliseconds(1), &dropped);
   EXPECT_TRUE(dropped.empty());
@@ -300,7 +300,7 @@
   return request;
 }
 
-TEST(AdmissionTest, ManyThreadsShareThePlacesAndGiveThemBack) {
+TEST(AdmissionTest, ConcurrentThreadsStayWithinCapacityAndReleaseIt) {
   Admission admission({}, [] { return kNow; });
   admission.SetCapacity(base::ServiceName("llm"), {3, kRates});
   std::atomic<int> inside{0};
@@ -336,7 +336,7 @@
   EXPECT_EQ(admission.waiting(), 0u);
 }
 
-TEST(AdmissionTest, RefusesUnknownServicesGoneCallersAndNewOnesWhenStopping) {
+TEST(AdmissionTest, RefusesUnknownServiceGoneCallerAndNewRequestsOnStop) {
   Admission admission({}, [] { return kNow; });
   Refusal refusal;
   const Cost cost{base::Tokens(10), base::Tokens(1)};
@@ -350,7 +350,7 @@
   EXPECT_EQ(refusal.reason, RefusalReason::kCallerGone);
   EXPECT_EQ(admission.waiting(), 0u);
 
-  // One that waits when the stop begins still gets its turn.
+  // A request that waits when Stop is called is still admitted.
   std::atomic<bool> got{false};
   std::jthread waiter([&] {
     Refusal late;
