--- a/src/process/serving_plane.cc
+++ b/src/process/serving_plane.cc
@@ -316,8 +316,9 @@
   AttemptReport report;
   report.outcome = base::Outcome::kNotRun;
   report.end = AttemptEnd::kRefused;
-  report.refusal = request::IsTargetsFault(denial) ? TargetRefusal::kChanging
-                                                   : TargetRefusal::kHeldBack;
+  report.refusal = request::CanTryOtherTarget(denial)
+                       ? TargetRefusal::kChanging
+                       : TargetRefusal::kHeldBack;
   report.message = "attempt blocked by quarantine: ";
   report.message += request::ToString(denial);
   report.retry_after = kDefaultRetryAfter;
--- a/src/request/quarantine.cc
+++ b/src/request/quarantine.cc
@@ -553,7 +553,7 @@
   }
 }
 
-bool IsTargetsFault(QuarantineDenial denial) noexcept {
+bool CanTryOtherTarget(QuarantineDenial denial) noexcept {
   return denial == QuarantineDenial::kTargetHasSuspect ||
          denial == QuarantineDenial::kTargetCrashedLately;
 }
--- a/src/request/quarantine.h
+++ b/src/request/quarantine.h
@@ -41,7 +41,7 @@
 };
 std::string_view ToString(QuarantineDenial denial) noexcept;
 // Whether another target may be tried at once instead.
-bool IsTargetsFault(QuarantineDenial denial) noexcept;
+bool CanTryOtherTarget(QuarantineDenial denial) noexcept;
 
 struct QuarantineOptions {
   // How long marks of suspicion and quarantine last.
--- a/tests/request/quarantine_test.cc
+++ b/tests/request/quarantine_test.cc
@@ -49,7 +49,7 @@
         runs_.push_back({attempt, instance, target, content});
         return true;
       }
-      if (!IsTargetsFault(denial)) {
+      if (!CanTryOtherTarget(denial)) {
         return false;
       }
     }
