--- a/src/request/quarantine.cc
+++ b/src/request/quarantine.cc
@@ -113,8 +113,8 @@
                                  crash.confirmed, run->rerun, false});
       }
       mark.owner = self_;
-      mark.owned_until = now + options_.own_rerun_for;
-      mark.expires = std::max(mark.expires, now + options_.suspect_for);
+      mark.owned_until = now + options_.rerun_lease;
+      mark.expires = std::max(mark.expires, now + options_.suspect_ttl);
       Judge(run->content, now);
       Changed(run->content, now, &outbox);
       ClaimRuns(run->content, now, &outbox);
@@ -131,7 +131,7 @@
     auto& crashes = crashes_[target];
     bool found = false;
     for (Crash& it : crashes) {
-      if (now - it.at < options_.confirm_within) {
+      if (now - it.at < options_.confirm_timeout) {
         found = true;
         Confirm(target, it, now, &outbox);
       }
@@ -311,7 +311,7 @@
 bool Quarantine::CrashedLately(const base::TargetId& target,
                                base::Time now) const {
   const auto is_late = [&](base::Time at) {
-    return now - at < options_.crashed_lately;
+    return now - at < options_.crash_avoidance_time;
   };
   const auto crashes = crashes_.find(target);
   if (crashes != crashes_.end() &&
@@ -334,7 +334,7 @@
     const bool at_once = now - last.at < kSameCrash;
     // A loss that is noticed late belongs to the crash that it lived through.
     const bool noticed_late =
-        started < last.at && now - last.at < options_.confirm_within;
+        started < last.at && now - last.at < options_.confirm_timeout;
     if (at_once || noticed_late) {
       return last;
     }
@@ -393,7 +393,7 @@
                      Outbox* outbox) {
   QuarantineMark& mark = marks_.at(content);
   mark.owner = self_;
-  mark.owned_until = now + options_.own_rerun_for;
+  mark.owned_until = now + options_.rerun_lease;
   mark.rerun_at = target;
   Changed(content, now, outbox);
 }
@@ -422,7 +422,7 @@
     return false;
   }
   std::erase_if(it->second.evidence, [&](const Evidence& evidence) {
-    return !evidence.confirmed && now - evidence.at >= options_.confirm_within;
+    return !evidence.confirmed && now - evidence.at >= options_.confirm_timeout;
   });
   return !it->second.evidence.empty();
 }
@@ -438,7 +438,7 @@
     std::erase_if(crashes, [&](const Crash& it) {
       const base::Duration age = now - it.at;
       return age >=
-             (it.confirmed ? options_.suspect_for : options_.confirm_within);
+             (it.confirmed ? options_.suspect_ttl : options_.confirm_timeout);
     });
   }
   std::erase_if(crashes_, [](const auto& it) { return it.second.empty(); });
@@ -446,7 +446,7 @@
   for (const auto& [attempt, run] : runs_) {
     const auto it = marks_.find(run.content);
     if (run.suspect && it != marks_.end() && it->second.owner == self_ &&
-        it->second.owned_until < now + options_.own_rerun_for / 2) {
+        it->second.owned_until < now + options_.rerun_lease / 2) {
       Own(run.content, run.target, now, outbox);
     }
   }
@@ -456,7 +456,7 @@
   QuarantineMark& mark = marks_.at(content);
   if (!mark.quarantined && CountEvidence(mark, true).condemns()) {
     mark.quarantined = true;
-    mark.expires = now + options_.quarantine_for;
+    mark.expires = now + options_.quarantine_ttl;
   }
 }
 
@@ -474,7 +474,7 @@
     }
     mark.quarantined = false;
     ++mark.epoch;
-    mark.expires = now + options_.suspect_for;
+    mark.expires = now + options_.suspect_ttl;
     Changed(content, now, outbox);
   }
 }
@@ -517,7 +517,7 @@
            });
   };
   const auto n = std::ranges::count_if(crashes->second, is_own_fault);
-  return static_cast<std::size_t>(n) >= options_.dying_crashes;
+  return static_cast<std::size_t>(n) >= options_.unstable_crash_count;
 }
 
 void Quarantine::Clear(ContentHash content, base::Time now, Outbox* outbox) {
@@ -528,7 +528,7 @@
   mark.quarantined = false;
   mark.owner = base::InstanceId();
   mark.rerun_at = base::TargetId();
-  mark.expires = now + std::max(options_.suspect_for, options_.quarantine_for);
+  mark.expires = now + std::max(options_.suspect_ttl, options_.quarantine_ttl);
   Changed(content, now, outbox);
 }
 
--- a/src/request/quarantine.h
+++ b/src/request/quarantine.h
@@ -45,18 +45,18 @@
 
 struct QuarantineOptions {
   // How long marks of suspicion and quarantine last.
-  base::Duration suspect_for = std::chrono::minutes(10);
-  base::Duration quarantine_for = std::chrono::hours(1);
+  base::Duration suspect_ttl = std::chrono::minutes(10);
+  base::Duration quarantine_ttl = std::chrono::hours(1);
   // A lost connection counts as a crash until this long has passed without
   // the crash being confirmed.
-  base::Duration confirm_within = std::chrono::seconds(10);
+  base::Duration confirm_timeout = std::chrono::seconds(10);
   // For how long the instance that saw a crash alone may re-run the content.
-  base::Duration own_rerun_for = std::chrono::seconds(30);
+  base::Duration rerun_lease = std::chrono::seconds(30);
   // For how long suspects avoid a target after it crashed.
-  base::Duration crashed_lately = std::chrono::minutes(2);
+  base::Duration crash_avoidance_time = std::chrono::minutes(2);
   // A target is held to keep dying by itself when it had so many crashes
-  // within suspect_for that no quarantined content had a part in.
-  std::size_t dying_crashes = 2;
+  // within suspect_ttl that no quarantined content had a part in.
+  std::size_t unstable_crash_count = 2;
   // Marks kept; beyond it the oldest suspect is dropped.
   std::size_t max_marks = 10000;
 };
--- a/tests/request/quarantine_test.cc
+++ b/tests/request/quarantine_test.cc
@@ -303,7 +303,7 @@
   EXPECT_TRUE(f.Start(1, "t3", "c", kNow)) << "one suspicion is left";
   f.quarantine.OnEnded(base::AttemptId("c"), kNow);
   // The other was never confirmed.
-  const base::Time later = kNow + QuarantineOptions().confirm_within;
+  const base::Time later = kNow + QuarantineOptions().confirm_timeout;
   EXPECT_TRUE(f.Start(1, "t2", "d", later));
   EXPECT_TRUE(f.Start(1, "t2", "e", later));
 }
@@ -324,7 +324,7 @@
     EXPECT_TRUE(three.quarantine.Merge(it, kNow));
   }
   EXPECT_TRUE(three.quarantine.IsQuarantined(ContentHash(1), kNow));
-  const base::Time late = kNow + QuarantineOptions().quarantine_for;
+  const base::Time late = kNow + QuarantineOptions().quarantine_ttl;
   EXPECT_FALSE(three.quarantine.IsQuarantined(ContentHash(1), late));
 
   two.published.clear();
