--- a/src/request/quarantine.cc
+++ b/src/request/quarantine.cc
@@ -100,16 +100,16 @@
       const auto shared = static_cast<int>(crash.contents.size());
       for (const ContentHash it : crash.contents) {
         for (Evidence& evidence : marks_[it].evidence) {
-          if (evidence.event == crash.event) {
+          if (evidence.crash_id == crash.crash_id) {
             evidence.shared = shared;
           }
         }
       }
       QuarantineMark& mark = marks_[run->content];
       // Two attempts of one content in one crash are one crash.
-      if (std::ranges::find(mark.evidence, crash.event, &Evidence::event) ==
-          mark.evidence.end()) {
-        mark.evidence.push_back({crash.event, run->target, crash.at, shared,
+      if (std::ranges::find(mark.evidence, crash.crash_id,
+                            &Evidence::crash_id) == mark.evidence.end()) {
+        mark.evidence.push_back({crash.crash_id, run->target, crash.at, shared,
                                  crash.confirmed, run->rerun, false});
       }
       mark.owner = self_;
@@ -152,7 +152,7 @@
     return;
   }
   const auto is_refuted = [seen_at](const Crash& crash) {
-    return !crash.confirmed && seen_at - crash.at >= kSameCrash;
+    return !crash.confirmed && seen_at - crash.at >= kSameCrashWindow;
   };
   for (const Crash& crash : crashes->second) {
     if (!is_refuted(crash)) {
@@ -160,7 +160,7 @@
     }
     for (const ContentHash it : crash.contents) {
       std::erase_if(marks_[it].evidence, [&crash](const Evidence& evidence) {
-        return evidence.event == crash.event;
+        return evidence.crash_id == crash.crash_id;
       });
     }
   }
@@ -196,7 +196,7 @@
       mark = decoded->mark;
       changed = true;
     } else {
-      changed = JoinMarks(decoded->mark, now, mark, &spread);
+      changed = MergeMarks(decoded->mark, now, mark, &spread);
     }
     const bool was_quarantined = mark.quarantined;
     Judge(content, now);
@@ -269,7 +269,7 @@
   if (mark.quarantined) {
     return QuarantineDenial::kQuarantined;
   }
-  if (CountEvidence(mark, false).condemns()) {
+  if (CountEvidence(mark, false).warrants_quarantine()) {
     return QuarantineDenial::kEvidencePending;
   }
   if (std::ranges::any_of(runs_, [content](const auto& it) {
@@ -303,7 +303,7 @@
   });
   return here || std::ranges::any_of(marks_, [&](const auto& it) {
            const QuarantineMark& mark = it.second;
-           return it.first != content && mark.rerun_at == target &&
+           return it.first != content && mark.rerun_target == target &&
                   mark.owner != self_ && mark.owned_until > now;
          });
 }
@@ -331,7 +331,7 @@
   auto& crashes = crashes_[target];
   if (!crashes.empty()) {
     Crash& last = crashes.back();
-    const bool at_once = now - last.at < kSameCrash;
+    const bool at_once = now - last.at < kSameCrashWindow;
     // A loss that is noticed late belongs to the crash that it lived through.
     const bool noticed_late =
         started < last.at && now - last.at < options_.confirm_timeout;
@@ -342,8 +342,9 @@
   if (crashes.size() >= kMaxCrashes) {
     crashes.erase(crashes.begin());
   }
-  const std::string event = self_.str() + "/" + std::to_string(next_event_++);
-  crashes.push_back({event, now, {}, false});
+  const std::string crash_id =
+      self_.str() + "/" + std::to_string(next_event_++);
+  crashes.push_back({crash_id, now, {}, false});
   return crashes.back();
 }
 
@@ -358,7 +359,7 @@
   for (const ContentHash content : crash.contents) {
     QuarantineMark& mark = marks_[content];
     const auto it =
-        std::ranges::find(mark.evidence, crash.event, &Evidence::event);
+        std::ranges::find(mark.evidence, crash.crash_id, &Evidence::crash_id);
     if (it != mark.evidence.end()) {
       it->confirmed = true;
       Judge(content, now);
@@ -380,7 +381,7 @@
   const auto mark = marks_.find(run.content);
   if (run.suspect && mark != marks_.end() && mark->second.owner == self_) {
     // Another instance may go next.
-    mark->second.rerun_at = base::TargetId();
+    mark->second.rerun_target = base::TargetId();
     mark->second.owned_until = now;
     Changed(run.content, now, outbox);
   }
@@ -394,7 +395,7 @@
   QuarantineMark& mark = marks_.at(content);
   mark.owner = self_;
   mark.owned_until = now + options_.rerun_lease;
-  mark.rerun_at = target;
+  mark.rerun_target = target;
   Changed(content, now, outbox);
 }
 
@@ -454,7 +455,7 @@
 
 void Quarantine::Judge(ContentHash content, base::Time now) {
   QuarantineMark& mark = marks_.at(content);
-  if (!mark.quarantined && CountEvidence(mark, true).condemns()) {
+  if (!mark.quarantined && CountEvidence(mark, true).warrants_quarantine()) {
     mark.quarantined = true;
     mark.expires = now + options_.quarantine_ttl;
   }
@@ -527,7 +528,7 @@
   mark.evidence.clear();
   mark.quarantined = false;
   mark.owner = base::InstanceId();
-  mark.rerun_at = base::TargetId();
+  mark.rerun_target = base::TargetId();
   mark.expires = now + std::max(options_.suspect_ttl, options_.quarantine_ttl);
   Changed(content, now, outbox);
 }
--- a/src/request/quarantine.h
+++ b/src/request/quarantine.h
@@ -106,7 +106,7 @@
   void OnTargetCrashed(const base::TargetId& target, base::Time now);
   // The target was seen running on as before, by something it said at
   // `seen_at`: takes back the losses there that are older than that by
-  // kSameCrash. Reports lag, and those made before a crash prove nothing.
+  // kSameCrashWindow. Reports lag, and those made before a crash prove nothing.
   void OnTargetAlive(const base::TargetId& target, base::Time seen_at);
 
   // Call about once a second: keeps this instance's claim on the suspects that
@@ -133,7 +133,7 @@
   };
   // A crash of a target as this instance saw it.
   struct Crash {
-    std::string event;
+    std::string crash_id;
     base::Time at{};
     std::set<ContentHash> contents;
     bool confirmed = false;
--- a/src/request/quarantine_mark.cc
+++ b/src/request/quarantine_mark.cc
@@ -39,7 +39,7 @@
 }
 
 Json ToJson(const Evidence& it, base::Time now) {
-  return {{"event", it.event},
+  return {{"event", it.crash_id},
           {"target", it.target.str()},
           {"age_ms", base::ToMillis(now - it.at)},
           {"shared", it.shared},
@@ -50,7 +50,7 @@
 
 Evidence ToEvidence(const Json& json, base::Time as_of) {
   Evidence it;
-  it.event = json.value("event", "");
+  it.crash_id = json.value("event", "");
   it.target = base::TargetId(json.value("target", ""));
   it.at = as_of - Millis(json, "age_ms");
   it.shared = static_cast<int>(Clamped(json, "shared", 1, kMaxShared));
@@ -66,7 +66,7 @@
   mark.counter = item.version.sequence >> kSourceBits;
   mark.owner = base::InstanceId(json.value("owner", ""));
   mark.owned_until = item.as_of + Millis(json, "owned_ms");
-  mark.rerun_at = base::TargetId(json.value("rerun_at", ""));
+  mark.rerun_target = base::TargetId(json.value("rerun_at", ""));
   mark.quarantined = json.value("quarantined", false);
   mark.expires = item.as_of + Millis(json, "expires_ms");
   const Json evidence = json.value("evidence", Json::array());
@@ -80,7 +80,7 @@
 
 // Whether the mark's owner is running the content.
 bool IsRunning(const QuarantineMark& mark, base::Time now) {
-  return !mark.rerun_at.empty() && mark.owned_until > now;
+  return !mark.rerun_target.empty() && mark.owned_until > now;
 }
 
 // Whether their claim on the re-run replaces mine: an owner's own newer word
@@ -99,8 +99,9 @@
 }  // namespace
 
 bool IsSameCrash(const Evidence& a, const Evidence& b) noexcept {
-  return a.event == b.event ||
-         (a.target == b.target && std::chrono::abs(a.at - b.at) < kSameCrash);
+  return a.crash_id == b.crash_id ||
+         (a.target == b.target &&
+          std::chrono::abs(a.at - b.at) < kSameCrashWindow);
 }
 
 EvidenceCount CountEvidence(const QuarantineMark& mark, bool confirmed_only) {
@@ -130,10 +131,12 @@
   const auto left = [now](base::Time until) {
     return std::max<std::int64_t>(0, base::ToMillis(until - now));
   };
-  Json json = {
-      {"owner", mark.owner.str()},        {"owned_ms", left(mark.owned_until)},
-      {"rerun_at", mark.rerun_at.str()},  {"quarantined", mark.quarantined},
-      {"expires_ms", left(mark.expires)}, {"evidence", Json::array()}};
+  Json json = {{"owner", mark.owner.str()},
+               {"owned_ms", left(mark.owned_until)},
+               {"rerun_at", mark.rerun_target.str()},
+               {"quarantined", mark.quarantined},
+               {"expires_ms", left(mark.expires)},
+               {"evidence", Json::array()}};
   for (const Evidence& it : mark.evidence) {
     json["evidence"].push_back(ToJson(it, now));
   }
@@ -170,10 +173,10 @@
   }
 }
 
-bool JoinMarks(const QuarantineMark& theirs,
-               base::Time now,
-               QuarantineMark& mine,
-               bool* spread) {
+bool MergeMarks(const QuarantineMark& theirs,
+                base::Time now,
+                QuarantineMark& mine,
+                bool* spread) {
   *spread = false;
   if (theirs.epoch != mine.epoch) {
     if (theirs.epoch > mine.epoch) {
@@ -186,7 +189,7 @@
   std::size_t in_both = 0;
   for (const Evidence& it : theirs.evidence) {
     const auto known =
-        std::ranges::find(mine.evidence, it.event, &Evidence::event);
+        std::ranges::find(mine.evidence, it.crash_id, &Evidence::crash_id);
     if (known == mine.evidence.end()) {
       mine.evidence.push_back(it);
       changed = true;
@@ -204,7 +207,7 @@
   if (TakesClaim(theirs, mine, now)) {
     mine.owner = theirs.owner;
     mine.owned_until = theirs.owned_until;
-    mine.rerun_at = theirs.rerun_at;
+    mine.rerun_target = theirs.rerun_target;
     changed = true;
   } else if (theirs.owner != mine.owner && theirs.counter >= mine.counter &&
              IsRunning(mine, now)) {
--- a/src/request/quarantine_mark.h
+++ b/src/request/quarantine_mark.h
@@ -20,7 +20,7 @@
 
 // One crash of one target as one content saw it.
 struct Evidence {
-  std::string event;  // names the crash over instances
+  std::string crash_id;  // names the crash over instances
   base::TargetId target;
   base::Time at{};
   // Contents that were under way there, this one included.
@@ -38,7 +38,9 @@
   std::size_t unexplained = 0;
 
   // Two crashes, and not all of them have another cause.
-  bool condemns() const noexcept { return all >= 2 && unexplained >= 1; }
+  bool warrants_quarantine() const noexcept {
+    return all >= 2 && unexplained >= 1;
+  }
 };
 
 struct QuarantineMark {
@@ -51,14 +53,14 @@
   // does.
   base::InstanceId owner;
   base::Time owned_until{};
-  base::TargetId rerun_at;
+  base::TargetId rerun_target;
   std::vector<Evidence> evidence;
   bool quarantined = false;
   base::Time expires{};
 };
 
 // Losses at one target within this time are one crash.
-inline constexpr base::Duration kSameCrash = std::chrono::seconds(2);
+inline constexpr base::Duration kSameCrashWindow = std::chrono::seconds(2);
 
 // Whether both speak of one crash of one target; instances name it apart.
 bool IsSameCrash(const Evidence& a, const Evidence& b) noexcept;
@@ -81,10 +83,10 @@
 // Joins another instance's mark into `mine`. `*spread` tells whether the
 // joint mark holds more than theirs did, so that they must hear of it.
 // Returns whether `mine` changed.
-bool JoinMarks(const QuarantineMark& theirs,
-               base::Time now,
-               QuarantineMark& mine,
-               bool* spread);
+bool MergeMarks(const QuarantineMark& theirs,
+                base::Time now,
+                QuarantineMark& mine,
+                bool* spread);
 
 }  // namespace lynxglade::request
 
--- a/tests/request/quarantine_test.cc
+++ b/tests/request/quarantine_test.cc
@@ -299,7 +299,7 @@
   const base::TargetId t1("t1");
   f.quarantine.OnTargetAlive(t1, kNow - std::chrono::seconds(1));
   EXPECT_FALSE(f.Start(1, "t3", "c", kNow));
-  f.quarantine.OnTargetAlive(t1, kNow + kSameCrash);
+  f.quarantine.OnTargetAlive(t1, kNow + kSameCrashWindow);
   EXPECT_TRUE(f.Start(1, "t3", "c", kNow)) << "one suspicion is left";
   f.quarantine.OnEnded(base::AttemptId("c"), kNow);
   // The other was never confirmed.
