--- a/src/request/quarantine.cc
+++ b/src/request/quarantine.cc
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr base::Duration kSweepEvery = std::chrono::milliseconds(250);
-// Crashes of one target that are remembered.
+constexpr base::Duration kSweepInterval = std::chrono::milliseconds(250);
+// Limit on the crashes recorded per target.
 constexpr std::size_t kMaxCrashes = 32;
 
-bool Shares(const QuarantineMark& mark, const Evidence& evidence) {
+bool HasSameCrash(const QuarantineMark& mark, const Evidence& evidence) {
   return std::ranges::any_of(mark.evidence, [&evidence](const Evidence& it) {
     return IsSameCrash(it, evidence);
   });
@@ -30,9 +30,10 @@
   {
     const std::scoped_lock lock(mutex_);
     Sweep(now, &outbox);
-    is_quarantined = Refresh(content, now) && marks_.at(content).quarantined;
+    is_quarantined =
+        RefreshMark(content, now) && marks_.at(content).quarantined;
   }
-  Send(outbox);
+  PublishAll(outbox);
   return is_quarantined;
 }
 
@@ -46,19 +47,19 @@
   {
     const std::scoped_lock lock(mutex_);
     Sweep(now, &outbox);
-    const bool is_suspect = Refresh(content, now);
+    const bool is_suspect = RefreshMark(content, now);
     if (is_suspect) {
-      denied = Check(content, target, now);
+      denied = CheckSuspect(content, target, now);
     }
     if (!denied) {
       runs_.insert_or_assign(attempt,
                              Run{content, target, now, is_suspect, is_suspect});
       if (is_suspect) {
-        Own(content, target, now, &outbox);
+        ClaimRerun(content, target, now, &outbox);
       }
     }
   }
-  Send(outbox);
+  PublishAll(outbox);
   if (denied) {
     *denial = *denied;
   }
@@ -70,13 +71,14 @@
   {
     const std::scoped_lock lock(mutex_);
     const auto run = EndRun(attempt, now, &outbox);
-    // Two crashes weigh more than one delivery: those marks only expire.
-    if (run && Refresh(run->content, now) &&
+    // A complete answer does not clear quarantined content: two crashes are
+    // stronger evidence.
+    if (run && RefreshMark(run->content, now) &&
         !marks_.at(run->content).quarantined) {
-      Clear(run->content, now, &outbox);
+      ClearMark(run->content, now, &outbox);
     }
   }
-  Send(outbox);
+  PublishAll(outbox);
 }
 
 void Quarantine::OnEnded(const base::AttemptId& attempt, base::Time now) {
@@ -85,7 +87,7 @@
     const std::scoped_lock lock(mutex_);
     EndRun(attempt, now, &outbox);
   }
-  Send(outbox);
+  PublishAll(outbox);
 }
 
 void Quarantine::OnLost(const base::AttemptId& attempt, base::Time now) {
@@ -94,8 +96,8 @@
     const std::scoped_lock lock(mutex_);
     const auto run = EndRun(attempt, now, &outbox);
     if (run) {
-      MakeRoom();
-      Crash& crash = CrashOf(run->target, run->started, now);
+      EvictIfFull();
+      Crash& crash = FindOrAddCrash(run->target, run->started, now);
       crash.contents.insert(run->content);
       const auto shared = static_cast<int>(crash.contents.size());
       for (const ContentHash it : crash.contents) {
@@ -106,7 +108,7 @@
         }
       }
       QuarantineMark& mark = marks_[run->content];
-      // Two attempts of one content in one crash are one crash.
+      // Count a crash once even if several attempts of the content were lost.
       if (std::ranges::find(mark.evidence, crash.crash_id,
                             &Evidence::crash_id) == mark.evidence.end()) {
         mark.evidence.push_back({crash.crash_id, run->target, crash.at, shared,
@@ -115,13 +117,13 @@
       mark.owner = self_;
       mark.owned_until = now + options_.rerun_lease;
       mark.expires = std::max(mark.expires, now + options_.suspect_ttl);
-      Judge(run->content, now);
-      Changed(run->content, now, &outbox);
-      ClaimRuns(run->content, now, &outbox);
-      Reconsider(now, &outbox);
+      UpdateQuarantine(run->content, now);
+      PublishChange(run->content, now, &outbox);
+      ClaimRunningAttempts(run->content, now, &outbox);
+      ReleaseExplained(now, &outbox);
     }
   }
-  Send(outbox);
+  PublishAll(outbox);
 }
 
 void Quarantine::OnTargetCrashed(const base::TargetId& target, base::Time now) {
@@ -137,11 +139,11 @@
       }
     }
     if (!found) {
-      Confirm(target, CrashOf(target, now, now), now, &outbox);
+      Confirm(target, FindOrAddCrash(target, now, now), now, &outbox);
     }
-    Reconsider(now, &outbox);
+    ReleaseExplained(now, &outbox);
   }
-  Send(outbox);
+  PublishAll(outbox);
 }
 
 void Quarantine::OnTargetAlive(const base::TargetId& target,
@@ -173,7 +175,7 @@
     const std::scoped_lock lock(mutex_);
     Sweep(now, &outbox);
   }
-  Send(outbox);
+  PublishAll(outbox);
 }
 
 bool Quarantine::Merge(const process::ViewItem& item, base::Time now) {
@@ -188,27 +190,27 @@
     const ContentHash content = decoded->content;
     const bool is_new = !marks_.contains(content);
     if (is_new) {
-      MakeRoom();
+      EvictIfFull();
     }
     QuarantineMark& mark = marks_[content];
-    bool spread = false;
+    bool must_publish = false;
     if (is_new) {
       mark = decoded->mark;
       changed = true;
     } else {
-      changed = MergeMarks(decoded->mark, now, mark, &spread);
+      changed = MergeMarks(decoded->mark, now, mark, &must_publish);
     }
     const bool was_quarantined = mark.quarantined;
-    Judge(content, now);
-    if (spread || mark.quarantined != was_quarantined) {
-      Changed(content, now, &outbox);
+    UpdateQuarantine(content, now);
+    if (must_publish || mark.quarantined != was_quarantined) {
+      PublishChange(content, now, &outbox);
     }
     if (changed) {
-      ClaimRuns(content, now, &outbox);
-      Reconsider(now, &outbox);
+      ClaimRunningAttempts(content, now, &outbox);
+      ReleaseExplained(now, &outbox);
     }
   }
-  Send(outbox);
+  PublishAll(outbox);
   return changed;
 }
 
@@ -245,7 +247,7 @@
       entries.push_back(std::move(entry));
     }
   }
-  Send(outbox);
+  PublishAll(outbox);
   return entries;
 }
 
@@ -253,18 +255,19 @@
   Outbox outbox;
   {
     const std::scoped_lock lock(mutex_);
-    if (!Refresh(content, now)) {
+    if (!RefreshMark(content, now)) {
       return false;
     }
-    Clear(content, now, &outbox);
+    ClearMark(content, now, &outbox);
   }
-  Send(outbox);
+  PublishAll(outbox);
   return true;
 }
 
-std::optional<QuarantineDenial> Quarantine::Check(ContentHash content,
-                                                  const base::TargetId& target,
-                                                  base::Time now) const {
+std::optional<QuarantineDenial> Quarantine::CheckSuspect(
+    ContentHash content,
+    const base::TargetId& target,
+    base::Time now) const {
   const QuarantineMark& mark = marks_.at(content);
   if (mark.quarantined) {
     return QuarantineDenial::kQuarantined;
@@ -280,7 +283,7 @@
   if (mark.owner != self_ && !mark.owner.empty() && mark.owned_until > now) {
     return QuarantineDenial::kSuspectElsewhere;
   }
-  if (CrashedLately(target, now)) {
+  if (CrashedRecently(target, now)) {
     return QuarantineDenial::kTargetCrashedLately;
   }
   if (HasSuspect(target, content, now)) {
@@ -296,7 +299,7 @@
     if (it.second.target != target) {
       return false;
     }
-    // A content may have come under suspicion after its run began.
+    // The content may have become a suspect after the run started.
     const auto mark = marks_.find(it.second.content);
     return it.second.suspect ||
            (mark != marks_.end() && !mark->second.evidence.empty());
@@ -308,31 +311,32 @@
          });
 }
 
-bool Quarantine::CrashedLately(const base::TargetId& target,
-                               base::Time now) const {
-  const auto is_late = [&](base::Time at) {
+bool Quarantine::CrashedRecently(const base::TargetId& target,
+                                 base::Time now) const {
+  const auto is_recent = [&](base::Time at) {
     return now - at < options_.crash_avoidance_time;
   };
   const auto crashes = crashes_.find(target);
   if (crashes != crashes_.end() &&
-      std::ranges::any_of(crashes->second, is_late, &Crash::at)) {
+      std::ranges::any_of(crashes->second, is_recent, &Crash::at)) {
     return true;
   }
   return std::ranges::any_of(marks_, [&](const auto& mark) {
     return std::ranges::any_of(mark.second.evidence, [&](const Evidence& it) {
-      return it.target == target && is_late(it.at);
+      return it.target == target && is_recent(it.at);
     });
   });
 }
 
-Quarantine::Crash& Quarantine::CrashOf(const base::TargetId& target,
-                                       base::Time started,
-                                       base::Time now) {
+Quarantine::Crash& Quarantine::FindOrAddCrash(const base::TargetId& target,
+                                              base::Time started,
+                                              base::Time now) {
   auto& crashes = crashes_[target];
   if (!crashes.empty()) {
     Crash& last = crashes.back();
     const bool at_once = now - last.at < kSameCrashWindow;
-    // A loss that is noticed late belongs to the crash that it lived through.
+    // An attempt that was in flight during the last crash may notice the loss
+    // late.
     const bool noticed_late =
         started < last.at && now - last.at < options_.confirm_timeout;
     if (at_once || noticed_late) {
@@ -362,8 +366,8 @@
         std::ranges::find(mark.evidence, crash.crash_id, &Evidence::crash_id);
     if (it != mark.evidence.end()) {
       it->confirmed = true;
-      Judge(content, now);
-      Changed(content, now, outbox);
+      UpdateQuarantine(content, now);
+      PublishChange(content, now, outbox);
     }
   }
 }
@@ -380,40 +384,41 @@
   runs_.erase(it);
   const auto mark = marks_.find(run.content);
   if (run.suspect && mark != marks_.end() && mark->second.owner == self_) {
-    // Another instance may go next.
+    // Release the lease, so that another instance may rerun the content.
     mark->second.rerun_target = base::TargetId();
     mark->second.owned_until = now;
-    Changed(run.content, now, outbox);
+    PublishChange(run.content, now, outbox);
   }
   return run;
 }
 
-void Quarantine::Own(ContentHash content,
-                     const base::TargetId& target,
-                     base::Time now,
-                     Outbox* outbox) {
+void Quarantine::ClaimRerun(ContentHash content,
+                            const base::TargetId& target,
+                            base::Time now,
+                            Outbox* outbox) {
   QuarantineMark& mark = marks_.at(content);
   mark.owner = self_;
   mark.owned_until = now + options_.rerun_lease;
   mark.rerun_target = target;
-  Changed(content, now, outbox);
+  PublishChange(content, now, outbox);
 }
 
-void Quarantine::ClaimRuns(ContentHash content,
-                           base::Time now,
-                           Outbox* outbox) {
+void Quarantine::ClaimRunningAttempts(ContentHash content,
+                                      base::Time now,
+                                      Outbox* outbox) {
   if (marks_.at(content).evidence.empty()) {
     return;
   }
-  // Once a run, or two instances would claim against each other for ever.
+  // Claim once per run; otherwise two instances would override each other's
+  // claims indefinitely.
   for (auto& [attempt, run] : runs_) {
     if (run.content == content && !std::exchange(run.suspect, true)) {
-      Own(content, run.target, now, outbox);
+      ClaimRerun(content, run.target, now, outbox);
     }
   }
 }
 
-bool Quarantine::Refresh(ContentHash content, base::Time now) {
+bool Quarantine::RefreshMark(ContentHash content, base::Time now) {
   const auto it = marks_.find(content);
   if (it == marks_.end()) {
     return false;
@@ -432,7 +437,7 @@
   if (now < next_sweep_) {
     return;
   }
-  next_sweep_ = now + kSweepEvery;
+  next_sweep_ = now + kSweepInterval;
   std::erase_if(marks_,
                 [now](const auto& it) { return it.second.expires <= now; });
   for (auto& [target, crashes] : crashes_) {
@@ -443,17 +448,17 @@
     });
   }
   std::erase_if(crashes_, [](const auto& it) { return it.second.empty(); });
-  // A long re-run keeps its claim on the content.
+  // Renew the leases of reruns in progress.
   for (const auto& [attempt, run] : runs_) {
     const auto it = marks_.find(run.content);
     if (run.suspect && it != marks_.end() && it->second.owner == self_ &&
         it->second.owned_until < now + options_.rerun_lease / 2) {
-      Own(run.content, run.target, now, outbox);
+      ClaimRerun(run.content, run.target, now, outbox);
     }
   }
 }
 
-void Quarantine::Judge(ContentHash content, base::Time now) {
+void Quarantine::UpdateQuarantine(ContentHash content, base::Time now) {
   QuarantineMark& mark = marks_.at(content);
   if (!mark.quarantined && CountEvidence(mark, true).warrants_quarantine()) {
     mark.quarantined = true;
@@ -461,7 +466,7 @@
   }
 }
 
-void Quarantine::Reconsider(base::Time now, Outbox* outbox) {
+void Quarantine::ReleaseExplained(base::Time now, Outbox* outbox) {
   for (auto& [content, mark] : marks_) {
     const ContentHash self = content;
     if (!mark.quarantined ||
@@ -476,40 +481,43 @@
     mark.quarantined = false;
     ++mark.epoch;
     mark.expires = now + options_.suspect_ttl;
-    Changed(content, now, outbox);
+    PublishChange(content, now, outbox);
   }
 }
 
 bool Quarantine::IsExplained(ContentHash content,
                              const Evidence& evidence) const {
   const QuarantineMark& own = marks_.at(content);
-  // Guilt of another counts only where it rests on a re-run alone, at a target
-  // that does not die by itself, and this content was not alone there, too.
-  const auto is_sound = [&](ContentHash other, const Evidence& it) {
+  // Other quarantined content explains the crash only if it crashed a stable
+  // target while rerun without other suspects, and this content was not rerun
+  // that way in the same crash.
+  const auto is_reliable = [&](ContentHash other, const Evidence& it) {
     const bool own_is_alone =
-        std::ranges::any_of(own.evidence, [&it](const Evidence& mine) {
-          return mine.alone && IsSameCrash(mine, it);
+        std::ranges::any_of(own.evidence, [&it](const Evidence& own_evidence) {
+          return own_evidence.alone && IsSameCrash(own_evidence, it);
         });
-    return it.alone && !own_is_alone && !KeepsDying(it.target, other);
+    return it.alone && !own_is_alone && !IsUnstable(it.target, other);
   };
-  const bool other_is_guilty =
+  const bool other_is_cause =
       std::ranges::any_of(marks_, [&](const auto& mark) {
-        const auto& [other, its] = mark;
-        return other != content && its.quarantined && Shares(its, evidence) &&
-               std::ranges::any_of(its.evidence, [&](const Evidence& it) {
-                 return is_sound(mark.first, it);
-               });
+        const auto& [other, other_mark] = mark;
+        return other != content && other_mark.quarantined &&
+               HasSameCrash(other_mark, evidence) &&
+               std::ranges::any_of(other_mark.evidence,
+                                   [&](const Evidence& it) {
+                                     return is_reliable(mark.first, it);
+                                   });
       });
-  return other_is_guilty || KeepsDying(evidence.target, content);
+  return other_is_cause || IsUnstable(evidence.target, content);
 }
 
-bool Quarantine::KeepsDying(const base::TargetId& target,
+bool Quarantine::IsUnstable(const base::TargetId& target,
                             ContentHash content) const {
   const auto crashes = crashes_.find(target);
   if (crashes == crashes_.end()) {
     return false;
   }
-  const auto is_own_fault = [&](const Crash& crash) {
+  const auto is_unattributed = [&](const Crash& crash) {
     return crash.confirmed &&
            std::ranges::none_of(crash.contents, [&](ContentHash it) {
              const auto mark = marks_.find(it);
@@ -517,29 +525,34 @@
                     (mark != marks_.end() && mark->second.quarantined);
            });
   };
-  const auto n = std::ranges::count_if(crashes->second, is_own_fault);
+  const auto n = std::ranges::count_if(crashes->second, is_unattributed);
   return static_cast<std::size_t>(n) >= options_.unstable_crash_count;
 }
 
-void Quarantine::Clear(ContentHash content, base::Time now, Outbox* outbox) {
+void Quarantine::ClearMark(ContentHash content,
+                           base::Time now,
+                           Outbox* outbox) {
   QuarantineMark& mark = marks_.at(content);
-  // The empty mark stays until it expires, so that older ones do not return.
+  // Keep the empty mark until it expires: its higher epoch supersedes older
+  // marks that still arrive from other instances.
   ++mark.epoch;
   mark.evidence.clear();
   mark.quarantined = false;
   mark.owner = base::InstanceId();
   mark.rerun_target = base::TargetId();
   mark.expires = now + std::max(options_.suspect_ttl, options_.quarantine_ttl);
-  Changed(content, now, outbox);
+  PublishChange(content, now, outbox);
 }
 
-void Quarantine::Changed(ContentHash content, base::Time now, Outbox* outbox) {
+void Quarantine::PublishChange(ContentHash content,
+                               base::Time now,
+                               Outbox* outbox) {
   QuarantineMark& mark = marks_.at(content);
   ++mark.counter;
   outbox->push_back(EncodeMark(content, mark, self_, now));
 }
 
-void Quarantine::MakeRoom() {
+void Quarantine::EvictIfFull() {
   if (marks_.size() < options_.max_marks) {
     return;
   }
@@ -548,7 +561,7 @@
   }));
 }
 
-void Quarantine::Send(const Outbox& outbox) const {
+void Quarantine::PublishAll(const Outbox& outbox) const {
   if (publish_) {
     std::ranges::for_each(outbox, publish_);
   }
--- a/src/request/quarantine.h
+++ b/src/request/quarantine.h
@@ -1,13 +1,14 @@
-// Keeps a request that crashes its targets from being run again and again.
+// Prevents a request that crashes its targets from being retried indefinitely.
 //
-// A content (the hash of what a target would run) that was under way at a
-// target when it crashed is a suspect. A suspect is run again one at a time,
-// at a target that did not crash lately and runs no other suspect. A second
-// crash quarantines it; a clean delivery clears it. A quarantined content whose
-// crashes all turn out to have another cause (a guilty content that shared
-// one, a target that keeps dying) becomes a suspect again. Marks travel to
-// other instances, expire, and can be lifted by an operator.
-// See docs/notes/retries-and-quarantine.md.
+// Requests are identified by their content, the hash of what a target would
+// run. Content that was in flight at a target when the target crashed becomes a
+// suspect. A suspect is rerun by one attempt at a time, at a target that has
+// not crashed recently and runs no other suspect. A second crash quarantines
+// the content; a complete answer clears it. Quarantined content whose crashes
+// all turn out to have another cause (other content that was in flight in the
+// same crash, or an unstable target) becomes a suspect again. Marks are shared
+// with the other instances, expire, and can be lifted by an operator. See
+// docs/notes/retries-and-quarantine.md.
 #ifndef LYNXGLADE_REQUEST_QUARANTINE_H_
 #define LYNXGLADE_REQUEST_QUARANTINE_H_
 
@@ -30,95 +31,104 @@
 
 namespace lynxglade::request {
 
-// Why a content may not run at a target now.
+// Why content may not run at a target now.
 enum class QuarantineDenial {
   kQuarantined,       // crashed two targets: refuse, outcome not-run
-  kEvidencePending,   // lost twice, crashes not confirmed yet: come back later
-  kSuspectRunning,    // its one re-run is under way here
-  kSuspectElsewhere,  // its re-run belongs to another instance for now
-  kTargetHasSuspect,  // the target runs another suspect: choose another
-  kTargetCrashedLately,  // choose another target for a suspect
+  kEvidencePending,   // two losses, not yet confirmed as crashes: retry later
+  kSuspectRunning,    // an attempt of the suspect is in flight here
+  kSuspectElsewhere,  // another instance holds the lease on the rerun
+  kTargetHasSuspect,  // the target runs another suspect
+  kTargetCrashedLately,  // the target crashed recently
 };
 std::string_view ToString(QuarantineDenial denial) noexcept;
-// Whether another target may be tried at once instead.
+// Whether the denial is specific to the target, so that another target may be
+// tried at once.
 bool CanTryOtherTarget(QuarantineDenial denial) noexcept;
 
 struct QuarantineOptions {
-  // How long marks of suspicion and quarantine last.
+  // Lifetime of the marks of suspects and of quarantined content.
   base::Duration suspect_ttl = std::chrono::minutes(10);
   base::Duration quarantine_ttl = std::chrono::hours(1);
-  // A lost connection counts as a crash until this long has passed without
-  // the crash being confirmed.
+  // A lost connection counts as a crash unless the crash stays unconfirmed for
+  // this long.
   base::Duration confirm_timeout = std::chrono::seconds(10);
-  // For how long the instance that saw a crash alone may re-run the content.
+  // For how long the instance that observed a crash has the exclusive right to
+  // rerun the content.
   base::Duration rerun_lease = std::chrono::seconds(30);
-  // For how long suspects avoid a target after it crashed.
+  // For how long suspects are not run at a target that crashed.
   base::Duration crash_avoidance_time = std::chrono::minutes(2);
-  // A target is held to keep dying by itself when it had so many crashes
-  // within suspect_ttl that no quarantined content had a part in.
+  // A target is unstable if it had this many confirmed crashes within
+  // suspect_ttl in which no quarantined content was in flight.
   std::size_t unstable_crash_count = 2;
-  // Marks kept; beyond it the oldest suspect is dropped.
+  // Maximum number of marks. When full, the suspect that expires first is
+  // dropped, and a quarantined content only if there is no suspect.
   std::size_t max_marks = 10000;
 };
 
-// One entry for operators.
+// A mark as shown to operators.
 struct QuarantineEntry {
   ContentHash content;
   bool quarantined = false;
-  // Targets that crashed while they ran it, oldest first.
+  // Targets that crashed while the content was in flight there, in the order
+  // that this instance learned of the crashes.
   std::vector<base::TargetId> crashed;
-  // Contents that were under way at each of those crashes (1: it alone).
+  // For each of these crashes, the number of contents in flight, this one
+  // included.
   std::vector<int> shared_with;
   base::Duration expires_in{};
 };
 
-// Thread-safe; one short lock, never held while `publish` runs.
+// Thread-safe. `publish` is called without a lock held.
 class Quarantine {
  public:
-  // Gets each mark that changed here, to be told to other instances.
+  // Receives each mark that changed here, to be sent to the other instances.
   using Publish = std::function<void(const process::ViewItem&)>;
 
   Quarantine(QuarantineOptions options, base::InstanceId self, Publish publish);
   Quarantine(const Quarantine&) = delete;
   Quarantine& operator=(const Quarantine&) = delete;
 
-  // Whether the content is refused outright, before it is queued.
+  // Whether the content is quarantined, to refuse it before it is queued.
   bool IsQuarantined(ContentHash content, base::Time now);
 
-  // Ask before every attempt, right before the first byte. True: the attempt
-  // is under way and must be ended by exactly one of the three calls below.
+  // Call before the first byte of each attempt is sent. If it returns true, the
+  // attempt is registered and must be ended by exactly one of OnDelivered,
+  // OnEnded and OnLost. If false, `*denial` is set.
   bool TryStart(ContentHash content,
                 const base::TargetId& target,
                 const base::AttemptId& attempt,
                 base::Time now,
                 QuarantineDenial* denial);
-  // The whole answer came.
+  // The complete answer arrived.
   void OnDelivered(const base::AttemptId& attempt, base::Time now);
-  // Ended with nothing said about the content: refused, cancelled, timed out.
+  // The attempt ended without evidence about the content: refused, cancelled or
+  // timed out.
   void OnEnded(const base::AttemptId& attempt, base::Time now);
-  // The connection died after bytes were sent and before the answer was
-  // whole: a crash until OnTargetAlive says otherwise or it stays
-  // unconfirmed.
+  // The connection was lost after bytes were sent and before the answer was
+  // complete. Counts as a crash, unless OnTargetAlive refutes it or it is not
+  // confirmed within confirm_timeout.
   void OnLost(const base::AttemptId& attempt, base::Time now);
 
-  // The target was seen to have crashed (connection refused after a loss, a
-  // new incarnation): confirms the losses there.
+  // The target is known to have crashed (connection refused after a loss, or a
+  // new incarnation). Confirms the recent losses at the target.
   void OnTargetCrashed(const base::TargetId& target, base::Time now);
-  // The target was seen running on as before, by something it said at
-  // `seen_at`: takes back the losses there that are older than that by
-  // kSameCrashWindow. Reports lag, and those made before a crash prove nothing.
+  // The target reported at `seen_at` that it still runs. Refutes unconfirmed
+  // losses at the target that are older than `seen_at` by kSameCrashWindow or
+  // more. `seen_at` is when the report was made: one made before a loss does
+  // not refute it.
   void OnTargetAlive(const base::TargetId& target, base::Time seen_at);
 
-  // Call about once a second: keeps this instance's claim on the suspects that
-  // it runs, and drops what expired.
+  // Call about once a second. Renews this instance's leases on the suspects
+  // that it runs, and removes expired marks and crashes.
   void Tick(base::Time now);
 
-  // Another instance's mark. Returns whether it changed anything.
+  // Merges another instance's mark. Returns whether anything changed.
   bool Merge(const process::ViewItem& item, base::Time now);
-  // Every mark, for an instance that joins.
+  // All marks, for an instance that joins.
   std::vector<process::ViewItem> Export(base::Time now);
 
-  // Operators: what is marked, and taking a mark back everywhere.
+  // For operators: the marked contents, and removing a mark on all instances.
+  // Lift returns false if the content has no mark.
   std::vector<QuarantineEntry> List(base::Time now);
   bool Lift(ContentHash content, base::Time now);
 
@@ -127,11 +137,12 @@
     ContentHash content;
     base::TargetId target;
     base::Time started{};
-    // Under suspicion now, and already when it began.
+    // The content is a suspect now.
     bool suspect = false;
+    // The content was a suspect when the run started.
     bool rerun = false;
   };
-  // A crash of a target as this instance saw it.
+  // A crash of a target as observed by this instance.
   struct Crash {
     std::string crash_id;
     base::Time at{};
@@ -140,16 +151,16 @@
   };
   using Outbox = std::vector<process::ViewItem>;
 
-  std::optional<QuarantineDenial> Check(ContentHash content,
-                                        const base::TargetId& target,
-                                        base::Time now) const;
+  std::optional<QuarantineDenial> CheckSuspect(ContentHash content,
+                                               const base::TargetId& target,
+                                               base::Time now) const;
   bool HasSuspect(const base::TargetId& target,
                   ContentHash content,
                   base::Time now) const;
-  bool CrashedLately(const base::TargetId& target, base::Time now) const;
-  Crash& CrashOf(const base::TargetId& target,
-                 base::Time started,
-                 base::Time now);
+  bool CrashedRecently(const base::TargetId& target, base::Time now) const;
+  Crash& FindOrAddCrash(const base::TargetId& target,
+                        base::Time started,
+                        base::Time now);
   void Confirm(const base::TargetId& target,
                Crash& crash,
                base::Time now,
@@ -157,24 +168,29 @@
   std::optional<Run> EndRun(const base::AttemptId& attempt,
                             base::Time now,
                             Outbox* outbox);
-  void Own(ContentHash content,
-           const base::TargetId& target,
-           base::Time now,
-           Outbox* outbox);
-  // Tells other instances of runs here that began before the suspicion.
-  void ClaimRuns(ContentHash content, base::Time now, Outbox* outbox);
-  // Drops what is out of date in one mark; returns whether any is left.
-  bool Refresh(ContentHash content, base::Time now);
+  void ClaimRerun(ContentHash content,
+                  const base::TargetId& target,
+                  base::Time now,
+                  Outbox* outbox);
+  // Claims the rerun for attempts that started before the content became a
+  // suspect.
+  void ClaimRunningAttempts(ContentHash content,
+                            base::Time now,
+                            Outbox* outbox);
+  // Removes the mark if it expired, and its evidence that was not confirmed in
+  // time. Returns whether any evidence is left.
+  bool RefreshMark(ContentHash content, base::Time now);
   void Sweep(base::Time now, Outbox* outbox);
-  void Judge(ContentHash content, base::Time now);
-  // Frees quarantined contents whose crashes all have another explanation.
-  void Reconsider(base::Time now, Outbox* outbox);
+  void UpdateQuarantine(ContentHash content, base::Time now);
+  // Turns quarantined contents whose crashes all have another cause back into
+  // suspects.
+  void ReleaseExplained(base::Time now, Outbox* outbox);
   bool IsExplained(ContentHash content, const Evidence& evidence) const;
-  bool KeepsDying(const base::TargetId& target, ContentHash content) const;
-  void Clear(ContentHash content, base::Time now, Outbox* outbox);
-  void Changed(ContentHash content, base::Time now, Outbox* outbox);
-  void MakeRoom();
-  void Send(const Outbox& outbox) const;
+  bool IsUnstable(const base::TargetId& target, ContentHash content) const;
+  void ClearMark(ContentHash content, base::Time now, Outbox* outbox);
+  void PublishChange(ContentHash content, base::Time now, Outbox* outbox);
+  void EvictIfFull();
+  void PublishAll(const Outbox& outbox) const;
 
   const QuarantineOptions options_;
   const base::InstanceId self_;
--- a/src/request/quarantine_mark.cc
+++ b/src/request/quarantine_mark.cc
@@ -16,26 +16,28 @@
 
 using Json = nlohmann::json;
 
-// Limits of what is taken from another instance.
+// Limits on marks accepted from other instances.
 constexpr std::size_t kMaxBody = 16384;
 constexpr std::size_t kMaxEvidence = 16;
 constexpr std::int64_t kMaxShared = 1'000'000;
 constexpr std::int64_t kMaxMillis = std::int64_t{1000} * 60 * 60 * 24 * 30;
-// Low bits of a sequence tell sources with equal counters apart.
+// Low bits of a sequence number that hold a hash of the source, so that the
+// versions of two sources with equal counters differ.
 constexpr int kSourceBits = 16;
 
-// A member brought into its range; throws when it is no number.
-std::int64_t Clamped(const Json& json,
-                     const char* name,
-                     std::int64_t low,
-                     std::int64_t high) {
+// A member clamped to [low, high]; `low` if absent. Throws if it is not a
+// number.
+std::int64_t NumberInRange(const Json& json,
+                           const char* name,
+                           std::int64_t low,
+                           std::int64_t high) {
   const double n = json.value(name, static_cast<double>(low));
   return static_cast<std::int64_t>(
       std::clamp(n, static_cast<double>(low), static_cast<double>(high)));
 }
 
 base::Duration Millis(const Json& json, const char* name) {
-  return std::chrono::milliseconds(Clamped(json, name, 0, kMaxMillis));
+  return std::chrono::milliseconds(NumberInRange(json, name, 0, kMaxMillis));
 }
 
 Json ToJson(const Evidence& it, base::Time now) {
@@ -53,7 +55,7 @@
   it.crash_id = json.value("event", "");
   it.target = base::TargetId(json.value("target", ""));
   it.at = as_of - Millis(json, "age_ms");
-  it.shared = static_cast<int>(Clamped(json, "shared", 1, kMaxShared));
+  it.shared = static_cast<int>(NumberInRange(json, "shared", 1, kMaxShared));
   it.confirmed = json.value("confirmed", false);
   it.alone = json.value("alone", false);
   it.explained = json.value("explained", false);
@@ -78,19 +80,20 @@
   return mark;
 }
 
-// Whether the mark's owner is running the content.
+// Whether the mark's owner is rerunning the content.
 bool IsRunning(const QuarantineMark& mark, base::Time now) {
   return !mark.rerun_target.empty() && mark.owned_until > now;
 }
 
-// Whether their claim on the re-run replaces mine: an owner's own newer word
-// does; else a claim that is being used goes before one that is not.
-bool TakesClaim(const QuarantineMark& theirs,
-                const QuarantineMark& mine,
-                base::Time now) {
-  const bool newer = theirs.counter > mine.counter;
-  const bool running = IsRunning(theirs, now);
-  if (theirs.owner != mine.owner && running != IsRunning(mine, now)) {
+// Whether the remote claim on the rerun replaces the local one. Between
+// different owners, one that is rerunning the content precedes one that is not;
+// otherwise the higher counter wins.
+bool RemoteClaimWins(const QuarantineMark& remote,
+                     const QuarantineMark& local,
+                     base::Time now) {
+  const bool newer = remote.counter > local.counter;
+  const bool running = IsRunning(remote, now);
+  if (remote.owner != local.owner && running != IsRunning(local, now)) {
     return running;
   }
   return newer;
@@ -111,7 +114,7 @@
     if (confirmed_only && !it.confirmed) {
       continue;
     }
-    // Two instances may each have lost an attempt in the same crash.
+    // Several instances may have recorded the same crash.
     const bool is_known = std::ranges::any_of(
         seen, [&it](const auto* other) { return IsSameCrash(*other, it); });
     if (is_known) {
@@ -128,14 +131,14 @@
                              const QuarantineMark& mark,
                              const base::InstanceId& self,
                              base::Time now) {
-  const auto left = [now](base::Time until) {
+  const auto millis_until = [now](base::Time until) {
     return std::max<std::int64_t>(0, base::ToMillis(until - now));
   };
   Json json = {{"owner", mark.owner.str()},
-               {"owned_ms", left(mark.owned_until)},
+               {"owned_ms", millis_until(mark.owned_until)},
                {"rerun_at", mark.rerun_target.str()},
                {"quarantined", mark.quarantined},
-               {"expires_ms", left(mark.expires)},
+               {"expires_ms", millis_until(mark.expires)},
                {"evidence", Json::array()}};
   for (const Evidence& it : mark.evidence) {
     json["evidence"].push_back(ToJson(it, now));
@@ -148,7 +151,7 @@
   item.version = {mark.epoch, (mark.counter << kSourceBits) | source};
   item.source = self;
   item.as_of = now;
-  // Ids from outside may hold any bytes.
+  // Ids from other instances may hold invalid UTF-8: replace it.
   item.body = json.dump(-1, ' ', false, Json::error_handler_t::replace);
   return item;
 }
@@ -168,55 +171,55 @@
   try {
     return DecodedMark{ContentHash(content), ToMark(json, item)};
   } catch (const Json::exception&) {
-    // A field of the wrong type.
+    // A member has the wrong type.
     return std::nullopt;
   }
 }
 
-bool MergeMarks(const QuarantineMark& theirs,
+bool MergeMarks(const QuarantineMark& remote,
                 base::Time now,
-                QuarantineMark& mine,
-                bool* spread) {
-  *spread = false;
-  if (theirs.epoch != mine.epoch) {
-    if (theirs.epoch > mine.epoch) {
-      mine = theirs;
+                QuarantineMark& local,
+                bool* must_publish) {
+  *must_publish = false;
+  if (remote.epoch != local.epoch) {
+    if (remote.epoch > local.epoch) {
+      local = remote;
       return true;
     }
     return false;
   }
   bool changed = false;
   std::size_t in_both = 0;
-  for (const Evidence& it : theirs.evidence) {
+  for (const Evidence& it : remote.evidence) {
     const auto known =
-        std::ranges::find(mine.evidence, it.crash_id, &Evidence::crash_id);
-    if (known == mine.evidence.end()) {
-      mine.evidence.push_back(it);
+        std::ranges::find(local.evidence, it.crash_id, &Evidence::crash_id);
+    if (known == local.evidence.end()) {
+      local.evidence.push_back(it);
       changed = true;
       continue;
     }
     ++in_both;
     changed = changed || (it.confirmed && !known->confirmed);
-    *spread = *spread || (known->confirmed && !it.confirmed);
+    *must_publish = *must_publish || (known->confirmed && !it.confirmed);
     known->confirmed = known->confirmed || it.confirmed;
     known->explained = known->explained || it.explained;
     known->shared = std::max(known->shared, it.shared);
   }
-  const std::size_t added = theirs.evidence.size() - in_both;
-  *spread = *spread || mine.evidence.size() - added > in_both;
-  if (TakesClaim(theirs, mine, now)) {
-    mine.owner = theirs.owner;
-    mine.owned_until = theirs.owned_until;
-    mine.rerun_target = theirs.rerun_target;
+  const std::size_t added = remote.evidence.size() - in_both;
+  *must_publish = *must_publish || local.evidence.size() - added > in_both;
+  if (RemoteClaimWins(remote, local, now)) {
+    local.owner = remote.owner;
+    local.owned_until = remote.owned_until;
+    local.rerun_target = remote.rerun_target;
     changed = true;
-  } else if (theirs.owner != mine.owner && theirs.counter >= mine.counter &&
-             IsRunning(mine, now)) {
-    *spread = true;
+  } else if (remote.owner != local.owner && remote.counter >= local.counter &&
+             IsRunning(local, now)) {
+    *must_publish = true;
   }
-  mine.counter = std::max(mine.counter, theirs.counter);
-  changed = changed || (theirs.quarantined && !mine.quarantined);
-  mine.quarantined = mine.quarantined || theirs.quarantined;
-  mine.expires = std::max(mine.expires, theirs.expires);
+  local.counter = std::max(local.counter, remote.counter);
+  changed = changed || (remote.quarantined && !local.quarantined);
+  local.quarantined = local.quarantined || remote.quarantined;
+  local.expires = std::max(local.expires, remote.expires);
   return changed;
 }
 
--- a/src/request/quarantine_mark.h
+++ b/src/request/quarantine_mark.h
@@ -1,4 +1,5 @@
-// What is known against one content, and how instances tell each other.
+// The evidence against one content, its encoding for other instances, and how
+// the marks of two instances are merged.
 #ifndef LYNXGLADE_REQUEST_QUARANTINE_MARK_H_
 #define LYNXGLADE_REQUEST_QUARANTINE_MARK_H_
 
@@ -15,42 +16,42 @@
 
 namespace lynxglade::request {
 
-// A content as quarantine knows it: the hash of what a target would run.
+// Identifies content: the hash of what a target would run.
 using ContentHash = base::StrongNumber<struct ContentHashTag, std::uint64_t>;
 
-// One crash of one target as one content saw it.
+// One crash of a target at which a content was in flight.
 struct Evidence {
-  std::string crash_id;  // names the crash over instances
+  std::string crash_id;  // "<observing instance>/<number>"
   base::TargetId target;
   base::Time at{};
-  // Contents that were under way there, this one included.
+  // Number of contents in flight in the crash, this one included.
   int shared = 1;
   bool confirmed = false;
-  // It was a re-run, with no other suspect at the target.
+  // The lost attempt was a rerun, with no other suspect at the target.
   bool alone = false;
-  // Another cause was found.
+  // The crash was attributed to another cause.
   bool explained = false;
 };
 
-// Crashes counted in a mark; several losses in one crash of a target are one.
+// Number of distinct crashes in a mark.
 struct EvidenceCount {
   std::size_t all = 0;
   std::size_t unexplained = 0;
 
-  // Two crashes, and not all of them have another cause.
+  // At least two crashes, of which at least one has no other known cause.
   bool warrants_quarantine() const noexcept {
     return all >= 2 && unexplained >= 1;
   }
 };
 
 struct QuarantineMark {
-  // Rises when the content is cleared, released or lifted; then what older
-  // epochs said no longer counts.
+  // Incremented when the content is cleared, released or lifted. A mark of a
+  // later epoch replaces one of an earlier epoch.
   std::uint64_t epoch = 1;
-  // Rises with every other change.
+  // Incremented with every change.
   std::uint64_t counter = 0;
-  // The instance that alone may re-run the content until then, and where it
-  // does.
+  // Lease: until `owned_until` only `owner` may rerun the content.
+  // `rerun_target` is where it does so; empty if it does not.
   base::InstanceId owner;
   base::Time owned_until{};
   base::TargetId rerun_target;
@@ -59,15 +60,17 @@
   base::Time expires{};
 };
 
-// Losses at one target within this time are one crash.
+// Losses at one target within this time count as one crash.
 inline constexpr base::Duration kSameCrashWindow = std::chrono::seconds(2);
 
-// Whether both speak of one crash of one target; instances name it apart.
+// Whether both describe the same crash of a target. Instances assign different
+// ids to the same crash, so the target and time are compared as well.
 bool IsSameCrash(const Evidence& a, const Evidence& b) noexcept;
 
 EvidenceCount CountEvidence(const QuarantineMark& mark, bool confirmed_only);
 
-// The mark as a view item; its body is JSON and its times are relative.
+// Encodes the mark as a view item. The body is JSON, with times relative to
+// `now`.
 process::ViewItem EncodeMark(ContentHash content,
                              const QuarantineMark& mark,
                              const base::InstanceId& self,
@@ -77,16 +80,16 @@
   ContentHash content;
   QuarantineMark mark;
 };
-// nullopt when the item is not a well-formed mark.
+// Returns nullopt if the item is not a well-formed mark.
 std::optional<DecodedMark> DecodeMark(const process::ViewItem& item);
 
-// Joins another instance's mark into `mine`. `*spread` tells whether the
-// joint mark holds more than theirs did, so that they must hear of it.
-// Returns whether `mine` changed.
-bool MergeMarks(const QuarantineMark& theirs,
+// Merges another instance's mark into `local`. Sets `*must_publish` if the
+// merged mark holds information that `remote` lacks. Returns whether `local`
+// changed.
+bool MergeMarks(const QuarantineMark& remote,
                 base::Time now,
-                QuarantineMark& mine,
-                bool* spread);
+                QuarantineMark& local,
+                bool* must_publish);
 
 }  // namespace lynxglade::request
 
--- a/tests/request/quarantine_test.cc
+++ b/tests/request/quarantine_test.cc
@@ -18,10 +18,10 @@
 
 constexpr base::Time kNow = base::Time() + std::chrono::hours(1);
 constexpr ContentHash kPoison(666);
-constexpr std::size_t kDying = 0;
+constexpr std::size_t kUnstable = 0;
 
-// Instances, targets and callers, stepped in an order drawn by RapidCheck.
-// Target kDying crashes by itself; kPoison crashes what runs it.
+// Model of instances, targets and callers, stepped in a random order. Target
+// kUnstable crashes by itself; kPoison crashes every target that runs it.
 class World {
  public:
   World(std::size_t instances, std::size_t targets)
@@ -29,12 +29,12 @@
     for (std::size_t i = 0; i < instances; ++i) {
       instances_.push_back(std::make_unique<Quarantine>(
           QuarantineOptions(), base::InstanceId("i" + std::to_string(i)),
-          [this, i](const process::ViewItem& item) { Spread(i, item); }));
+          [this, i](const process::ViewItem& item) { Broadcast(i, item); }));
     }
   }
 
-  // A caller sends the content through an instance, which tries targets in
-  // random order. Returns whether it started.
+  // Sends the content through an instance, which tries the targets in turn from
+  // a random one on. Returns whether an attempt started.
   bool Send(std::size_t instance, ContentHash content) {
     std::vector<std::size_t> order(targets_);
     std::iota(order.begin(), order.end(), 0);
@@ -56,7 +56,7 @@
     return false;
   }
 
-  // The n-th run ends: a poison by crashing its target, others clean.
+  // Ends the n-th run: poison crashes its target, other contents are delivered.
   void Finish(std::size_t n) {
     const Run run = runs_[n];
     if (run.content == kPoison) {
@@ -68,17 +68,17 @@
   }
 
   void Crash(std::size_t target) {
-    std::set<std::size_t> witnesses;
+    std::set<std::size_t> observers;
     std::set<ContentHash> contents;
     for (const Run& it : runs_) {
       if (it.target == target) {
         instances_[it.instance]->OnLost(it.attempt, now);
-        witnesses.insert(it.instance);
+        observers.insert(it.instance);
         contents.insert(it.content);
       }
     }
     std::erase_if(runs_, [&](const Run& it) { return it.target == target; });
-    for (const std::size_t it : witnesses) {
+    for (const std::size_t it : observers) {
       instances_[it]->OnTargetCrashed(IdOf(target), now);
     }
     for (const ContentHash it : contents) {
@@ -86,10 +86,10 @@
     }
   }
 
-  // Delivers marks, in order or not; some twice.
-  void Deliver(std::size_t instance, std::size_t most) {
+  // Delivers up to `max_items` marks in random order, some of them repeatedly.
+  void Deliver(std::size_t instance, std::size_t max_items) {
     auto& inbox = inbox_[instance];
-    for (std::size_t i = 0; i < most && !inbox.empty(); ++i) {
+    for (std::size_t i = 0; i < max_items && !inbox.empty(); ++i) {
       const auto n = *rc::gen::inRange<std::size_t>(0, inbox.size());
       const process::ViewItem item = inbox[n];
       if (*rc::gen::inRange(0, 5) < 4) {
@@ -126,7 +126,7 @@
   }
   std::size_t instances() const { return instances_.size(); }
   Quarantine& at(std::size_t i) { return *instances_[i]; }
-  // Crashes that the content was part of.
+  // Number of crashes in which the content was in flight.
   std::size_t crashes(ContentHash content) { return crashes_[content]; }
 
   base::Time now = kNow;
@@ -143,7 +143,7 @@
     return base::TargetId("t" + std::to_string(target));
   }
 
-  void Spread(std::size_t from, const process::ViewItem& item) {
+  void Broadcast(std::size_t from, const process::ViewItem& item) {
     for (std::size_t i = 0; i < inbox_.size(); ++i) {
       if (i != from) {
         inbox_[i].push_back(item);
@@ -159,10 +159,10 @@
   int next_attempt_ = 0;
 };
 
-constexpr std::uint64_t kInnocents = 8;
+constexpr std::uint64_t kHarmless = 8;
 
-// Random traffic. `poison_at_once`: runs of the poison that may be under way
-// together.
+// Random traffic with at most `poison_at_once` concurrent runs of the poison.
+// Marks are delivered after each step if `spread_at_once`, else with delay.
 void RunTraffic(World& world, std::size_t poison_at_once, bool spread_at_once) {
   const int steps = *rc::gen::inRange(20, 250);
   for (int step = 0; step < steps; ++step) {
@@ -171,18 +171,18 @@
     const auto instance = *rc::gen::inRange<std::size_t>(0, world.instances());
     const int action = *rc::gen::inRange(0, 20);
     if (action < 8) {
-      const ContentHash content(
-          1 + *rc::gen::inRange<std::uint64_t>(0, kInnocents));
+      const ContentHash content(1 +
+                                *rc::gen::inRange<std::uint64_t>(0, kHarmless));
       world.Send(instance, content);
     } else if (action < 10) {
-      // A caller that goes on sending it.
+      // A caller keeps sending the poison.
       if (world.running(kPoison) < poison_at_once) {
         world.Send(instance, kPoison);
       }
     } else if (action < 17 && world.running() > 0) {
       world.Finish(*rc::gen::inRange<std::size_t>(0, world.running()));
     } else if (action == 18) {
-      world.Crash(kDying);
+      world.Crash(kUnstable);
     }
     if (spread_at_once) {
       world.DeliverAll();
@@ -192,9 +192,9 @@
   }
 }
 
-// Also where two or three run at once: then no further run starts beside them.
+// If more than two runs are concurrent from the start, no further run starts.
 RC_GTEST_PROP(QuarantineTest,
-              APoisonCrashesTwoTargetsOrThoseThatRunAtOnce,
+              PoisonCrashesAtMostTwoTargetsOrItsConcurrentRuns,
               ()) {
   World world(*rc::gen::inRange<std::size_t>(1, 4), 5);
   const auto at_once = *rc::gen::inRange<std::size_t>(1, 4);
@@ -203,20 +203,20 @@
   RC_ASSERT(world.crashes(kPoison) <= std::max<std::size_t>(2, at_once));
 }
 
-RC_GTEST_PROP(QuarantineTest, InnocentsOfADyingTargetAreNeverQuarantined, ()) {
+RC_GTEST_PROP(QuarantineTest, UnstableTargetQuarantinesNoContent, ()) {
   World world(*rc::gen::inRange<std::size_t>(1, 4), 5);
   RunTraffic(world, 0, *rc::gen::arbitrary<bool>());
-  for (std::uint64_t i = 1; i <= kInnocents; ++i) {
+  for (std::uint64_t i = 1; i <= kHarmless; ++i) {
     RC_ASSERT(!world.IsQuarantinedAnywhere(ContentHash(i)));
   }
 }
 
 RC_GTEST_PROP(QuarantineTest,
-              InnocentsBesidePoisonAndADyingTargetAreFreed,
+              HarmlessContentBesidePoisonAndUnstableTargetIsReleased,
               ()) {
   World world(1, 5);
   RunTraffic(world, 1, true);
-  // The dying target goes on dying, and the poison goes on being sent.
+  // The unstable target keeps crashing, and the poison is sent repeatedly.
   for (int i = 0; i < 40; ++i) {
     world.now += std::chrono::milliseconds(2500);
     if (world.running(kPoison) == 0) {
@@ -228,7 +228,7 @@
     world.at(0).OnTargetCrashed(base::TargetId("t0"), world.now);
   }
   RC_ASSERT(world.crashes(kPoison) <= 2u);
-  for (std::uint64_t i = 1; i <= kInnocents; ++i) {
+  for (std::uint64_t i = 1; i <= kHarmless; ++i) {
     RC_ASSERT(!world.IsQuarantinedAnywhere(ContentHash(i)));
   }
 }
@@ -251,8 +251,8 @@
     quarantine.OnLost(base::AttemptId(attempt), now);
     quarantine.OnTargetCrashed(base::TargetId(target), now);
   }
-  // Two crashes at two targets.
-  void Condemn(std::uint64_t content, base::Time now) {
+  // Crashes two targets with the content.
+  void CrashTwice(std::uint64_t content, base::Time now) {
     ASSERT_TRUE(Start(content, "t1", "first", now));
     Crash("t1", "first", now);
     ASSERT_TRUE(Start(content, "t2", "second", now));
@@ -260,7 +260,7 @@
   }
 };
 
-TEST(QuarantineTest, ASuspectRunsAloneAwayFromWhatCrashed) {
+TEST(QuarantineTest, SuspectRunsAloneAndAvoidsCrashedTargets) {
   Fixture f;
   ASSERT_TRUE(f.Start(1, "t1", "a1", kNow));
   ASSERT_TRUE(f.Start(2, "t1", "a2", kNow));
@@ -277,48 +277,48 @@
   const auto list = f.quarantine.List(kNow);
   ASSERT_EQ(list.size(), 2u);
   EXPECT_EQ(list[0].shared_with, std::vector<int>{2});
-  // The guilty one is found; the other is cleared by its delivery.
+  // The content that crashed again is quarantined; the other is cleared.
   f.Crash("t2", "b", kNow);
   EXPECT_TRUE(f.quarantine.IsQuarantined(ContentHash(1), kNow));
   f.quarantine.OnDelivered(base::AttemptId("c"), kNow);
   EXPECT_EQ(f.quarantine.List(kNow).size(), 1u);
   EXPECT_TRUE(f.Start(2, "t3", "d", kNow));
-  EXPECT_TRUE(f.Start(2, "t3", "e", kNow)) << "no suspect any more";
+  EXPECT_TRUE(f.Start(2, "t3", "e", kNow)) << "no longer a suspect";
 }
 
-TEST(QuarantineTest, LossesThatAreNotCrashesCondemnNobody) {
+TEST(QuarantineTest, LossesThatAreNotCrashesDoNotQuarantine) {
   Fixture f;
-  // A partition: connections break at both, the targets live on.
+  // A network partition: both connections break, the targets keep running.
   ASSERT_TRUE(f.Start(1, "t1", "a", kNow));
   f.quarantine.OnLost(base::AttemptId("a"), kNow);
   ASSERT_TRUE(f.Start(1, "t2", "b", kNow));
   f.quarantine.OnLost(base::AttemptId("b"), kNow);
   EXPECT_FALSE(f.Start(1, "t3", "c", kNow));
   EXPECT_EQ(f.denial, QuarantineDenial::kEvidencePending);
-  // A report that was made before the loss came late: it proves nothing.
+  // A report made before the loss does not refute it.
   const base::TargetId t1("t1");
   f.quarantine.OnTargetAlive(t1, kNow - std::chrono::seconds(1));
   EXPECT_FALSE(f.Start(1, "t3", "c", kNow));
   f.quarantine.OnTargetAlive(t1, kNow + kSameCrashWindow);
-  EXPECT_TRUE(f.Start(1, "t3", "c", kNow)) << "one suspicion is left";
+  EXPECT_TRUE(f.Start(1, "t3", "c", kNow)) << "one loss is left";
   f.quarantine.OnEnded(base::AttemptId("c"), kNow);
-  // The other was never confirmed.
+  // The other loss was not confirmed in time.
   const base::Time later = kNow + QuarantineOptions().confirm_timeout;
   EXPECT_TRUE(f.Start(1, "t2", "d", later));
   EXPECT_TRUE(f.Start(1, "t2", "e", later));
 }
 
-TEST(QuarantineTest, MarksSurviveTheInstanceExpireAndAreLiftedEverywhere) {
+TEST(QuarantineTest, MarksOutliveTheInstanceExpireAndAreLiftedEverywhere) {
   Fixture one;
-  one.Condemn(1, kNow);
-  // The mark reaches another instance; the first one dies.
+  one.CrashTwice(1, kNow);
+  // The mark is merged by another instance before the first one is lost.
   Fixture two;
   for (const auto& it : one.published) {
     two.quarantine.Merge(it, kNow);
   }
   EXPECT_FALSE(two.Start(1, "t3", "x", kNow));
   EXPECT_EQ(two.denial, QuarantineDenial::kQuarantined);
-  // A third hears of it when it joins.
+  // A third instance receives it when it joins.
   Fixture three;
   for (const auto& it : two.quarantine.Export(kNow)) {
     EXPECT_TRUE(three.quarantine.Merge(it, kNow));
@@ -334,17 +334,19 @@
   const auto old_mark = one.published.back();
   for (Fixture* it : {&one, &two}) {
     it->quarantine.Merge(two.published.back(), kNow);
-    // What was said before the lift does not come back.
+    // A mark from before the lift has no effect.
     EXPECT_FALSE(it->quarantine.Merge(old_mark, kNow));
     EXPECT_TRUE(it->Start(1, "t3", "y", kNow));
   }
 }
 
-TEST(QuarantineTest, TwoInstancesThatSawACrashEachAddUp) {
+TEST(QuarantineTest, CrashesSeenByTwoInstancesAddUp) {
   Fixture one;
-  std::vector<process::ViewItem> heard;
+  std::vector<process::ViewItem> other_published;
   Quarantine other({}, base::InstanceId("other"),
-                   [&heard](const auto& item) { heard.push_back(item); });
+                   [&other_published](const auto& item) {
+                     other_published.push_back(item);
+                   });
   QuarantineDenial denial{};
   ASSERT_TRUE(one.Start(1, "t1", "a", kNow));
   ASSERT_TRUE(other.TryStart(ContentHash(1), base::TargetId("t2"),
@@ -352,14 +354,14 @@
   one.Crash("t1", "a", kNow);
   other.OnLost(base::AttemptId("b"), kNow);
   other.OnTargetCrashed(base::TargetId("t2"), kNow);
-  one.quarantine.Merge(heard.back(), kNow);
+  one.quarantine.Merge(other_published.back(), kNow);
   EXPECT_TRUE(one.quarantine.IsQuarantined(ContentHash(1), kNow));
-  // The joint mark goes back, so that the other instance knows, too.
+  // The merged mark is published back to the other instance.
   EXPECT_TRUE(other.Merge(one.published.back(), kNow));
   EXPECT_TRUE(other.IsQuarantined(ContentHash(1), kNow));
 }
 
-TEST(QuarantineTest, RejectsMarksThatAreNotWellFormed) {
+TEST(QuarantineTest, RejectsMalformedMarks) {
   Fixture f;
   process::ViewItem item;
   item.kind = process::ViewKind::kQuarantine;
