--- a/src/request/retry_budget.cc
+++ b/src/request/retry_budget.cc
@@ -73,7 +73,7 @@
       std::max(0.0, std::chrono::duration<double>(now - bucket.filled).count());
   bucket.filled = std::max(bucket.filled, now);
   if (bucket.tokens < options_.initial) {
-    bucket.tokens = std::min(bucket.tokens + seconds * options_.trickle_per_s,
+    bucket.tokens = std::min(bucket.tokens + seconds * options_.refill_per_s,
                              options_.initial);
   }
   bucket.tokens = std::min(bucket.tokens, capacity);
--- a/src/request/retry_budget.h
+++ b/src/request/retry_budget.h
@@ -41,7 +41,7 @@
   double capacity = 20;
   // The process bucket holds this many times as much.
   double process_factor = 4;
-  double trickle_per_s = 0.1;
+  double refill_per_s = 0.1;
   // A hedge leaves this many tokens for retries.
   double hedge_reserve = 2;
   // Contracts and targets remembered each; the longest idle goes first.
