--- a/src/request/outlier_ejector.cc
+++ b/src/request/outlier_ejector.cc
@@ -107,7 +107,7 @@
     record.failures = 0;
   }
   if (record.ejections > 0 &&
-      now - record.last_ejection >= options_.forgive_after) {
+      now - record.last_ejection >= options_.reset_after) {
     record.ejections = 0;
   }
   return record;
--- a/src/request/outlier_ejector.h
+++ b/src/request/outlier_ejector.h
@@ -38,7 +38,7 @@
   base::Duration base_ejection = std::chrono::seconds(5);
   base::Duration max_ejection = std::chrono::minutes(5);
   // Quiet time after which the growth starts anew.
-  base::Duration forgive_after = std::chrono::minutes(10);
+  base::Duration reset_after = std::chrono::minutes(10);
   // Of a service's serving targets; at least one may always be out where two
   // or more serve.
   double max_fraction = 0.34;
