--- a/src/request/outlier_ejector.cc
+++ b/src/request/outlier_ejector.cc
@@ -8,20 +8,20 @@
 
 namespace {
 
-// Ejections after which the time grows no further.
+// Limits the exponent, so that the shift cannot overflow.
 constexpr int kMaxDoublings = 16;
 
 std::int64_t Nanos(base::Time at) noexcept {
   return at.time_since_epoch().count();
 }
 
-// Whether two targets can stand in for each other.
-bool SameWork(const Target& a, const Target& b) noexcept {
+// Whether the two targets can serve the same requests.
+bool IsInterchangeable(const Target& a, const Target& b) noexcept {
   return a.service == b.service && a.model == b.model &&
          a.version == b.version && a.role == b.role;
 }
 
-std::size_t MostOut(std::size_t serving, double fraction) noexcept {
+std::size_t MaxEjected(std::size_t serving, double fraction) noexcept {
   if (serving < 2) {
     return 0;
   }
@@ -37,9 +37,9 @@
 
 void OutlierEjector::OnSuccess(const Target& target, base::Time now) {
   const std::scoped_lock lock(mutex_);
-  Record& record = Touch(target, now);
+  Record& record = FindOrCreateRecord(target, now);
   ++record.requests;
-  record.in_a_row = 0;
+  record.failure_streak = 0;
 }
 
 std::optional<Ejection> OutlierEjector::OnFailure(const TargetTable& table,
@@ -47,10 +47,10 @@
                                                   base::Time now,
                                                   EjectDenial* denial) {
   const std::scoped_lock lock(mutex_);
-  Record& record = Touch(target, now);
+  Record& record = FindOrCreateRecord(target, now);
   ++record.requests;
   ++record.failures;
-  ++record.in_a_row;
+  ++record.failure_streak;
   if (IsEjected(target, now)) {
     *denial = EjectDenial::kAlreadyEjected;
     return std::nullopt;
@@ -59,14 +59,14 @@
     *denial = EjectDenial::kNotFailingEnough;
     return std::nullopt;
   }
-  if (const auto no_room = CheckRoom(table, target, now)) {
-    *denial = *no_room;
+  if (const auto reason_against = CheckEjectable(table, target, now)) {
+    *denial = *reason_against;
     return std::nullopt;
   }
-  const base::Duration length = NextLength(record);
+  const base::Duration length = NextEjectionTime(record);
   ++record.ejections;
   record.last_ejection = now;
-  record.in_a_row = 0;
+  record.failure_streak = 0;
   record.requests = 0;
   record.failures = 0;
   target.local_load->ejected_until.store(Nanos(now + length),
@@ -79,11 +79,11 @@
   std::unordered_set<base::TargetId> present;
   for (const Target& it : table.targets) {
     present.insert(it.id);
-    // As if it were to be ejected only now: there must be room for it.
+    // Keep the ejection only if the target could be ejected now.
     if (it.state == TargetState::kServing && IsEjected(it, now)) {
       const std::int64_t until =
           it.local_load->ejected_until.exchange(0, std::memory_order_relaxed);
-      if (!CheckRoom(table, it, now)) {
+      if (!CheckEjectable(table, it, now)) {
         it.local_load->ejected_until.store(until, std::memory_order_relaxed);
       }
     }
@@ -98,8 +98,8 @@
          Nanos(now);
 }
 
-OutlierEjector::Record& OutlierEjector::Touch(const Target& target,
-                                              base::Time now) {
+OutlierEjector::Record& OutlierEjector::FindOrCreateRecord(const Target& target,
+                                                           base::Time now) {
   Record& record = records_[target.id];
   if (now - record.window_start >= options_.window) {
     record.window_start = now;
@@ -114,19 +114,20 @@
 }
 
 bool OutlierEjector::IsFailing(const Record& record) const noexcept {
-  if (record.in_a_row >= options_.consecutive_failures) {
+  if (record.failure_streak >= options_.consecutive_failures) {
     return true;
   }
   return record.requests >= options_.min_requests &&
          record.failures >= options_.failure_rate * record.requests;
 }
 
-std::optional<EjectDenial> OutlierEjector::CheckRoom(const TargetTable& table,
-                                                     const Target& target,
-                                                     base::Time now) const {
+std::optional<EjectDenial> OutlierEjector::CheckEjectable(
+    const TargetTable& table,
+    const Target& target,
+    base::Time now) const {
   std::size_t serving = 0;
-  std::size_t out = 0;
-  std::size_t stand_ins = 0;
+  std::size_t ejected_count = 0;
+  std::size_t replacements = 0;
   bool known = false;
   for (const Target& it : table.targets) {
     if (it.service != target.service || it.state != TargetState::kServing) {
@@ -135,24 +136,25 @@
     known = known || it.id == target.id;
     ++serving;
     const bool ejected = IsEjected(it, now);
-    out += ejected ? 1 : 0;
-    if (it.id != target.id && !ejected && SameWork(it, target)) {
-      ++stand_ins;
+    ejected_count += ejected ? 1 : 0;
+    if (it.id != target.id && !ejected && IsInterchangeable(it, target)) {
+      ++replacements;
     }
   }
   if (!known) {
     return EjectDenial::kUnknownTarget;
   }
-  if (stand_ins == 0) {
+  if (replacements == 0) {
     return EjectDenial::kLastOfService;
   }
-  if (out >= MostOut(serving, options_.max_fraction)) {
+  if (ejected_count >= MaxEjected(serving, options_.max_fraction)) {
     return EjectDenial::kFractionReached;
   }
   return std::nullopt;
 }
 
-base::Duration OutlierEjector::NextLength(const Record& record) const noexcept {
+base::Duration OutlierEjector::NextEjectionTime(
+    const Record& record) const noexcept {
   const int doublings = std::min(record.ejections, kMaxDoublings);
   return std::min(options_.base_ejection * (std::int64_t{1} << doublings),
                   options_.max_ejection);
--- a/src/request/outlier_ejector.h
+++ b/src/request/outlier_ejector.h
@@ -1,9 +1,9 @@
-// Takes failing targets out of routing for a while.
+// Temporarily removes failing targets from routing.
 //
-// A target is ejected after failures in a row or at a high failure rate, for
-// a time that grows with each ejection and is bounded. No more than a fraction
-// of a service's serving targets is out at once, and the last target of a
-// service, or of a model and role within it, is never ejected.
+// A target is ejected after consecutive failures or at a high failure rate. The
+// ejection time doubles with each ejection, up to a limit. Only a fraction of a
+// service's serving targets is ejected at a time, and never the last one that
+// serves a given service, model, version and role.
 #ifndef LYNXGLADE_REQUEST_OUTLIER_EJECTOR_H_
 #define LYNXGLADE_REQUEST_OUTLIER_EJECTOR_H_
 
@@ -19,7 +19,7 @@
 
 namespace lynxglade::request {
 
-// Why a failing target stays in service.
+// Why a target that failed was not ejected.
 enum class EjectDenial {
   kNotFailingEnough,
   kAlreadyEjected,
@@ -31,16 +31,18 @@
 
 struct OutlierEjectorOptions {
   int consecutive_failures = 5;
-  // Failures over requests within a window, judged from `min_requests` on.
+  // Ratio of failures to requests within `window` from which a target is
+  // ejected, if it had at least `min_requests` requests.
   double failure_rate = 0.5;
   int min_requests = 20;
   base::Duration window = std::chrono::seconds(10);
   base::Duration base_ejection = std::chrono::seconds(5);
   base::Duration max_ejection = std::chrono::minutes(5);
-  // Quiet time after which the growth starts anew.
+  // Time since the last ejection after which the ejection time starts again at
+  // base_ejection.
   base::Duration reset_after = std::chrono::minutes(10);
-  // Of a service's serving targets; at least one may always be out where two
-  // or more serve.
+  // Fraction of a service's serving targets that may be ejected. At least one
+  // may be if two or more serve.
   double max_fraction = 0.34;
 };
 
@@ -49,32 +51,32 @@
   base::Duration length{};
 };
 
-// Thread-safe; a short lock a call. Writes LocalLoad::ejected_until, which the
-// router reads.
+// Thread-safe. Writes LocalLoad::ejected_until, which the router reads.
 class OutlierEjector {
  public:
   explicit OutlierEjector(OutlierEjectorOptions options = {});
   OutlierEjector(const OutlierEjector&) = delete;
   OutlierEjector& operator=(const OutlierEjector&) = delete;
 
-  // An attempt ended well at the target.
+  // An attempt at the target succeeded.
   void OnSuccess(const Target& target, base::Time now);
-  // An attempt failed by the target's fault: refused connections, resets,
-  // broken answers, 5xx. Not its own refusals of draining or overload.
-  // Returns the ejection that this brought about; else `*denial` says why not.
+  // An attempt failed because of the target: refused connection, reset,
+  // malformed answer or 5xx, but not a refusal because it is draining or
+  // overloaded. Returns the ejection if the target was ejected now; otherwise
+  // `*denial` says why it was not.
   std::optional<Ejection> OnFailure(const TargetTable& table,
                                     const Target& target,
                                     base::Time now,
                                     EjectDenial* denial);
-  // Call with each new table: lets targets back in where a service would be
-  // emptied or the fraction exceeded, and forgets targets that are gone.
+  // Call with each new table. Ends ejections that would violate the limits with
+  // the new table, and removes the records of targets that are not in it.
   void Reconcile(const TargetTable& table, base::Time now);
 
   static bool IsEjected(const Target& target, base::Time now) noexcept;
 
  private:
   struct Record {
-    int in_a_row = 0;
+    int failure_streak = 0;
     int requests = 0;
     int failures = 0;
     base::Time window_start{};
@@ -82,12 +84,12 @@
     base::Time last_ejection{};
   };
 
-  Record& Touch(const Target& target, base::Time now);
+  Record& FindOrCreateRecord(const Target& target, base::Time now);
   bool IsFailing(const Record& record) const noexcept;
-  std::optional<EjectDenial> CheckRoom(const TargetTable& table,
-                                       const Target& target,
-                                       base::Time now) const;
-  base::Duration NextLength(const Record& record) const noexcept;
+  std::optional<EjectDenial> CheckEjectable(const TargetTable& table,
+                                            const Target& target,
+                                            base::Time now) const;
+  base::Duration NextEjectionTime(const Record& record) const noexcept;
 
   const OutlierEjectorOptions options_;
   std::mutex mutex_;
--- a/src/request/retry_budget.cc
+++ b/src/request/retry_budget.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kOneAttempt = 1.0;
-// Doublings after which the bound of the backoff is reached anyway.
+// Limits the exponent, so that the shift cannot overflow.
 constexpr int kMaxDoublings = 20;
 
 }  // namespace
@@ -23,9 +23,9 @@
   const auto deposit = [this](Bucket& bucket, double capacity) {
     bucket.tokens = std::min(bucket.tokens + options_.ratio, capacity);
   };
-  deposit(TouchProcess(now), options_.capacity * options_.process_factor);
-  deposit(Touch(contracts_, contract, now), options_.capacity);
-  deposit(Touch(targets_, target, now), options_.capacity);
+  deposit(ProcessBucket(now), options_.capacity * options_.process_factor);
+  deposit(FindOrCreateBucket(contracts_, contract, now), options_.capacity);
+  deposit(FindOrCreateBucket(targets_, target, now), options_.capacity);
 }
 
 bool RetryBudget::TryTake(ExtraAttempt kind,
@@ -36,42 +36,43 @@
   const std::scoped_lock lock(mutex_);
   const double need =
       kOneAttempt + (kind == ExtraAttempt::kHedge ? options_.hedge_reserve : 0);
-  Bucket& process = TouchProcess(now);
-  if (process.tokens < need) {
+  Bucket& process_bucket = ProcessBucket(now);
+  if (process_bucket.tokens < need) {
     *denial = RetryDenial::kProcessBudget;
     return false;
   }
-  Bucket& of_contract = Touch(contracts_, contract, now);
-  if (of_contract.tokens < need) {
+  Bucket& contract_bucket = FindOrCreateBucket(contracts_, contract, now);
+  if (contract_bucket.tokens < need) {
     *denial = RetryDenial::kContractBudget;
     return false;
   }
-  Bucket& of_target = Touch(targets_, target, now);
-  if (of_target.tokens < need) {
+  Bucket& target_bucket = FindOrCreateBucket(targets_, target, now);
+  if (target_bucket.tokens < need) {
     *denial = RetryDenial::kTargetBudget;
     return false;
   }
-  process.tokens -= kOneAttempt;
-  of_contract.tokens -= kOneAttempt;
-  of_target.tokens -= kOneAttempt;
+  process_bucket.tokens -= kOneAttempt;
+  contract_bucket.tokens -= kOneAttempt;
+  target_bucket.tokens -= kOneAttempt;
   return true;
 }
 
-RetryBudget::Bucket& RetryBudget::TouchProcess(base::Time now) {
+RetryBudget::Bucket& RetryBudget::ProcessBucket(base::Time now) {
   if (!process_) {
     process_ = Bucket{options_.initial * options_.process_factor, now};
   }
-  Fill(*process_, options_.capacity * options_.process_factor, now);
+  Refill(*process_, options_.capacity * options_.process_factor, now);
   return *process_;
 }
 
-void RetryBudget::Fill(Bucket& bucket,
-                       double capacity,
-                       base::Time now) const noexcept {
-  // The trickle stops at the initial content: idle time saves up no storm.
-  const double seconds =
-      std::max(0.0, std::chrono::duration<double>(now - bucket.filled).count());
-  bucket.filled = std::max(bucket.filled, now);
+void RetryBudget::Refill(Bucket& bucket,
+                         double capacity,
+                         base::Time now) const noexcept {
+  // Refill only up to the initial tokens, so that a long idle time does not
+  // allow a burst of retries.
+  const double seconds = std::max(
+      0.0, std::chrono::duration<double>(now - bucket.refilled_at).count());
+  bucket.refilled_at = std::max(bucket.refilled_at, now);
   if (bucket.tokens < options_.initial) {
     bucket.tokens = std::min(bucket.tokens + seconds * options_.refill_per_s,
                              options_.initial);
@@ -80,17 +81,18 @@
 }
 
 template <typename Map>
-RetryBudget::Bucket& RetryBudget::Touch(Map& buckets,
-                                        const typename Map::key_type& key,
-                                        base::Time now) const {
+RetryBudget::Bucket& RetryBudget::FindOrCreateBucket(
+    Map& buckets,
+    const typename Map::key_type& key,
+    base::Time now) const {
   if (!buckets.contains(key) && buckets.size() >= options_.max_keys) {
     buckets.erase(std::ranges::min_element(
-        buckets, {}, [](const auto& it) { return it.second.filled; }));
+        buckets, {}, [](const auto& it) { return it.second.refilled_at; }));
   }
   const auto [it, is_new] =
       buckets.try_emplace(key, Bucket{options_.initial, now});
   if (!is_new) {
-    Fill(it->second, options_.capacity, now);
+    Refill(it->second, options_.capacity, now);
   }
   return it->second;
 }
--- a/src/request/retry_budget.h
+++ b/src/request/retry_budget.h
@@ -1,10 +1,10 @@
-// Whether, and how much later, an attempt may be followed by another.
+// Limits retries and hedges, and chooses the backoff before them.
 //
-// Retries and hedges are paid from token buckets of the process, the contract
-// and the target that is tried next. Each first attempt puts `ratio` tokens
-// in; a small trickle lets a quiet contract retry at night. When everything
-// fails, attempts stay under (1 + ratio) times the requests plus the buckets'
-// initial content.
+// A further attempt takes a token from each of three buckets: those of the
+// process, the contract and the next target. Each first attempt adds `ratio`
+// tokens to them, and a slow refill lets contracts with little traffic retry.
+// Even if every attempt fails, the number of attempts is bounded by (1 + ratio)
+// times the number of requests, plus the initial tokens and the refill.
 #ifndef LYNXGLADE_REQUEST_RETRY_BUDGET_H_
 #define LYNXGLADE_REQUEST_RETRY_BUDGET_H_
 
@@ -22,7 +22,7 @@
 
 enum class ExtraAttempt { kRetry, kHedge };
 
-// Why there is no further attempt; each has a counter
+// Why no further attempt is made. Counted by
 // lynxglade_retry_denials_total{reason=...}.
 enum class RetryDenial {
   kAttemptsUsed,
@@ -34,34 +34,35 @@
 std::string_view ToString(RetryDenial denial) noexcept;
 
 struct RetryBudgetOptions {
-  // Tokens that a first attempt puts into each bucket.
+  // Tokens that a first attempt adds to each bucket.
   double ratio = 0.15;
-  // Content of a new bucket, and the most it holds.
+  // Tokens of a new bucket, and the maximum.
   double initial = 3;
   double capacity = 20;
-  // The process bucket holds this many times as much.
+  // Factor on `initial` and `capacity` for the process bucket.
   double process_factor = 4;
   double refill_per_s = 0.1;
-  // A hedge leaves this many tokens for retries.
+  // Tokens that a hedge must leave in each bucket for retries.
   double hedge_reserve = 2;
-  // Contracts and targets remembered each; the longest idle goes first.
+  // Maximum number of contract buckets, and of target buckets. The least
+  // recently used one is evicted.
   std::size_t max_keys = 16384;
 };
 
-// Thread-safe; a short lock a call.
+// Thread-safe.
 class RetryBudget {
  public:
   explicit RetryBudget(RetryBudgetOptions options = {});
   RetryBudget(const RetryBudget&) = delete;
   RetryBudget& operator=(const RetryBudget&) = delete;
 
-  // Call once a request, at its first attempt.
+  // Call once per request, at its first attempt.
   void OnFirstAttempt(const base::ContractId& contract,
                       const base::TargetId& target,
                       base::Time now);
 
-  // Pays for one more attempt at `target`. False: `*denial` says which bucket
-  // is empty, and nothing was taken.
+  // Takes the tokens for one more attempt at `target`. If it returns false,
+  // nothing was taken and `*denial` says which bucket lacks tokens.
   bool TryTake(ExtraAttempt kind,
                const base::ContractId& contract,
                const base::TargetId& target,
@@ -71,15 +72,15 @@
  private:
   struct Bucket {
     double tokens = 0;
-    base::Time filled{};
+    base::Time refilled_at{};
   };
 
-  Bucket& TouchProcess(base::Time now);
-  void Fill(Bucket& bucket, double capacity, base::Time now) const noexcept;
+  Bucket& ProcessBucket(base::Time now);
+  void Refill(Bucket& bucket, double capacity, base::Time now) const noexcept;
   template <typename Map>
-  Bucket& Touch(Map& buckets,
-                const typename Map::key_type& key,
-                base::Time now) const;
+  Bucket& FindOrCreateBucket(Map& buckets,
+                             const typename Map::key_type& key,
+                             base::Time now) const;
 
   const RetryBudgetOptions options_;
   std::mutex mutex_;
@@ -89,22 +90,22 @@
 };
 
 struct RetryPolicyOptions {
-  // All attempts of a request, the first and hedges included.
+  // Maximum number of attempts per request, including the first and hedges.
   int max_attempts = 4;
   base::Duration base_backoff = std::chrono::milliseconds(20);
   base::Duration max_backoff = std::chrono::seconds(2);
-  // Time that must be left after the wait for another attempt to make sense.
+  // Minimum time left to the deadline after the backoff.
   base::Duration min_remaining = std::chrono::milliseconds(50);
 };
 
-// When the next attempt starts. Thread-safe if `random` is.
+// Decides when the next attempt starts. Thread-safe if `random` is.
 class RetryPolicy {
  public:
   RetryPolicy(RetryPolicyOptions options, base::RandomSource random);
 
-  // The wait before the attempt after `attempts_made` (1 or more) attempts:
-  // exponential, fully jittered, bounded. nullopt: `*denial` is
-  // kAttemptsUsed or kDeadlineTooNear.
+  // Returns the backoff after `attempts_made` (at least 1) attempts: bounded
+  // exponential with full jitter. On nullopt `*denial` is kAttemptsUsed or
+  // kDeadlineTooNear.
   std::optional<base::Duration> NextDelay(int attempts_made,
                                           base::Time now,
                                           base::Time deadline,
--- a/tests/request/retry_budget_test.cc
+++ b/tests/request/retry_budget_test.cc
@@ -16,10 +16,10 @@
 
 constexpr base::Time kNow = base::Time() + std::chrono::hours(1);
 
-// Everything fails: each request is tried until the policy or the budget ends
-// it, over some contracts and targets, at any rate.
+// Every attempt fails; each request is retried until the policy or the budget
+// denies it.
 RC_GTEST_PROP(RetryBudgetTest,
-              AStormStaysUnderOnePointTwoAttemptsARequest,
+              RetryStormStaysBelowOnePointTwoAttemptsPerRequest,
               ()) {
   const auto contracts = *rc::gen::inRange<std::uint64_t>(1, 20);
   const auto targets = *rc::gen::inRange<std::uint64_t>(1, 20);
@@ -57,7 +57,7 @@
   RC_ASSERT(attempts > kRequests);
 }
 
-TEST(RetryBudgetTest, NamesTheEmptyBucketAndKeepsAReserveFromHedges) {
+TEST(RetryBudgetTest, ReportsEmptyBucketAndReservesTokensForRetries) {
   RetryBudgetOptions options;
   options.initial = 2;
   RetryBudget budget(options);
@@ -73,7 +73,7 @@
   EXPECT_EQ(denial, RetryDenial::kContractBudget);
   EXPECT_FALSE(budget.TryTake(ExtraAttempt::kRetry, b, t, kNow, &denial));
   EXPECT_EQ(denial, RetryDenial::kTargetBudget);
-  // A quiet night fills it to the initial content and no further.
+  // A long idle time refills up to the initial tokens only.
   const base::Time later = kNow + std::chrono::hours(8);
   for (int i = 0; i < 2; ++i) {
     EXPECT_TRUE(budget.TryTake(ExtraAttempt::kRetry, a, t, later, &denial));
@@ -115,7 +115,7 @@
   return table;
 }
 
-// What serves and is not ejected, by service and model.
+// Number of serving, not ejected targets of the service and model of `like`.
 std::size_t InService(const TargetTable& table,
                       const Target& like,
                       base::Time now) {
@@ -140,7 +140,7 @@
     Target& target =
         table.targets[*rc::gen::inRange<std::size_t>(0, table.targets.size())];
     if (*rc::gen::inRange(0, 8) == 0) {
-      // It leaves or comes back; the ejector hears of the new table.
+      // The target leaves or returns, and the ejector gets the new table.
       target.state = target.state == TargetState::kServing
                          ? TargetState::kLeaving
                          : TargetState::kServing;
@@ -173,7 +173,7 @@
   }
 }
 
-TEST(OutlierEjectorTest, EjectsForALengthThatGrowsAndIsBounded) {
+TEST(OutlierEjectorTest, EjectionTimeGrowsAndIsBounded) {
   TargetTable table;
   for (int i = 0; i < 4; ++i) {
     Target it;
@@ -208,7 +208,7 @@
     now += options.window;
     ejector.OnSuccess(bad, now);
   }
-  // Half of many requests failing is enough, though none in a row.
+  // A failure rate of one half ejects without consecutive failures.
   const Target& flaky = table.targets[1];
   std::optional<Ejection> ejection;
   for (int i = 0; i < options.min_requests && !ejection; ++i) {
@@ -219,10 +219,9 @@
   EXPECT_TRUE(ejection);
 }
 
-// The load this answers: two engines of eight crash within seconds of an
-// instance's start, while the buckets hold little; callers whose connections
-// to them fail go elsewhere, at no cost to the budget.
-TEST(RetryBudgetTest, OnlyWhatLeftTheProcessIsPaidFor) {
+// Attempts that sent nothing must not use up the retry budget, which is small
+// right after a start.
+TEST(RetryBudgetTest, NothingWasSentIdentifiesAttemptsThatDidNotLeave) {
   AttemptReport report;
   report.end = AttemptEnd::kConnectFailed;
   EXPECT_TRUE(NothingWasSent(report));
