--- a/fuzz/claim_record.cc
+++ b/fuzz/claim_record.cc
@@ -9,7 +9,7 @@
   if (!record) {
     return 0;
   }
-  fuzz::Check(!record->mark.empty(), "a claim has a mark");
+  fuzz::Check(!record->write_id.empty(), "a claim has a write id");
   fuzz::Check(record->outcome != base::Outcome::kNotRun,
               "no claim says not run");
   const std::string text = request::EncodeClaimRecord(*record);
--- a/src/request/claim_record.cc
+++ b/src/request/claim_record.cc
@@ -71,7 +71,7 @@
 }  // namespace
 
 std::string EncodeClaimRecord(const ClaimRecord& record) {
-  json out = {{"mark", record.mark},
+  json out = {{"mark", record.write_id},
               {"instance", record.instance.str()},
               {"request", record.request.str()},
               {"content", base::ToHex(record.content_hash)},
@@ -91,7 +91,7 @@
     return std::nullopt;
   }
   ClaimRecord record;
-  record.mark = TextOf(*in, "mark");
+  record.write_id = TextOf(*in, "mark");
   record.instance = base::InstanceId(TextOf(*in, "instance"));
   record.request = base::RequestId(TextOf(*in, "request"));
   record.content_hash =
--- a/src/request/claim_record.h
+++ b/src/request/claim_record.h
@@ -16,7 +16,7 @@
 // The value under a claim's key. Its text is unique by its mark, so equal
 // texts are the same write.
 struct ClaimRecord {
-  std::string mark;
+  std::string write_id;
   base::InstanceId instance;
   base::RequestId request;
   // What is to run; a repeat must ask for the same.
--- a/src/request/claims.cc
+++ b/src/request/claims.cc
@@ -51,12 +51,12 @@
                    std::nullopt);
   }
   ClaimRecord record;
-  record.mark = base::RandomHexId(random_);
+  record.write_id = base::RandomHexId(random_);
   record.instance = self_;
   record.request = request.id;
   record.content_hash = request.content_hash;
   Claim claim{.key = ClaimKey(request.contract, request.idempotency_key),
-              .mark = record.mark,
+              .write_id = record.write_id,
               .mod_revision = 0,
               .record = EncodeClaimRecord(record)};
   const ClaimWriteResult written =
--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -85,7 +85,7 @@
 struct Claim {
   std::string key;
   // Unique to this claim; tells our own write from another's.
-  std::string mark;
+  std::string write_id;
   // Revision of the key-value service at which the claim was written.
   std::int64_t mod_revision = 0;
   // What the claim says of the request, as written.
--- a/tests/request/claims_test.cc
+++ b/tests/request/claims_test.cc
@@ -376,7 +376,7 @@
 
 RC_GTEST_PROP(ClaimRecordProperty, SurvivesItsText, ()) {
   ClaimRecord record;
-  record.mark = "m";
+  record.write_id = "m";
   record.request = base::RequestId(*rc::gen::string<std::string>());
   record.content_hash = *rc::gen::arbitrary<std::uint64_t>();
   record.done = true;
