--- a/src/request/claim_writer.cc
+++ b/src/request/claim_writer.cc
@@ -80,7 +80,7 @@
 ClaimWriteResult ClaimWriter::Write(ClaimOp op, base::Duration wait) {
   auto entry = std::make_shared<Entry>();
   entry->op = std::move(op);
-  entry->give_up = clock_() + options_.background_for;
+  entry->give_up = clock_() + options_.background_timeout;
   std::future<ClaimWriteResult> result = entry->result.get_future();
   if (!Enqueue(entry)) {
     return {};
@@ -127,7 +127,7 @@
                .key = create.key,
                .value = create.value,
                .guard = base::Revision(0)};
-  entry->give_up = clock_() + options_.background_for;
+  entry->give_up = clock_() + options_.background_timeout;
   entry->waiting = false;
   Enqueue(std::move(entry));
 }
@@ -171,7 +171,7 @@
 // Zero when there is something to do.
 base::Duration ClaimWriter::UntilReady(base::Time now) const {
   if (queue_.empty()) {
-    return options_.max_pause;
+    return options_.max_backoff;
   }
   const auto first = std::ranges::min_element(
       queue_, {}, [](const EntryPtr& entry) { return entry->not_before; });
@@ -245,8 +245,8 @@
   if (current) {
     return lease_;
   }
-  const auto lease =
-      key_value_.GrantLease(options_.keep_for + options_.lease_period, error);
+  const auto lease = key_value_.GrantLease(
+      options_.min_retention + options_.lease_period, error);
   if (lease) {
     lease_ = *lease;
     lease_granted_ = now;
@@ -277,7 +277,7 @@
     lease_ = {};
   }
   if (error == KvError::kRateLimited) {
-    SetPause(std::max(pause_ * 3 / 2, options_.min_pause));
+    SetPause(std::max(pause_ * 3 / 2, options_.min_backoff));
   }
   if (error == KvError::kAmbiguous) {
     std::ranges::for_each(
@@ -291,7 +291,7 @@
     if (worth_waiting) {
       // A refused call is paced for all of the queue by SetPause().
       Retry(entry, error == KvError::kRateLimited ? base::Duration::zero()
-                                                  : options_.max_pause);
+                                                  : options_.max_backoff);
     } else {
       GiveUp(entry);
     }
@@ -302,8 +302,9 @@
 // success, so that instances share what the service takes; one that only
 // backed off would starve beside others that do not.
 void ClaimWriter::SetPause(base::Duration pause) {
-  const bool none = pause < options_.min_pause / 2;
-  pause_ = none ? base::Duration::zero() : std::min(pause, options_.max_pause);
+  const bool none = pause < options_.min_backoff / 2;
+  pause_ =
+      none ? base::Duration::zero() : std::min(pause, options_.max_backoff);
   const auto jittered = std::chrono::duration_cast<base::Duration>(
       pause_ * (0.5 + base::UniformReal(random_)));
   const std::lock_guard lock(mutex_);
@@ -331,7 +332,7 @@
     } else if (entry->op.kind == Kind::kCreate) {
       GiveUp(entry);
     } else {
-      Retry(entry, options_.max_pause);
+      Retry(entry, options_.max_backoff);
     }
   }
 }
--- a/src/request/claim_writer.h
+++ b/src/request/claim_writer.h
@@ -68,12 +68,12 @@
   std::size_t max_batch_bytes = 512u << 10;
   std::size_t max_queue = 8192;
   // How long records and releases are tried.
-  base::Duration background_for = std::chrono::minutes(10);
-  base::Duration min_pause = std::chrono::milliseconds(5);
-  base::Duration max_pause = std::chrono::milliseconds(250);
-  // Claims are forgotten after between `keep_for` and `keep_for` plus
+  base::Duration background_timeout = std::chrono::minutes(10);
+  base::Duration min_backoff = std::chrono::milliseconds(5);
+  base::Duration max_backoff = std::chrono::milliseconds(250);
+  // Claims are forgotten after between `min_retention` and `min_retention` plus
   // `lease_period`; one lease serves all claims of a period.
-  base::Duration keep_for = std::chrono::hours(6);
+  base::Duration min_retention = std::chrono::hours(6);
   base::Duration lease_period = std::chrono::hours(1);
 };
 
--- a/src/request/claims.cc
+++ b/src/request/claims.cc
@@ -59,12 +59,12 @@
               .write_id = record.write_id,
               .mod_revision = 0,
               .record = EncodeClaimRecord(record)};
-  const ClaimWriteResult written =
-      writer_.Write({.kind = ClaimOp::Kind::kCreate,
-                     .key = claim.key,
-                     .value = claim.record,
-                     .guard = base::Revision(0)},
-                    std::min(options_.begin_wait, request.deadline - clock_()));
+  const ClaimWriteResult written = writer_.Write(
+      {.kind = ClaimOp::Kind::kCreate,
+       .key = claim.key,
+       .value = claim.record,
+       .guard = base::Revision(0)},
+      std::min(options_.begin_timeout, request.deadline - clock_()));
   if (written.status == Status::kWritten) {
     Count("claimed");
     claim.mod_revision = written.revision.value();
@@ -116,7 +116,7 @@
                    .key = claim.key,
                    .value = claim.record,
                    .guard = base::Revision(claim.mod_revision)},
-                  options_.record_wait);
+                  options_.record_timeout);
     return;
   }
   std::optional<ClaimRecord> record = DecodeClaimRecord(claim.record);
@@ -133,7 +133,7 @@
                      .key = claim.key,
                      .value = EncodeClaimRecord(*record),
                      .guard = base::Revision(claim.mod_revision)},
-                    options_.record_wait);
+                    options_.record_timeout);
   Count(written.status == Status::kWritten ? "recorded" : "record_pending");
 }
 
--- a/src/request/claims.h
+++ b/src/request/claims.h
@@ -25,10 +25,10 @@
 struct ClaimOptions {
   ClaimWriterOptions writer;
   // Longest wait for a claim; after it the request is refused as not run.
-  base::Duration begin_wait = std::chrono::seconds(2);
+  base::Duration begin_timeout = std::chrono::seconds(2);
   // How long an answer is held back until it is recorded; after it the
   // recording goes on in the background.
-  base::Duration record_wait = std::chrono::milliseconds(100);
+  base::Duration record_timeout = std::chrono::milliseconds(100);
   // When a repeat of a request that is under way may come back.
   base::Duration retry_after = std::chrono::seconds(2);
 };
--- a/tests/request/claims_test.cc
+++ b/tests/request/claims_test.cc
@@ -55,9 +55,9 @@
  private:
   static ClaimOptions Options() {
     ClaimOptions options;
-    options.begin_wait = seconds(30);
-    options.writer.min_pause = milliseconds(1);
-    options.writer.max_pause = milliseconds(4);
+    options.begin_timeout = seconds(30);
+    options.writer.min_backoff = milliseconds(1);
+    options.writer.max_backoff = milliseconds(4);
     return options;
   }
 
@@ -299,7 +299,7 @@
   EXPECT_EQ(it.Create("/c"), Status::kWritten);
   EXPECT_EQ(it.Leases(), 2);
   // The first two are kept for as long as promised, and no longer.
-  it.Advance(defaults.keep_for - seconds(2));
+  it.Advance(defaults.min_retention - seconds(2));
   EXPECT_EQ(it.Create("/a"), Status::kConflict);
   it.Advance(seconds(3));
   EXPECT_EQ(it.Create("/a"), Status::kWritten);
