--- a/src/request/claim_record.cc
+++ b/src/request/claim_record.cc
@@ -15,17 +15,17 @@
 using base::Outcome;
 using nlohmann::json;
 
-constexpr char kClaimRoot[] = "/lynxglade/claims/";
-// Seed of the key hash's second half.
-constexpr std::uint64_t kSecondSeed = 0x6c796e78;
+constexpr char kClaimKeyPrefix[] = "/lynxglade/claims/";
+// Seed of the second half of the 128-bit key hash.
+constexpr std::uint64_t kSecondHashSeed = 0x6c796e78;
 
-std::string TextOf(const json& object, const char* name) {
+std::string StringMember(const json& object, const char* name) {
   const auto it = object.find(name);
   return it != object.end() && it->is_string() ? it->get<std::string>()
                                                : std::string();
 }
 
-std::int64_t NumberOf(const json& object, const char* name) {
+std::int64_t IntegerMember(const json& object, const char* name) {
   const auto it = object.find(name);
   return it != object.end() && it->is_number_integer() ? it->get<std::int64_t>()
                                                        : 0;
@@ -38,7 +38,7 @@
               {"completion", answer.usage.completion.value()},
               {"cached", answer.usage.cached.value()}};
   if (answer.plain) {
-    // A plain service's body may be any bytes.
+    // The body may hold arbitrary bytes.
     out["plain"] = {{"status", answer.plain->status},
                     {"content_type", answer.plain->content_type},
                     {"body", connection::Base64Encode(answer.plain->body)}};
@@ -48,22 +48,22 @@
 
 std::optional<Answer> DecodeAnswer(const json& in) {
   Answer answer;
-  answer.text = TextOf(in, "text");
-  answer.finish_reason = TextOf(in, "finish_reason");
-  answer.usage.prompt = base::Tokens(NumberOf(in, "prompt"));
-  answer.usage.completion = base::Tokens(NumberOf(in, "completion"));
-  answer.usage.cached = base::Tokens(NumberOf(in, "cached"));
+  answer.text = StringMember(in, "text");
+  answer.finish_reason = StringMember(in, "finish_reason");
+  answer.usage.prompt = base::Tokens(IntegerMember(in, "prompt"));
+  answer.usage.completion = base::Tokens(IntegerMember(in, "completion"));
+  answer.usage.cached = base::Tokens(IntegerMember(in, "cached"));
   const auto plain = in.find("plain");
   if (plain == in.end()) {
     return answer;
   }
-  auto body = connection::Base64Decode(TextOf(*plain, "body"));
+  auto body = connection::Base64Decode(StringMember(*plain, "body"));
   if (!body) {
     return std::nullopt;
   }
   answer.plain =
-      PlainAnswer{.status = static_cast<int>(NumberOf(*plain, "status")),
-                  .content_type = TextOf(*plain, "content_type"),
+      PlainAnswer{.status = static_cast<int>(IntegerMember(*plain, "status")),
+                  .content_type = StringMember(*plain, "content_type"),
                   .body = std::move(*body)};
   return answer;
 }
@@ -87,17 +87,17 @@
 
 std::optional<ClaimRecord> DecodeClaimRecord(std::string_view text) {
   const std::optional<json> in = base::ParseBoundedJson(text);
-  if (!in || !in->is_object() || TextOf(*in, "mark").empty()) {
+  if (!in || !in->is_object() || StringMember(*in, "mark").empty()) {
     return std::nullopt;
   }
   ClaimRecord record;
-  record.write_id = TextOf(*in, "mark");
-  record.instance = base::InstanceId(TextOf(*in, "instance"));
-  record.request = base::RequestId(TextOf(*in, "request"));
+  record.write_id = StringMember(*in, "mark");
+  record.instance = base::InstanceId(StringMember(*in, "instance"));
+  record.request = base::RequestId(StringMember(*in, "request"));
   record.content_hash =
-      std::strtoull(TextOf(*in, "content").c_str(), nullptr, 16);
+      std::strtoull(StringMember(*in, "content").c_str(), nullptr, 16);
   record.done = in->value("done", json(false)) == json(true);
-  record.outcome = TextOf(*in, "outcome") == base::ToString(Outcome::kRan)
+  record.outcome = StringMember(*in, "outcome") == base::ToString(Outcome::kRan)
                        ? Outcome::kRan
                        : Outcome::kUnknown;
   const auto answer = in->find("answer");
@@ -109,9 +109,9 @@
 
 std::string ClaimKey(const base::ContractId& contract,
                      const base::IdempotencyKey& key) {
-  return kClaimRoot + contract.str() + "/" +
+  return kClaimKeyPrefix + contract.str() + "/" +
          base::ToHex(base::Hash64(key.str())) +
-         base::ToHex(base::Hash64(key.str(), kSecondSeed));
+         base::ToHex(base::Hash64(key.str(), kSecondHashSeed));
 }
 
 }  // namespace lynxglade::request
--- a/src/request/claim_record.h
+++ b/src/request/claim_record.h
@@ -1,4 +1,4 @@
-// What a claim says in the key-value service.
+// The encoding of a claim in the key-value service.
 #ifndef LYNXGLADE_REQUEST_CLAIM_RECORD_H_
 #define LYNXGLADE_REQUEST_CLAIM_RECORD_H_
 
@@ -13,24 +13,24 @@
 
 namespace lynxglade::request {
 
-// The value under a claim's key. Its text is unique by its mark, so equal
-// texts are the same write.
+// The value stored under a claim's key. `write_id` makes its text unique, so
+// equal texts come from the same write.
 struct ClaimRecord {
   std::string write_id;
   base::InstanceId instance;
   base::RequestId request;
-  // What is to run; a repeat must ask for the same.
+  // Hash of the content to run. A repeat must have the same.
   std::uint64_t content_hash = 0;
-  // False: claimed, and the owner has not said how it ended.
+  // Whether the owner has recorded the outcome.
   bool done = false;
-  // Once done; never kNotRun, since such a claim is deleted instead.
+  // Valid if done. Never kNotRun, as such a claim is deleted instead.
   base::Outcome outcome = base::Outcome::kUnknown;
-  // Once done, when it was whole and small enough.
+  // Set if done and the answer was complete and small enough.
   std::optional<Answer> answer;
 };
 
 std::string EncodeClaimRecord(const ClaimRecord& record);
-// Nothing when the text is no claim.
+// Returns nullopt if the text is not a claim record.
 std::optional<ClaimRecord> DecodeClaimRecord(std::string_view text);
 
 // "/lynxglade/claims/<contract>/<128-bit hash of the key>".
--- a/src/request/claim_writer.cc
+++ b/src/request/claim_writer.cc
@@ -14,22 +14,22 @@
 using connection::KvError;
 using Kind = ClaimOp::Kind;
 
-// The entry of that key; null when absent.
+// Returns the entry with that key, or null.
 const KvEntry* FindKey(const std::vector<KvEntry>& entries,
                        const std::string& key) {
   const auto it = std::ranges::find(entries, key, &KvEntry::key);
   return it == entries.end() ? nullptr : &*it;
 }
 
-// Whether the key as found lets the operation go on.
+// Whether the stored entry satisfies the operation's guard.
 bool GuardHolds(const ClaimOp& op, const KvEntry* found) {
   const base::Revision revision =
       found == nullptr ? base::Revision(0) : found->mod_revision;
   return revision == op.guard;
 }
 
-// Whether the key as found shows that the operation was done before.
-bool IsDone(const ClaimOp& op, const KvEntry* found) {
+// Whether the stored entry shows that the operation was already applied.
+bool IsApplied(const ClaimOp& op, const KvEntry* found) {
   const bool holds_value = found != nullptr && found->value == op.value;
   return op.kind == Kind::kRelease ? !holds_value : holds_value;
 }
@@ -47,10 +47,10 @@
   ClaimOp op;
   std::promise<ClaimWriteResult> result;
   base::Time not_before{};
-  base::Time give_up{};
-  // A write whose answer was lost: it may have taken effect.
+  base::Time deadline{};
+  // The answer of the write was lost, so it may have taken effect.
   bool maybe_written = false;
-  // Under the writer's mutex.
+  // Guarded by the writer's mutex. `waiting`: a caller waits in Write().
   bool waiting = true;
   bool completed = false;
 };
@@ -71,7 +71,7 @@
 ClaimWriter::~ClaimWriter() {
   {
     const std::lock_guard lock(mutex_);
-    ending_ = true;
+    stopping_ = true;
   }
   wake_.notify_all();
   thread_.join();
@@ -80,7 +80,7 @@
 ClaimWriteResult ClaimWriter::Write(ClaimOp op, base::Duration wait) {
   auto entry = std::make_shared<Entry>();
   entry->op = std::move(op);
-  entry->give_up = clock_() + options_.background_timeout;
+  entry->deadline = clock_() + options_.background_timeout;
   std::future<ClaimWriteResult> result = entry->result.get_future();
   if (!Enqueue(entry)) {
     return {};
@@ -89,7 +89,7 @@
     return result.get();
   }
   return entry->op.kind == Kind::kCreate
-             ? Abandon(entry)
+             ? CancelCreate(entry)
              : ClaimWriteResult{.status = Status::kPending,
                                 .revision = {},
                                 .found = std::nullopt};
@@ -100,8 +100,8 @@
   return queue_.size();
 }
 
-// Nobody waits for a create any more: it must not stay claimed.
-ClaimWriteResult ClaimWriter::Abandon(const EntryPtr& entry) {
+// Called when Write() timed out on a create: the key must not stay claimed.
+ClaimWriteResult ClaimWriter::CancelCreate(const EntryPtr& entry) {
   bool maybe_written = false;
   {
     const std::lock_guard lock(mutex_);
@@ -111,23 +111,24 @@
       queue_.erase(it);
       maybe_written = entry->maybe_written;
     } else {
-      // Completed just now; if it is still under way, Complete() cleans up.
+      // Completed concurrently, or still in flight, in which case Complete()
+      // releases it.
       maybe_written = entry->completed;
     }
   }
   if (maybe_written) {
-    ReleaseLater(entry->op);
+    ReleaseInBackground(entry->op);
   }
   return {};
 }
 
-void ClaimWriter::ReleaseLater(const ClaimOp& create) {
+void ClaimWriter::ReleaseInBackground(const ClaimOp& create) {
   auto entry = std::make_shared<Entry>();
   entry->op = {.kind = Kind::kRelease,
                .key = create.key,
                .value = create.value,
                .guard = base::Revision(0)};
-  entry->give_up = clock_() + options_.background_timeout;
+  entry->deadline = clock_() + options_.background_timeout;
   entry->waiting = false;
   Enqueue(std::move(entry));
 }
@@ -144,7 +145,7 @@
   return true;
 }
 
-// --- The writing thread -----------------------------------------------------
+// --- Writer thread ----------------------------------------------------------
 
 void ClaimWriter::Loop() {
   while (const std::optional<Batch> batch = NextBatch()) {
@@ -156,11 +157,11 @@
   std::unique_lock lock(mutex_);
   while (true) {
     const base::Time now = clock_();
-    if (ending_ && queue_.empty()) {
+    if (stopping_ && queue_.empty()) {
       return std::nullopt;
     }
     const base::Duration wait =
-        ending_ ? base::Duration::zero() : UntilReady(now);
+        stopping_ ? base::Duration::zero() : TimeUntilReady(now);
     if (wait <= base::Duration::zero()) {
       return TakeReady(now);
     }
@@ -168,14 +169,14 @@
   }
 }
 
-// Zero when there is something to do.
-base::Duration ClaimWriter::UntilReady(base::Time now) const {
+// Time until the next call is due; zero or negative if it is due now.
+base::Duration ClaimWriter::TimeUntilReady(base::Time now) const {
   if (queue_.empty()) {
     return options_.max_backoff;
   }
   const auto first = std::ranges::min_element(
       queue_, {}, [](const EntryPtr& entry) { return entry->not_before; });
-  return std::max((*first)->not_before, paused_until_) - now;
+  return std::max((*first)->not_before, next_call_at_) - now;
 }
 
 ClaimWriter::Batch ClaimWriter::TakeReady(base::Time now) {
@@ -184,11 +185,11 @@
   std::size_t bytes = 0;
   std::deque<EntryPtr> rest;
   for (EntryPtr& entry : queue_) {
-    const bool ready = ending_ || entry->not_before <= now;
+    const bool ready = stopping_ || entry->not_before <= now;
     const bool fits = batch.empty() || (batch.size() < options_.max_batch &&
                                         bytes + entry->op.value.size() <=
                                             options_.max_batch_bytes);
-    // A transaction may write a key once only.
+    // A transaction may write each key only once.
     if (ready && fits && keys.insert(entry->op.key).second) {
       bytes += entry->op.value.size();
       batch.push_back(std::move(entry));
@@ -201,24 +202,25 @@
 }
 
 void ClaimWriter::WriteBatch(const Batch& all) {
-  // A release that does not know its revision, and a write whose answer was
-  // lost, look first.
-  Batch unsure;
+  // Releases without a known revision, and writes whose answer was lost, must
+  // first read what is stored.
+  Batch to_read_back;
   Batch batch;
   std::ranges::partition_copy(
-      all, std::back_inserter(unsure), std::back_inserter(batch),
+      all, std::back_inserter(to_read_back), std::back_inserter(batch),
       [](const EntryPtr& entry) {
         return entry->maybe_written || (entry->op.kind == Kind::kRelease &&
                                         entry->op.guard.value() == 0);
       });
-  ReadBack(unsure);
+  ReadBack(to_read_back);
   if (batch.empty()) {
     return;
   }
   KvError error = KvError::kNone;
-  const std::optional<connection::KvLeaseId> lease = Lease(&error);
+  const std::optional<connection::KvLeaseId> lease = CurrentLease(&error);
   if (!lease) {
-    Fail(batch, error == KvError::kAmbiguous ? KvError::kUnreachable : error);
+    HandleError(batch,
+                error == KvError::kAmbiguous ? KvError::kUnreachable : error);
     return;
   }
   std::vector<connection::KvGuard> guards;
@@ -230,15 +232,15 @@
   transactions_.Add();
   const auto txn = key_value_.Commit(guards, writes, &error);
   if (txn) {
-    Settle(batch, *txn);
+    HandleResult(batch, *txn);
   } else {
-    Fail(batch, error);
+    HandleError(batch, error);
   }
 }
 
-// One lease serves all claims of a period, so leases are few and need no
-// keep-alive. A lost answer leaves a lease behind that runs out by itself.
-std::optional<connection::KvLeaseId> ClaimWriter::Lease(KvError* error) {
+// All claims of a period share a lease, so there are few leases and they need
+// no keep-alive. If the answer of a grant is lost, the unused lease expires.
+std::optional<connection::KvLeaseId> ClaimWriter::CurrentLease(KvError* error) {
   const base::Time now = clock_();
   const bool current =
       lease_.value() != 0 && now - lease_granted_ < options_.lease_period;
@@ -254,13 +256,13 @@
   return lease;
 }
 
-void ClaimWriter::Settle(const Batch& batch,
-                         const connection::KvTxnResult& txn) {
-  SetPause(pause_ * 9 / 10);
+void ClaimWriter::HandleResult(const Batch& batch,
+                               const connection::KvTxnResult& txn) {
+  SetBackoff(backoff_ * 9 / 10);
   if (!txn.committed) {
-    // Those that stood in the way get their verdict, the others go again.
+    // Completes the conflicting writes and retries the others.
     std::ranges::for_each(batch, [&](const EntryPtr& entry) {
-      JudgeFound(entry, FindKey(txn.found, entry->op.key));
+      ResolveFromStored(entry, FindKey(txn.found, entry->op.key));
     });
     return;
   }
@@ -271,13 +273,14 @@
   });
 }
 
-void ClaimWriter::Fail(const Batch& batch, KvError error) {
+void ClaimWriter::HandleError(const Batch& batch, KvError error) {
   if (error == KvError::kBadAnswer) {
-    // The lease may be gone, as after the service was set back.
+    // The lease may not exist any more, for instance after the service was
+    // restored from a backup.
     lease_ = {};
   }
   if (error == KvError::kRateLimited) {
-    SetPause(std::max(pause_ * 3 / 2, options_.min_backoff));
+    SetBackoff(std::max(backoff_ * 3 / 2, options_.min_backoff));
   }
   if (error == KvError::kAmbiguous) {
     std::ranges::for_each(
@@ -286,33 +289,34 @@
     return;
   }
   for (const EntryPtr& entry : batch) {
-    const bool worth_waiting =
+    const bool may_retry =
         error == KvError::kRateLimited || entry->op.kind != Kind::kCreate;
-    if (worth_waiting) {
-      // A refused call is paced for all of the queue by SetPause().
+    if (may_retry) {
+      // After a rate-limited call, SetBackoff() delays the whole queue.
       Retry(entry, error == KvError::kRateLimited ? base::Duration::zero()
                                                   : options_.max_backoff);
     } else {
-      GiveUp(entry);
+      FailEntry(entry);
     }
   }
 }
 
-// The time between two calls grows with each refusal and shrinks with each
-// success, so that instances share what the service takes; one that only
-// backed off would starve beside others that do not.
-void ClaimWriter::SetPause(base::Duration pause) {
-  const bool none = pause < options_.min_backoff / 2;
-  pause_ =
-      none ? base::Duration::zero() : std::min(pause, options_.max_backoff);
+// The time between calls grows with each rate-limited call and shrinks with
+// each success, so that the instances converge to a fair share of the service's
+// rate limit. With a backoff for retries only, an instance that backs off would
+// starve while others keep calling.
+void ClaimWriter::SetBackoff(base::Duration backoff) {
+  const bool none = backoff < options_.min_backoff / 2;
+  backoff_ =
+      none ? base::Duration::zero() : std::min(backoff, options_.max_backoff);
   const auto jittered = std::chrono::duration_cast<base::Duration>(
-      pause_ * (0.5 + base::UniformReal(random_)));
+      backoff_ * (0.5 + base::UniformReal(random_)));
   const std::lock_guard lock(mutex_);
-  paused_until_ = clock_() + jittered;
+  next_call_at_ = clock_() + jittered;
 }
 
-// After a lost answer, the service is asked what holds: a transaction that
-// writes nothing and wants every key absent names those that are there.
+// Reads what is stored under the keys of the batch: a transaction that writes
+// nothing and requires every key to be absent returns those that exist.
 void ClaimWriter::ReadBack(const Batch& batch) {
   if (batch.empty()) {
     return;
@@ -328,18 +332,19 @@
   const auto txn = key_value_.Commit(guards, {}, &error);
   for (const EntryPtr& entry : batch) {
     if (txn) {
-      JudgeFound(entry, FindKey(txn->found, entry->op.key));
+      ResolveFromStored(entry, FindKey(txn->found, entry->op.key));
     } else if (entry->op.kind == Kind::kCreate) {
-      GiveUp(entry);
+      FailEntry(entry);
     } else {
       Retry(entry, options_.max_backoff);
     }
   }
 }
 
-void ClaimWriter::JudgeFound(const EntryPtr& entry, const KvEntry* found) {
+void ClaimWriter::ResolveFromStored(const EntryPtr& entry,
+                                    const KvEntry* found) {
   ClaimOp& op = entry->op;
-  if (IsDone(op, found)) {
+  if (IsApplied(op, found)) {
     Complete(entry,
              {.status = Status::kWritten,
               .revision = found ? found->mod_revision : base::Revision(0),
@@ -355,48 +360,49 @@
                      .found = found ? std::optional(*found) : std::nullopt});
     return;
   }
-  // Not done: it is safe to ask again, since the guard lets in one at most.
+  // Not applied. Retrying is safe because the guard admits at most one write.
   entry->maybe_written = false;
   Retry(entry, base::Duration::zero());
 }
 
-void ClaimWriter::Retry(const EntryPtr& entry, base::Duration pause) {
+void ClaimWriter::Retry(const EntryPtr& entry, base::Duration backoff) {
   const base::Time now = clock_();
-  bool over = false;
+  bool must_fail = false;
   {
     const std::lock_guard lock(mutex_);
-    over = ending_ || now >= entry->give_up ||
-           (entry->op.kind == Kind::kCreate && !entry->waiting);
-    if (!over) {
-      entry->not_before = now + pause;
+    must_fail = stopping_ || now >= entry->deadline ||
+                (entry->op.kind == Kind::kCreate && !entry->waiting);
+    if (!must_fail) {
+      entry->not_before = now + backoff;
       queue_.push_front(entry);
     }
   }
-  if (over) {
-    GiveUp(entry);
+  if (must_fail) {
+    FailEntry(entry);
   }
 }
 
-void ClaimWriter::GiveUp(const EntryPtr& entry) {
+void ClaimWriter::FailEntry(const EntryPtr& entry) {
   const bool clean_up = entry->op.kind == Kind::kCreate && entry->maybe_written;
   entry->maybe_written = false;
   Complete(entry, {});
   if (clean_up) {
-    ReleaseLater(entry->op);
+    ReleaseInBackground(entry->op);
   }
 }
 
 void ClaimWriter::Complete(const EntryPtr& entry, ClaimWriteResult result) {
-  bool unwanted = false;
+  bool must_release = false;
   {
     const std::lock_guard lock(mutex_);
     const bool written = result.status == Status::kWritten;
     entry->completed = written;
-    unwanted = written && entry->op.kind == Kind::kCreate && !entry->waiting;
+    must_release =
+        written && entry->op.kind == Kind::kCreate && !entry->waiting;
   }
   entry->result.set_value(std::move(result));
-  if (unwanted) {
-    ReleaseLater(entry->op);
+  if (must_release) {
+    ReleaseInBackground(entry->op);
   }
 }
 
--- a/src/request/claim_writer.h
+++ b/src/request/claim_writer.h
@@ -1,11 +1,11 @@
-// Writes claims to the key-value service, many in one transaction.
+// Writes claims to the key-value service, batched into transactions.
 //
-// The service takes several hundred calls a second from all instances
-// together, and a transaction counts as one call. One thread has one call
-// under way; what is asked for meanwhile goes into the next one, so batches
-// grow with the load and with the service's slowness. A transaction is all or
-// nothing: the service's answer names the keys that stood in the way, these
-// get their verdict, and the others go again.
+// The service limits the rate of calls from all instances together to a few
+// hundred per second, and a transaction counts as one call. A single thread has
+// one call in flight; writes requested meanwhile go into the next transaction,
+// so batches grow with the load and with the service's latency. If a guard of a
+// transaction fails, nothing is written and the service returns the conflicting
+// keys; their writes are completed as conflicts and the others are retried.
 #ifndef LYNXGLADE_REQUEST_CLAIM_WRITER_H_
 #define LYNXGLADE_REQUEST_CLAIM_WRITER_H_
 
@@ -27,19 +27,19 @@
 
 namespace lynxglade::request {
 
-// One compare-and-swap.
+// A compare-and-swap operation on one key.
 struct ClaimOp {
   enum class Kind {
     // Put `value` if the key is absent.
     kCreate,
-    // Put `value` if the key is still at `guard`.
+    // Put `value` if the key's revision is still `guard`.
     kRecord,
-    // Delete the key if it still holds `value`. Goes on in the background.
+    // Delete the key if it still holds `value`.
     kRelease,
   };
   Kind kind = Kind::kCreate;
   std::string key;
-  // Holds a mark that no other write has.
+  // Contains ClaimRecord::write_id, so that no other claim has the same value.
   std::string value;
   base::Revision guard;
 };
@@ -47,38 +47,39 @@
 struct ClaimWriteResult {
   enum class Status {
     kWritten,
-    // Another write was there first; see `found`.
+    // The key holds another write; see `found`.
     kConflict,
-    // Not known to be written. A create that may have been is deleted again
-    // in the background; its caller must not act on it.
+    // Not known to be written. The caller must act as if it was not: a create
+    // that may have taken effect is deleted in the background.
     kUnavailable,
-    // A record or release that goes on in the background.
+    // A record or release that continues in the background.
     kPending,
   };
   Status status = Status::kUnavailable;
-  // kWritten: the key's revision now.
+  // kWritten: the key's new revision.
   base::Revision revision;
   std::optional<connection::KvEntry> found;
 };
 
 struct ClaimWriterOptions {
-  // The service takes 128 operations a transaction.
+  // The service allows 128 operations per transaction.
   std::size_t max_batch = 64;
-  // The service takes 1.5 MB a call, a third of it lost to base64.
+  // The service allows 1.5 MB per call, and base64 adds a third.
   std::size_t max_batch_bytes = 512u << 10;
   std::size_t max_queue = 8192;
-  // How long records and releases are tried.
+  // How long records and releases are retried.
   base::Duration background_timeout = std::chrono::minutes(10);
   base::Duration min_backoff = std::chrono::milliseconds(5);
   base::Duration max_backoff = std::chrono::milliseconds(250);
-  // Claims are forgotten after between `min_retention` and `min_retention` plus
-  // `lease_period`; one lease serves all claims of a period.
+  // All claims written within a lease period share a lease, so a claim expires
+  // between `min_retention` and `min_retention` + `lease_period` after it was
+  // written.
   base::Duration min_retention = std::chrono::hours(6);
   base::Duration lease_period = std::chrono::hours(1);
 };
 
-// Thread-safe. Owns one thread; the destructor tries what is queued once more
-// and joins it.
+// Thread-safe. Owns a thread. The destructor makes a last attempt to write what
+// is queued and joins the thread.
 class ClaimWriter {
  public:
   // `key_value` and `metrics` must outlive it.
@@ -91,10 +92,10 @@
   ClaimWriter(const ClaimWriter&) = delete;
   ClaimWriter& operator=(const ClaimWriter&) = delete;
 
-  // Asks for the write and waits for its result, at most `wait`.
+  // Queues the write and waits for its result for at most `wait`.
   ClaimWriteResult Write(ClaimOp op, base::Duration wait);
 
-  // Writes that wait for a transaction.
+  // Number of writes that wait for a transaction.
   std::size_t queued() const;
 
  private:
@@ -106,23 +107,24 @@
   void Loop();
   std::optional<Batch> NextBatch();
   Batch TakeReady(base::Time now);
-  base::Duration UntilReady(base::Time now) const;
+  base::Duration TimeUntilReady(base::Time now) const;
 
   void WriteBatch(const Batch& batch);
-  std::optional<connection::KvLeaseId> Lease(connection::KvError* error);
-  void Settle(const Batch& batch, const connection::KvTxnResult& txn);
-  void Fail(const Batch& batch, connection::KvError error);
-  void SetPause(base::Duration pause);
+  std::optional<connection::KvLeaseId> CurrentLease(connection::KvError* error);
+  void HandleResult(const Batch& batch, const connection::KvTxnResult& txn);
+  void HandleError(const Batch& batch, connection::KvError error);
+  void SetBackoff(base::Duration backoff);
   void ReadBack(const Batch& batch);
-  // Completes or repeats a write by what stands under its key.
-  void JudgeFound(const EntryPtr& entry, const connection::KvEntry* found);
+  // Completes or retries a write according to what is stored under its key.
+  void ResolveFromStored(const EntryPtr& entry,
+                         const connection::KvEntry* found);
 
-  void Retry(const EntryPtr& entry, base::Duration pause);
-  void GiveUp(const EntryPtr& entry);
+  void Retry(const EntryPtr& entry, base::Duration backoff);
+  void FailEntry(const EntryPtr& entry);
   void Complete(const EntryPtr& entry, ClaimWriteResult result);
   bool Enqueue(EntryPtr entry);
-  void ReleaseLater(const ClaimOp& create);
-  ClaimWriteResult Abandon(const EntryPtr& entry);
+  void ReleaseInBackground(const ClaimOp& create);
+  ClaimWriteResult CancelCreate(const EntryPtr& entry);
 
   const connection::KeyValue& key_value_;
   const base::Clock clock_;
@@ -131,16 +133,16 @@
   base::Counter& transactions_;
   base::Counter& read_backs_;
 
-  // Used by the writing thread only.
+  // Used only by the writer thread.
   connection::KvLeaseId lease_;
   base::Time lease_granted_{};
-  base::Duration pause_{};
+  base::Duration backoff_{};
 
   mutable std::mutex mutex_;
   std::condition_variable wake_;
-  bool ending_ = false;
+  bool stopping_ = false;
   std::deque<EntryPtr> queue_;
-  base::Time paused_until_{};
+  base::Time next_call_at_{};
   std::thread thread_;
 };
 
--- a/src/request/claims.cc
+++ b/src/request/claims.cc
@@ -13,10 +13,10 @@
 using base::Outcome;
 using Status = ClaimWriteResult::Status;
 
-ClaimVerdict Refused(RefusalReason reason,
-                     Outcome outcome,
-                     std::string message,
-                     std::optional<base::Duration> retry_after) {
+ClaimVerdict RefusedVerdict(RefusalReason reason,
+                            Outcome outcome,
+                            std::string message,
+                            std::optional<base::Duration> retry_after) {
   ClaimVerdict verdict;
   verdict.refusal = Refusal{.reason = reason,
                             .outcome = outcome,
@@ -46,9 +46,9 @@
 
 ClaimVerdict Claims::Begin(const Request& request) {
   if (request.idempotency_key.empty()) {
-    return Refused(RefusalReason::kBadHeader, Outcome::kNotRun,
-                   "a non-idempotent request needs an Idempotency-Key",
-                   std::nullopt);
+    return RefusedVerdict(
+        RefusalReason::kBadHeader, Outcome::kNotRun,
+        "a non-idempotent request requires an Idempotency-Key", std::nullopt);
   }
   ClaimRecord record;
   record.write_id = base::RandomHexId(random_);
@@ -74,44 +74,47 @@
   }
   if (written.status == Status::kConflict && written.found) {
     Count("repeat");
-    return JudgeEarlier(request, *written.found);
+    return VerdictFromExisting(request, *written.found);
   }
-  // Nothing goes to a target under this mark, whatever becomes of the write.
+  // The outcome is not-run even if the write takes effect later: the request is
+  // not sent under this claim.
   Count("unavailable");
-  return Refused(RefusalReason::kClaimUnavailable, Outcome::kNotRun,
-                 "the claim could not be written", options_.retry_after);
+  return RefusedVerdict(RefusalReason::kClaimUnavailable, Outcome::kNotRun,
+                        "the claim could not be written", options_.retry_after);
 }
 
-ClaimVerdict Claims::JudgeEarlier(const Request& request,
-                                  const connection::KvEntry& entry) const {
-  std::optional<ClaimRecord> earlier = DecodeClaimRecord(entry.value);
-  if (!earlier) {
-    return Refused(RefusalReason::kAlreadyClaimed, Outcome::kUnknown,
-                   "the key is claimed, by whom cannot be read", std::nullopt);
+ClaimVerdict Claims::VerdictFromExisting(
+    const Request& request,
+    const connection::KvEntry& entry) const {
+  std::optional<ClaimRecord> existing = DecodeClaimRecord(entry.value);
+  if (!existing) {
+    return RefusedVerdict(
+        RefusalReason::kAlreadyClaimed, Outcome::kUnknown,
+        "the key is claimed, but its record cannot be decoded", std::nullopt);
   }
-  if (earlier->content_hash != request.content_hash) {
-    return Refused(RefusalReason::kAlreadyClaimed, Outcome::kNotRun,
-                   "the Idempotency-Key was used for another request",
-                   std::nullopt);
+  if (existing->content_hash != request.content_hash) {
+    return RefusedVerdict(
+        RefusalReason::kAlreadyClaimed, Outcome::kNotRun,
+        "the Idempotency-Key was used for a different request", std::nullopt);
   }
-  if (!earlier->done) {
-    return Refused(RefusalReason::kAlreadyClaimed, Outcome::kUnknown,
-                   "the request is under way, or its instance was lost",
-                   options_.retry_after);
+  if (!existing->done) {
+    return RefusedVerdict(RefusalReason::kAlreadyClaimed, Outcome::kUnknown,
+                          "the request is in flight, or its instance failed",
+                          options_.retry_after);
   }
-  if (earlier->answer) {
+  if (existing->answer) {
     ClaimVerdict verdict;
-    verdict.recorded = std::move(earlier->answer);
+    verdict.recorded = std::move(existing->answer);
     return verdict;
   }
-  return Refused(RefusalReason::kAlreadyClaimed, earlier->outcome,
-                 "the request was run before; its answer is not kept",
-                 std::nullopt);
+  return RefusedVerdict(
+      RefusalReason::kAlreadyClaimed, existing->outcome,
+      "the request was already run; its answer was not recorded", std::nullopt);
 }
 
 void Claims::Finish(const Claim& claim, Outcome outcome, const Answer* answer) {
   if (outcome == Outcome::kNotRun) {
-    // The refusal's "come back" holds as soon as the key is gone.
+    // Wait for the deletion, so that the caller can retry right away.
     writer_.Write({.kind = ClaimOp::Kind::kRelease,
                    .key = claim.key,
                    .value = claim.record,
--- a/src/request/claims.h
+++ b/src/request/claims.h
@@ -1,11 +1,11 @@
-// The right to run a non-idempotent request, over all instances.
+// Ensures that a non-idempotent request runs at most once over all instances.
 //
-// A claim is a key that is created in the platform's key-value service before
-// the first byte goes to a target, and that nobody can create twice. It is
-// deleted again only by its owner, and only when the request provably did not
-// run. How it ended is recorded, with the answer where that is small, so that
-// a repeat through any instance gets the same answer or is told what is known.
-// Two writes a claimed request, batched with others' (claim_writer.h). See
+// A claim is a key in the platform's key-value service that is created, if
+// absent, before the first byte is sent to a target. Only its owner deletes it,
+// and only if the request provably did not run. Otherwise the owner records the
+// outcome, with the answer if that is small, so that a repeat through any
+// instance gets the same answer or is told the known outcome. A claimed request
+// costs two writes, batched with those of other requests (claim_writer.h). See
 // docs/notes/whole-once.md.
 #ifndef LYNXGLADE_REQUEST_CLAIMS_H_
 #define LYNXGLADE_REQUEST_CLAIMS_H_
@@ -24,17 +24,18 @@
 
 struct ClaimOptions {
   ClaimWriterOptions writer;
-  // Longest wait for a claim; after it the request is refused as not run.
+  // Maximum wait for a claim. After it the request is refused as not run.
   base::Duration begin_timeout = std::chrono::seconds(2);
-  // How long an answer is held back until it is recorded; after it the
-  // recording goes on in the background.
+  // Maximum time for which an answer is held back until it is recorded. After
+  // it, recording continues in the background.
   base::Duration record_timeout = std::chrono::milliseconds(100);
-  // When a repeat of a request that is under way may come back.
+  // retry_after of refusals: while the claimed request is in flight, or if the
+  // claim could not be written.
   base::Duration retry_after = std::chrono::seconds(2);
 };
 
-// Thread-safe. Both methods block on the key-value service for a bounded
-// time; neither holds a lock meanwhile.
+// Thread-safe. Begin and Finish block on the key-value service for a bounded
+// time, without holding a lock.
 class Claims {
  public:
   // `key_value` and `metrics` must outlive it.
@@ -53,8 +54,8 @@
   void Finish(const Claim& claim, base::Outcome outcome, const Answer* answer);
 
  private:
-  ClaimVerdict JudgeEarlier(const Request& request,
-                            const connection::KvEntry& entry) const;
+  ClaimVerdict VerdictFromExisting(const Request& request,
+                                   const connection::KvEntry& entry) const;
   void Count(const char* result);
 
   const base::InstanceId self_;
--- a/tests/request/claims_test.cc
+++ b/tests/request/claims_test.cc
@@ -23,8 +23,8 @@
 
 constexpr base::Duration kKvTimeout = milliseconds(200);
 
-// One instance: its own client, claims and relay over a common service. Its
-// targets are common too: `runs` is their journal.
+// An instance with its own client, claims and relay. The key-value service is
+// shared, and so are the targets: `runs` counts their runs.
 class Instance {
  public:
   Instance(fakes::FakeKv& kv, const std::string& name, std::atomic<int>& runs)
@@ -74,7 +74,7 @@
       return Run(sink);
     };
     hooks.sleep = [](base::Duration, const auto&) { return true; };
-    // The policy would always retry; the relay must know when not to.
+    // Retries are always allowed, so that only the relay prevents a second run.
     hooks.allow_retry = [](const RetryQuery&) {
       RetryVerdict verdict;
       verdict.allowed = true;
@@ -127,7 +127,7 @@
       Restart(i);
     }
   }
-  // Replaces an instance by a new process; what it knew is gone.
+  // Replaces an instance by a new process without its state.
   void Restart(std::size_t i) {
     instances.resize(std::max(instances.size(), i + 1));
     instances[i].reset();
@@ -139,9 +139,9 @@
   int starts_ = 0;
 };
 
-// A caller repeats one request through any instance, while answers of the
-// service are lost, it is away, instances are replaced and targets fail.
-RC_GTEST_PROP(ClaimsProperty, RunsAtMostOnceAndSaysSo, ()) {
+// A caller repeats one request through any instance while calls to the service
+// are lost or fail, instances are replaced and targets fail.
+RC_GTEST_PROP(ClaimsProperty, RunsAtMostOnceAndReportsOutcome, ()) {
   constexpr int kInstances = 3;
   Service service(kInstances);
   const auto steps = *rc::gen::container<std::vector<int>>(
@@ -182,7 +182,7 @@
   }
 }
 
-TEST(ClaimsTest, RepeatElsewhereGetsTheRecordedAnswer) {
+TEST(ClaimsTest, RepeatAtAnotherInstanceGetsTheRecordedAnswer) {
   Service service(2);
   EXPECT_FALSE(service.instances[0]->Serve("k", AttemptEnd::kWhole).replayed);
   const RelayResult repeat =
@@ -192,7 +192,7 @@
   EXPECT_EQ(service.runs, 1);
 }
 
-TEST(ClaimsTest, NotRunFreesTheKeyAndUnknownDoesNot) {
+TEST(ClaimsTest, NotRunReleasesTheKeyAndUnknownDoesNot) {
   Service service(2);
   const auto first =
       service.instances[0]->Serve("k", AttemptEnd::kConnectFailed);
@@ -205,9 +205,9 @@
   EXPECT_EQ(service.runs, 1);
 }
 
-// An owner that vanished between its claim and its end leaves an unknown
-// outcome: it may have sent the request, so nobody takes over.
-TEST(ClaimsTest, ClaimOfAVanishedOwnerIsNotTakenOver) {
+// The owner is lost before it records an outcome. It may have sent the request,
+// so the outcome stays unknown and no other instance runs it.
+TEST(ClaimsTest, ClaimOfALostOwnerIsNotTakenOver) {
   Service service(2);
   Request request;
   request.contract = base::ContractId("c");
@@ -244,9 +244,9 @@
   EXPECT_EQ(verdict.refusal->outcome, Outcome::kNotRun);
 }
 
-// Many callers at once, some with the same key, through a service that takes
-// few calls: each key runs once and is answered.
-TEST(ClaimsTest, CrowdRunsEachKeyOnce) {
+// Many concurrent callers, some with the same key, with a low rate limit on the
+// service.
+TEST(ClaimsTest, ConcurrentCallersRunEachKeyOnce) {
   constexpr int kKeys = 40;
   constexpr int kRepeats = 3;
   Service service(2, {.writes_per_s = 200, .reads_per_s = 0});
@@ -266,7 +266,7 @@
   EXPECT_GE(answered, kKeys);
 }
 
-// A writer and its service on a clock that only the test moves.
+// A writer and its service on a manual clock.
 struct WriterOnATestClock {
   std::atomic<base::Time> now{base::Time(seconds(1000))};
   fakes::FakeKv service{[this] { return now.load(); }};
@@ -288,7 +288,7 @@
   void Advance(base::Duration d) { now = now.load() + d; }
 };
 
-TEST(ClaimWriterTest, ClaimsOfAPeriodShareALeaseAndExpireWithIt) {
+TEST(ClaimWriterTest, ClaimsOfOnePeriodShareALeaseAndExpireWithIt) {
   using Status = ClaimWriteResult::Status;
   const ClaimWriterOptions defaults;
   WriterOnATestClock it;
@@ -298,14 +298,14 @@
   it.Advance(defaults.lease_period);
   EXPECT_EQ(it.Create("/c"), Status::kWritten);
   EXPECT_EQ(it.Leases(), 2);
-  // The first two are kept for as long as promised, and no longer.
+  // The first two are kept for min_retention + lease_period after the grant.
   it.Advance(defaults.min_retention - seconds(2));
   EXPECT_EQ(it.Create("/a"), Status::kConflict);
   it.Advance(seconds(3));
   EXPECT_EQ(it.Create("/a"), Status::kWritten);
 }
 
-// A service that was set back to an older copy has forgotten the lease.
+// A service that is restored from an older copy does not have the lease.
 TEST(ClaimWriterTest, LostLeaseIsReplaced) {
   using Status = ClaimWriteResult::Status;
   WriterOnATestClock it;
@@ -316,9 +316,9 @@
   EXPECT_EQ(it.Create("/c"), Status::kWritten);
 }
 
-// What is asked for while a transaction is under way goes into the next one;
-// a key that is taken already does not fail the others of its batch.
-TEST(ClaimWriterTest, BatchesAndJudgesEachWriteByItself) {
+// Writes requested while a transaction is in flight go into the next one. A
+// conflict on one key does not fail the others of its batch.
+TEST(ClaimWriterTest, BatchesWritesAndCompletesEachSeparately) {
   constexpr int kWrites = 20;
   fakes::FakeKv service(base::BootClock::now);
   const auto inner = fakes::MakeInProcessTransport(service);
@@ -352,7 +352,7 @@
   {
     std::vector<std::jthread> callers;
     callers.emplace_back([&] { count(create("/first", "first")); });
-    // The first is under way once it has left the queue and the gate is shut.
+    // Wait until the first transaction is in flight, blocked by the gate.
     while (metrics.CounterValue("lynxglade_claim_transactions_total") == 0) {
       std::this_thread::yield();
     }
@@ -370,11 +370,11 @@
   }
   EXPECT_EQ(written, kWrites);
   EXPECT_EQ(conflicts, 1);
-  // The first, the batch with the conflict, and the batch without it.
+  // The first, the batch with the conflict, and the retry without it.
   EXPECT_EQ(metrics.CounterValue("lynxglade_claim_transactions_total"), 3u);
 }
 
-RC_GTEST_PROP(ClaimRecordProperty, SurvivesItsText, ()) {
+RC_GTEST_PROP(ClaimRecordProperty, RoundTripsThroughItsEncoding, ()) {
   ClaimRecord record;
   record.write_id = "m";
   record.request = base::RequestId(*rc::gen::string<std::string>());
