--- a/src/connection/target_client.cc
+++ b/src/connection/target_client.cc
@@ -151,9 +151,10 @@
                           details_->options.max_plain_body);
   auto client = details_->pool.Take(order.address, order.port,
                                     order.request->non_idempotent);
-  const base::Duration silence = order.silence > base::Duration::zero()
-                                     ? std::min(order.silence, order.remaining)
-                                     : order.remaining;
+  const base::Duration silence =
+      order.idle_timeout > base::Duration::zero()
+          ? std::min(order.idle_timeout, order.remaining)
+          : order.remaining;
   // A request without a body comes under watch with the answer's head only;
   // until then the silence is bounded here. Otherwise the watch is sooner.
   client->set_read_timeout(body_size == 0 ? silence : silence + kWatchSlack);
--- a/src/connection/target_client_exchange.cc
+++ b/src/connection/target_client_exchange.cc
@@ -283,9 +283,10 @@
     return;
   }
   // Without a body the head was the whole request.
-  const base::Duration limit = order_.silence > base::Duration::zero()
-                                   ? std::min(order_.remaining, order_.silence)
-                                   : order_.remaining;
+  const base::Duration limit =
+      order_.idle_timeout > base::Duration::zero()
+          ? std::min(order_.remaining, order_.idle_timeout)
+          : order_.remaining;
   const bool timed_out = clock_() - started_ >= limit;
   End(timed_out ? AttemptEnd::kTimeout : AttemptEnd::kReset, Outcome::kUnknown);
 }
--- a/src/request/attempt.h
+++ b/src/request/attempt.h
@@ -90,7 +90,7 @@
   // Zero: `remaining`.
   base::Duration start_within{};
   // Longest silence of the target before the attempt counts as timed out.
-  base::Duration silence{};
+  base::Duration idle_timeout{};
   // JSON object handed to the engine as kv_transfer_params; empty: none.
   std::string kv_transfer_params;
 };
--- a/src/request/relay_run.cc
+++ b/src/request/relay_run.cc
@@ -210,8 +210,8 @@
   order.role = target.role;
   order.resume_from = delivery_.offset();
   order.remaining = to_deadline + limits_.late_grace;
-  order.silence = std::max(request_.non_idempotent ? to_deadline : share,
-                           limits_.min_silence);
+  order.idle_timeout = std::max(request_.non_idempotent ? to_deadline : share,
+                                limits_.min_silence);
   if (kind_ == AttemptKind::kDecode) {
     order.kv_transfer_params = kv_transfer_params_;
   }
--- a/tests/connection/target_client_test.cc
+++ b/tests/connection/target_client_test.cc
@@ -94,7 +94,7 @@
     order.role = request_.method.empty() ? request::EngineRole::kMixed
                                          : request::EngineRole::kPlain;
     order.remaining = seconds(20);
-    order.silence = seconds(20);
+    order.idle_timeout = seconds(20);
     return order;
   }
 
@@ -259,7 +259,7 @@
                  Then::kHang};
   });
   request::AttemptOrder order = Order(server.port());
-  order.silence = milliseconds(50);
+  order.idle_timeout = milliseconds(50);
   const AttemptReport report = Run(order);
   EXPECT_EQ(report.end, AttemptEnd::kTimeout);
   EXPECT_EQ(report.outcome, Outcome::kRan);
--- a/tests/request/relay_test.cc
+++ b/tests/request/relay_test.cc
@@ -82,7 +82,7 @@
       case Fault::kResetAfterRun:
         return End(AttemptEnd::kReset, Outcome::kUnknown);
       case Fault::kTimeout:
-        now_ += order.silence;
+        now_ += order.idle_timeout;
         return End(AttemptEnd::kTimeout, Outcome::kUnknown);
       case Fault::kCrossed:
         return End(AttemptEnd::kCrossed, Outcome::kUnknown);
