--- a/src/connection/target_client.cc
+++ b/src/connection/target_client.cc
@@ -153,15 +153,15 @@
                                     order.request->non_idempotent);
   const base::Duration silence =
       order.idle_timeout > base::Duration::zero()
-          ? std::min(order.idle_timeout, order.remaining)
-          : order.remaining;
+          ? std::min(order.idle_timeout, order.timeout)
+          : order.timeout;
   // A request without a body comes under watch with the answer's head only;
   // until then the silence is bounded here. Otherwise the watch is sooner.
   client->set_read_timeout(body_size == 0 ? silence : silence + kWatchSlack);
   client->set_connection_timeout(
-      std::min(order.remaining, details_->options.connect_timeout));
+      std::min(order.timeout, details_->options.connect_timeout));
   const auto watched =
-      details_->watch.Add({.deadline = details_->clock() + order.remaining,
+      details_->watch.Add({.deadline = details_->clock() + order.timeout,
                            .silence = silence,
                            .cancelled = sink.cancelled,
                            .stop = [&client] { client->stop(); }});
--- a/src/connection/target_client.h
+++ b/src/connection/target_client.h
@@ -46,7 +46,7 @@
   TargetClient(const TargetClient&) = delete;
   TargetClient& operator=(const TargetClient&) = delete;
 
-  // Blocks until the attempt ended, at most about order.remaining.
+  // Blocks until the attempt ended, at most about order.timeout.
   request::AttemptReport Run(const request::AttemptOrder& order,
                              const request::TokenSink& sink);
 
--- a/src/connection/target_client_exchange.cc
+++ b/src/connection/target_client_exchange.cc
@@ -179,7 +179,7 @@
     // The process may have been paused since the order was made.
     const base::Duration limit = order_.start_within > base::Duration::zero()
                                      ? order_.start_within
-                                     : order_.remaining;
+                                     : order_.timeout;
     overdue_ = now - started_ >= limit;
     if (overdue_) {
       return false;
@@ -285,8 +285,8 @@
   // Without a body the head was the whole request.
   const base::Duration limit =
       order_.idle_timeout > base::Duration::zero()
-          ? std::min(order_.remaining, order_.idle_timeout)
-          : order_.remaining;
+          ? std::min(order_.timeout, order_.idle_timeout)
+          : order_.timeout;
   const bool timed_out = clock_() - started_ >= limit;
   End(timed_out ? AttemptEnd::kTimeout : AttemptEnd::kReset, Outcome::kUnknown);
 }
--- a/src/request/attempt.h
+++ b/src/request/attempt.h
@@ -84,10 +84,10 @@
   // The first token that is wanted; earlier ones were delivered already.
   base::Tokens resume_from{0};
   // Time for the attempt as a whole, from the call on.
-  base::Duration remaining{};
+  base::Duration timeout{};
   // Time within which the first byte of the body has to leave, from the call
   // on; a process that was paused for longer calls the attempt off as not run.
-  // Zero: `remaining`.
+  // Zero: `timeout`.
   base::Duration start_within{};
   // Longest silence of the target before the attempt counts as timed out.
   base::Duration idle_timeout{};
--- a/src/request/relay_run.cc
+++ b/src/request/relay_run.cc
@@ -209,7 +209,7 @@
   order.port = target.port;
   order.role = target.role;
   order.resume_from = delivery_.offset();
-  order.remaining = to_deadline + limits_.late_grace;
+  order.timeout = to_deadline + limits_.late_grace;
   order.idle_timeout = std::max(request_.non_idempotent ? to_deadline : share,
                                 limits_.min_silence);
   if (kind_ == AttemptKind::kDecode) {
--- a/tests/connection/target_client_test.cc
+++ b/tests/connection/target_client_test.cc
@@ -93,7 +93,7 @@
     order.port = port;
     order.role = request_.method.empty() ? request::EngineRole::kMixed
                                          : request::EngineRole::kPlain;
-    order.remaining = seconds(20);
+    order.timeout = seconds(20);
     order.idle_timeout = seconds(20);
     return order;
   }
