--- a/src/connection/target_client_exchange.cc
+++ b/src/connection/target_client_exchange.cc
@@ -177,8 +177,8 @@
   if (phase_ == Phase::kConnecting) {
     const base::Time now = clock_();
     // The process may have been paused since the order was made.
-    const base::Duration limit = order_.start_within > base::Duration::zero()
-                                     ? order_.start_within
+    const base::Duration limit = order_.start_timeout > base::Duration::zero()
+                                     ? order_.start_timeout
                                      : order_.timeout;
     overdue_ = now - started_ >= limit;
     if (overdue_) {
--- a/src/request/attempt.h
+++ b/src/request/attempt.h
@@ -88,7 +88,7 @@
   // Time within which the first byte of the body has to leave, from the call
   // on; a process that was paused for longer calls the attempt off as not run.
   // Zero: `timeout`.
-  base::Duration start_within{};
+  base::Duration start_timeout{};
   // Longest silence of the target before the attempt counts as timed out.
   base::Duration idle_timeout{};
   // JSON object handed to the engine as kv_transfer_params; empty: none.
--- a/src/request/relay_run.cc
+++ b/src/request/relay_run.cc
@@ -216,7 +216,7 @@
     order.kv_transfer_params = kv_transfer_params_;
   }
   // Past the deadline only an answer that has begun goes on.
-  order.start_within = request_.deadline - hooks_.now();
+  order.start_timeout = request_.deadline - hooks_.now();
   return order;
 }
 
--- a/tests/connection/target_client_test.cc
+++ b/tests/connection/target_client_test.cc
@@ -177,7 +177,7 @@
   ScriptedServer server(
       [](const std::string&) { return Reply{Answered(WholeStream())}; });
   request::AttemptOrder order = Order(server.port());
-  order.start_within = base::Duration(1);
+  order.start_timeout = base::Duration(1);
   const AttemptReport report = Run(order);
   EXPECT_EQ(report.outcome, Outcome::kNotRun);
   EXPECT_TRUE(server.requests().empty());
