--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -152,7 +152,7 @@
   // A target may stay silent for this share of the time that is left (but at
   // least min_silence) before the request moves on. Non-idempotent requests
   // wait for all of it, since they may not move on.
-  double silence_share = 0.5;
+  double idle_timeout_share = 0.5;
   base::Duration min_silence = std::chrono::seconds(2);
   // An answer that has begun by the deadline, and a run that cannot be
   // repeated, may end this much later: late is better than cut off.
--- a/src/request/relay_run.cc
+++ b/src/request/relay_run.cc
@@ -199,7 +199,7 @@
   const base::Time now = hooks_.now();
   const base::Duration to_deadline = request_.deadline - now;
   const auto share = std::chrono::duration_cast<base::Duration>(
-      to_deadline * limits_.silence_share);
+      to_deadline * limits_.idle_timeout_share);
   AttemptOrder order;
   order.request = &request_;
   order.id = base::AttemptId(base::RandomHexId(hooks_.random));
--- a/tests/request/relay_engines_test.cc
+++ b/tests/request/relay_engines_test.cc
@@ -101,7 +101,7 @@
   RelayEnginesTest() : client_(base::BootClock::now, {}) {
     TheFleet().ClearFaults();
     limits_.min_silence = milliseconds(60);
-    limits_.silence_share = 0;
+    limits_.idle_timeout_share = 0;
     request_.id = base::RequestId(base::RandomHexId(base::SystemRandom()));
     request_.arrived = base::BootClock::now();
     request_.deadline = request_.arrived + seconds(30);
