--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -150,10 +150,10 @@
   // Reroutes after a target's own refusal that need no retry permission.
   int max_free_reroutes = 2;
   // A target may stay silent for this share of the time that is left (but at
-  // least min_silence) before the request moves on. Non-idempotent requests
-  // wait for all of it, since they may not move on.
+  // least min_idle_timeout) before the request moves on. Non-idempotent
+  // requests wait for all of it, since they may not move on.
   double idle_timeout_share = 0.5;
-  base::Duration min_silence = std::chrono::seconds(2);
+  base::Duration min_idle_timeout = std::chrono::seconds(2);
   // An answer that has begun by the deadline, and a run that cannot be
   // repeated, may end this much later: late is better than cut off.
   base::Duration late_grace = std::chrono::seconds(30);
--- a/src/request/relay_run.cc
+++ b/src/request/relay_run.cc
@@ -211,7 +211,7 @@
   order.resume_from = delivery_.offset();
   order.timeout = to_deadline + limits_.late_grace;
   order.idle_timeout = std::max(request_.non_idempotent ? to_deadline : share,
-                                limits_.min_silence);
+                                limits_.min_idle_timeout);
   if (kind_ == AttemptKind::kDecode) {
     order.kv_transfer_params = kv_transfer_params_;
   }
--- a/tests/request/relay_engines_test.cc
+++ b/tests/request/relay_engines_test.cc
@@ -100,7 +100,7 @@
  protected:
   RelayEnginesTest() : client_(base::BootClock::now, {}) {
     TheFleet().ClearFaults();
-    limits_.min_silence = milliseconds(60);
+    limits_.min_idle_timeout = milliseconds(60);
     limits_.idle_timeout_share = 0;
     request_.id = base::RequestId(base::RandomHexId(base::SystemRandom()));
     request_.arrived = base::BootClock::now();
