--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -117,9 +117,9 @@
   // request's own bounds count.
   std::function<Cost(const Request&)> estimate_cost;
   // Optional. Blocks until the request may run or is refused; gives up once
-  // `gone` turns true.
+  // `caller_gone` returns true.
   std::function<AdmissionVerdict(const Request&,
-                                 const std::function<bool()>& gone)>
+                                 const std::function<bool()>& caller_gone)>
       admit;
   // Optional. Asked before every attempt.
   std::function<std::optional<Refusal>(const Request&)> check_quarantine;
@@ -163,14 +163,14 @@
 };
 
 // Where the caller's answer goes. Called on the thread of Serve(), except
-// `gone`.
+// `disconnected`.
 struct CallerSink {
   // Streaming callers only; false when the caller has gone. Each token of the
   // answer comes once and in order. A request that cannot be repeated runs on
   // after its caller has gone, so that a repeat gets the recorded answer.
   std::function<bool(const TokenChunk&)> on_token;
   // Whether the caller's connection has closed. May be empty. Thread-safe.
-  std::function<bool()> gone;
+  std::function<bool()> disconnected;
 };
 
 struct RelayResult {
--- a/src/request/relay_delivery.cc
+++ b/src/request/relay_delivery.cc
@@ -45,7 +45,7 @@
 }
 
 bool RelayDelivery::CallerGone() const {
-  return refused_by_caller_ || (sink_.gone && sink_.gone());
+  return refused_by_caller_ || (sink_.disconnected && sink_.disconnected());
 }
 
 bool RelayDelivery::MayRecord(const Answer& answer) const noexcept {
