--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -60,7 +60,7 @@
   int attempts = 1;
   // When the request is given up: its deadline, or later once its answer has
   // begun.
-  base::Time limit{};
+  base::Time deadline{};
 };
 struct RetryVerdict {
   bool allowed = false;
--- a/src/request/relay_run.cc
+++ b/src/request/relay_run.cc
@@ -354,7 +354,7 @@
                                     .failed_target = target.id,
                                     .report = &report,
                                     .attempts = result_.attempts,
-                                    .limit = Limit()});
+                                    .deadline = Limit()});
   if (!verdict.allowed) {
     GiveUp(verdict.reason, DescribeFailure(report), verdict.retry_after);
     return;
