--- a/src/request/attempt.h
+++ b/src/request/attempt.h
@@ -1,7 +1,7 @@
-// One try of a request at one target: what is ordered and what came of it.
+// An attempt to run a request at one target: its order and its report.
 //
-// The relay orders attempts; a connection::TargetClient (or a stand-in in a
-// test) carries them out. Nothing here does I/O.
+// The relay issues the orders; a connection::TargetClient, or a fake in tests,
+// executes them.
 #ifndef LYNXGLADE_REQUEST_ATTEMPT_H_
 #define LYNXGLADE_REQUEST_ATTEMPT_H_
 
@@ -19,11 +19,12 @@
 
 namespace lynxglade::request {
 
-// What a model engine is asked for. Plain services know only kWhole.
+// The part of the request to run. Plain services support only kWhole.
 enum class AttemptKind {
-  // The whole answer (from `resume_from` on).
+  // Prefill and decode, from `resume_from` on.
   kWhole,
-  // Prefill only; the report brings the handle of the exported KV cache.
+  // Prefill only. The report holds the handle of the exported KV cache in
+  // kv_transfer_params.
   kPrefill,
   // Decode from an imported KV cache.
   kDecode,
@@ -31,28 +32,29 @@
 
 // How an attempt ended.
 enum class AttemptEnd {
-  // The answer came whole and is proved so.
+  // The answer is complete, and was verified to be.
   kWhole,
-  // The target refused before it started the work, by its own word.
+  // The target answered that it refuses the request and has not started it.
   kRefused,
-  // No connection, so not one byte of the request left.
+  // No connection was established: nothing was sent.
   kConnectFailed,
-  // The connection broke while the request was being written.
+  // The connection was lost while the request was being sent.
   kSendFailed,
-  // The connection broke after the request left and before an answer began.
+  // The connection was lost after the request was sent and before an answer
+  // started.
   kReset,
-  // The answer began and broke off.
+  // The connection was lost during the answer.
   kTruncated,
-  // The time for the attempt ran out.
+  // A timeout of the attempt expired.
   kTimeout,
-  // The answer belongs to another attempt and was dropped.
+  // The answer belonged to another attempt and was discarded.
   kCrossed,
-  // The caller went away or the process cancelled the attempt.
+  // The caller disconnected, or TokenSink ended the attempt.
   kCancelledByCaller,
-  // The target answered something that is no answer and no refusal.
+  // The response was neither a valid answer nor a refusal.
   kBadAnswer,
 };
-// lower_snake_case, as logs and counters see it.
+// The name in logs and metrics, in lower_snake_case.
 std::string_view ToString(AttemptEnd end) noexcept;
 
 // Why a target refused, from its error code.
@@ -62,18 +64,18 @@
   kOverloaded,
   kChanging,
   kNotLoaded,
-  // The request itself is at fault; every other target would say the same.
+  // The request is invalid: every target would refuse it.
   kBadRequest,
-  // This instance held the request back before anything was sent.
+  // This instance refused the attempt before anything was sent.
   kHeldBack,
   kOther,
 };
 std::string_view ToString(TargetRefusal refusal) noexcept;
 TargetRefusal ParseTargetRefusal(std::string_view code) noexcept;
 
-// Order for one attempt. Lives as long as the call that runs it.
+// The parameters of an attempt. Valid until the call that runs it returns.
 struct AttemptOrder {
-  // Never null; outlives the attempt.
+  // Not null. Outlives the attempt.
   const Request* request = nullptr;
   base::AttemptId id;
   AttemptKind kind = AttemptKind::kWhole;
@@ -81,28 +83,28 @@
   std::string address;
   int port = 0;
   EngineRole role = EngineRole::kMixed;
-  // The first token that is wanted; earlier ones were delivered already.
+  // Index of the first token to deliver. Earlier ones were already delivered.
   base::Tokens resume_from{0};
-  // Time for the attempt as a whole, from the call on.
+  // Timeout of the whole attempt, from the start of the call.
   base::Duration timeout{};
-  // Time within which the first byte of the body has to leave, from the call
-  // on; a process that was paused for longer calls the attempt off as not run.
-  // Zero: `timeout`.
+  // Timeout for sending the first byte of the body, from the start of the call.
+  // If it is exceeded, for instance because the process was paused, the attempt
+  // ends as not run. Zero: `timeout`.
   base::Duration start_timeout{};
-  // Longest silence of the target before the attempt counts as timed out.
+  // Longest time without data from the target before the attempt times out.
   base::Duration idle_timeout{};
-  // JSON object handed to the engine as kv_transfer_params; empty: none.
+  // JSON object to send to the engine as kv_transfer_params; empty: none.
   std::string kv_transfer_params;
 };
 
-// What the target counted.
+// Token counts reported by the target.
 struct Usage {
   base::Tokens prompt{0};
   base::Tokens completion{0};
   base::Tokens cached{0};
 };
 
-// A plain service's answer, whole.
+// The complete answer of a plain service.
 struct PlainAnswer {
   int status = 0;
   std::string content_type;
@@ -113,16 +115,16 @@
   base::Outcome outcome = base::Outcome::kUnknown;
   AttemptEnd end = AttemptEnd::kBadAnswer;
 
-  // kRefused only: the target's reason and when to come back.
+  // kRefused only.
   TargetRefusal refusal = TargetRefusal::kNone;
-  // Our own words on what went wrong.
+  // Description of the failure by this process.
   std::string message;
-  // The target's own words, which may repeat the request: for its caller only,
-  // never for logs.
+  // Error message of the target. It may quote the request, so it is only for
+  // the caller and must not be logged.
   std::string target_message;
   std::optional<base::Duration> retry_after;
 
-  // Tokens handed to the sink by this attempt.
+  // Number of tokens that this attempt passed to the sink.
   base::Tokens tokens{0};
   // kWhole only.
   std::string finish_reason;
@@ -131,17 +133,18 @@
   // JSON object from a prefill engine; empty: none.
   std::string kv_transfer_params;
 
-  // The X-Engine-Load header as it came; empty: none.
+  // The received X-Engine-Load header; empty: none.
   std::string load_json;
-  // From the call to the first token; unset when none came.
+  // Time from the start of the call to the first token; unset if there was
+  // none.
   std::optional<base::Duration> first_token;
 };
 
-// Whether not one byte of the attempt left this process, so that the next one
-// is no more load for the targets than the first.
+// Whether the attempt sent nothing, so that a retry adds no load on the
+// targets.
 bool NothingWasSent(const AttemptReport& report) noexcept;
 
-// A run of tokens. `text` is valid during the call only.
+// A sequence of tokens. `text` is valid only during the call.
 struct TokenChunk {
   std::string_view text;
   // Index of the first token in the whole answer.
@@ -149,22 +152,22 @@
   base::Tokens count{0};
 };
 
-// Where an attempt's tokens go. Called on the thread that runs the attempt,
+// Receives an attempt's tokens. Called on the thread that runs the attempt,
 // except `cancelled`.
 struct TokenSink {
-  // False ends the attempt: the caller has gone or the chunk does not fit.
+  // Returns false to end the attempt, because the caller disconnected or the
+  // chunk is out of sequence.
   std::function<bool(const TokenChunk&)> on_token;
-  // Polled from another thread while the target is silent; true ends the
-  // attempt. May be empty. Must be thread-safe.
+  // Polled from another thread. Returns true to end the attempt. May be empty.
+  // Must be thread-safe.
   std::function<bool()> cancelled;
 };
 
-// Runs one attempt; blocks until it ended. Thread-safe. Never throws.
+// Runs an attempt and blocks until it ends. Thread-safe. Never throws.
 using RunAttempt =
     std::function<AttemptReport(const AttemptOrder&, const TokenSink&)>;
 
-// Tells a target to stop an attempt that is no longer wanted. Best effort; must
-// not wait for the target.
+// Asks a target to stop an attempt. Best effort; must not wait for the target.
 using CancelAttempt = std::function<void(const AttemptOrder&)>;
 
 }  // namespace lynxglade::request
--- a/src/request/relay.cc
+++ b/src/request/relay.cc
@@ -10,7 +10,7 @@
     : hooks_(std::move(hooks)), limits_(limits) {}
 
 RelayResult Relay::Serve(const Request& request, const CallerSink& sink) const {
-  return RelayRun(hooks_, limits_, request, sink).Go();
+  return RelayRun(hooks_, limits_, request, sink).Run();
 }
 
 }  // namespace lynxglade::request
--- a/src/request/relay_delivery.cc
+++ b/src/request/relay_delivery.cc
@@ -16,36 +16,36 @@
 RelayDelivery::Verdict RelayDelivery::Accept(const TokenChunk& chunk) {
   const base::Tokens end = chunk.offset + chunk.count;
   if (chunk.count.value() > 0 && end <= offset_) {
-    return Verdict::kTaken;
+    return Verdict::kAccepted;
   }
   if (chunk.offset != offset_ || chunk.count.value() < 0) {
-    return Verdict::kMisfit;
+    return Verdict::kOutOfSequence;
   }
   if (!first_token_ && chunk.count.value() > 0) {
     first_token_ = now_() - request_.arrived;
   }
-  Gather(chunk.text);
+  AppendText(chunk.text);
   if (!Stream(chunk) && !request_.non_idempotent) {
-    return Verdict::kCallerGone;
+    return Verdict::kCallerDisconnected;
   }
   offset_ = end;
-  return Verdict::kTaken;
+  return Verdict::kAccepted;
 }
 
 bool RelayDelivery::Stream(const TokenChunk& chunk) {
   if (!request_.stream || !sink_.on_token) {
     return true;
   }
-  if (refused_by_caller_ || !sink_.on_token(chunk)) {
-    refused_by_caller_ = true;
+  if (rejected_by_caller_ || !sink_.on_token(chunk)) {
+    rejected_by_caller_ = true;
     return false;
   }
   streamed_ += chunk.count;
   return true;
 }
 
-bool RelayDelivery::CallerGone() const {
-  return refused_by_caller_ || (sink_.disconnected && sink_.disconnected());
+bool RelayDelivery::CallerDisconnected() const {
+  return rejected_by_caller_ || (sink_.disconnected && sink_.disconnected());
 }
 
 bool RelayDelivery::MayRecord(const Answer& answer) const noexcept {
@@ -58,7 +58,7 @@
   return std::exchange(text_, {});
 }
 
-void RelayDelivery::Gather(std::string_view text) {
+void RelayDelivery::AppendText(std::string_view text) {
   if (!request_.stream) {
     text_ += text;
     return;
--- a/src/request/relay_delivery.h
+++ b/src/request/relay_delivery.h
@@ -1,5 +1,5 @@
-// Hands an answer's tokens to the caller, each once and in order, whatever
-// attempts they come from.
+// Delivers the tokens of an answer to the caller, each once and in order, even
+// if they come from several attempts.
 #ifndef LYNXGLADE_REQUEST_RELAY_DELIVERY_H_
 #define LYNXGLADE_REQUEST_RELAY_DELIVERY_H_
 
@@ -16,20 +16,19 @@
 
 namespace lynxglade::request {
 
-// The caller's side of one request. Used by the thread that serves it, except
-// CallerGone(), which is thread-safe as far as the caller's hook is.
+// The delivery of one request's answer. Not thread-safe, except
+// CallerDisconnected() if CallerSink::disconnected is.
 class RelayDelivery {
  public:
-  // What Accept() made of a chunk.
+  // Result of Accept().
   enum class Verdict {
-    kTaken,
-    // The chunk leaves a gap or cuts a chunk that was delivered: it is not
-    // part of this answer.
-    kMisfit,
-    kCallerGone,
+    kAccepted,
+    // The chunk leaves a gap or partially overlaps what was delivered.
+    kOutOfSequence,
+    kCallerDisconnected,
   };
 
-  // All outlive this object.
+  // The references must outlive this object.
   RelayDelivery(const Request& request,
                 const CallerSink& sink,
                 const base::Clock& now,
@@ -37,31 +36,32 @@
   RelayDelivery(const RelayDelivery&) = delete;
   RelayDelivery& operator=(const RelayDelivery&) = delete;
 
-  // Passes on a chunk, or drops it when all of it was delivered before. A
-  // request that cannot be repeated is never ended by its caller's leaving.
+  // Delivers a chunk, or drops it if all of it was delivered before. Returns
+  // kCallerDisconnected for idempotent requests only; others run to their end.
   Verdict Accept(const TokenChunk& chunk);
 
-  // True once the caller refused a chunk or its connection closed.
-  bool CallerGone() const;
+  // Whether the caller rejected a chunk or its connection closed.
+  bool CallerDisconnected() const;
 
-  // Tokens of the answer so far: where a resumed stream goes on.
+  // Number of tokens accepted: the offset from which an answer is resumed.
   base::Tokens offset() const noexcept { return offset_; }
-  // Tokens passed to the caller's on_token.
+  // Number of tokens passed to the caller's on_token.
   base::Tokens streamed() const noexcept { return streamed_; }
   // From the request's arrival to its first token.
   std::optional<base::Duration> first_token() const noexcept {
     return first_token_;
   }
-  // The text gathered; empty when it is streamed and not to be recorded.
+  // Returns the text of the answer; empty if it was streamed and will not be
+  // recorded.
   std::string TakeText() noexcept;
-  // Whether the answer (with its text taken) is complete and small enough to
+  // Whether `answer`, which holds the text from TakeText(), is small enough to
   // be recorded with a claim.
   bool MayRecord(const Answer& answer) const noexcept;
 
  private:
-  // False when the caller has gone.
+  // Returns false if the caller disconnected.
   bool Stream(const TokenChunk& chunk);
-  void Gather(std::string_view text);
+  void AppendText(std::string_view text);
 
   const Request& request_;
   const CallerSink& sink_;
@@ -73,8 +73,8 @@
   base::Tokens offset_{0};
   base::Tokens streamed_{0};
   std::optional<base::Duration> first_token_;
-  // Read by the thread that watches attempts.
-  std::atomic<bool> refused_by_caller_{false};
+  // Also read by the thread that polls TokenSink::cancelled.
+  std::atomic<bool> rejected_by_caller_{false};
 };
 
 }  // namespace lynxglade::request
--- a/src/request/relay_run.cc
+++ b/src/request/relay_run.cc
@@ -12,9 +12,9 @@
 
 using base::Outcome;
 
-// What of the request's cost falls on a target that does only a part.
-Cost PartOf(const Cost& whole, AttemptKind kind) noexcept {
-  Cost part = whole;
+// The part of the request's cost that an attempt of that kind causes.
+Cost CostOfPart(const Cost& total, AttemptKind kind) noexcept {
+  Cost part = total;
   if (kind == AttemptKind::kDecode) {
     part.prefill = base::Tokens(0);
   } else if (kind == AttemptKind::kPrefill) {
@@ -23,18 +23,19 @@
   return part;
 }
 
-// Whether an attempt with that end may go on upstream, so that a cancel helps.
+// Whether the target may still run an attempt with that end, so that it should
+// be cancelled.
 bool MayStillRun(AttemptEnd end) noexcept {
   return end == AttemptEnd::kTimeout || end == AttemptEnd::kCrossed ||
          end == AttemptEnd::kCancelledByCaller || end == AttemptEnd::kBadAnswer;
 }
 
-// Whether the target may have died of the request.
-bool LooksLikeCrash(AttemptEnd end) noexcept {
+// Whether the target may have crashed.
+bool MayBeCrash(AttemptEnd end) noexcept {
   return end == AttemptEnd::kReset || end == AttemptEnd::kTruncated;
 }
 
-// Refusals that only say that our view of the target was old.
+// Whether the refusal only shows that the target's state here was stale.
 bool IsStaleView(TargetRefusal refusal) noexcept {
   return refusal == TargetRefusal::kDraining ||
          refusal == TargetRefusal::kChanging ||
@@ -75,10 +76,10 @@
       request_(request),
       delivery_(request, sink, hooks.now, limits.max_recorded_bytes) {}
 
-RelayResult RelayRun::Go() {
-  if (Enter()) {
+RelayResult RelayRun::Run() {
+  if (Start()) {
     while (!done_) {
-      Step();
+      RunStep();
     }
     FinishClaim();
   }
@@ -90,12 +91,13 @@
   return std::move(result_);
 }
 
-bool RelayRun::Enter() {
+bool RelayRun::Start() {
   if (StopBeforeAttempt()) {
     return false;
   }
   if (hooks_.admit) {
-    admission_ = hooks_.admit(request_, [this] { return Cancelled(); });
+    admission_ =
+        hooks_.admit(request_, [this] { return CallerDisconnected(); });
     if (admission_.refusal) {
       result_.refusal = admission_.refusal;
       return false;
@@ -104,7 +106,8 @@
   if (request_.non_idempotent) {
     return BeginClaim();
   }
-  // A split runs the request at two engines, which a claim does not cover.
+  // Non-idempotent requests are not split: a split runs at two engines, which
+  // a claim does not cover.
   if (hooks_.wants_split && hooks_.wants_split(request_)) {
     kind_ = AttemptKind::kPrefill;
   }
@@ -113,7 +116,7 @@
 
 bool RelayRun::BeginClaim() {
   if (!hooks_.claim_begin || !hooks_.claim_finish) {
-    GiveUp(RefusalReason::kClaimUnavailable, "no claim store is configured");
+    Refuse(RefusalReason::kClaimUnavailable, "no claim store is configured");
     return false;
   }
   ClaimVerdict verdict = hooks_.claim_begin(request_);
@@ -129,19 +132,19 @@
   result_.refusal = verdict.refusal.value_or(
       Refusal{.reason = RefusalReason::kClaimUnavailable,
               .outcome = Outcome::kUnknown,
-              .message = "the claim store gave no verdict",
+              .message = "the claim store returned no verdict",
               .retry_after = std::nullopt});
   return false;
 }
 
 void RelayRun::FinishClaim() {
   if (claim_) {
-    const bool record = whole_ && delivery_.MayRecord(result_.answer);
+    const bool record = answer_complete_ && delivery_.MayRecord(result_.answer);
     hooks_.claim_finish(*claim_, outcome_, record ? &result_.answer : nullptr);
   }
 }
 
-void RelayRun::Step() {
+void RelayRun::RunStep() {
   if (StopBeforeAttempt()) {
     return;
   }
@@ -150,18 +153,18 @@
     return;
   }
   const AttemptOrder order = MakeOrder(*target);
-  AttemptReport report = RunOne(*target, order);
-  TellPeers(*target, order, report);
-  Judge(*target, std::move(report));
+  AttemptReport report = RunAttemptAt(*target, order);
+  NotifyHooks(*target, order, report);
+  HandleReport(*target, std::move(report));
 }
 
 bool RelayRun::StopBeforeAttempt() {
-  if (delivery_.CallerGone()) {
-    GiveUp(RefusalReason::kCallerGone, "the caller has gone");
+  if (delivery_.CallerDisconnected()) {
+    Refuse(RefusalReason::kCallerGone, "the caller disconnected");
     return true;
   }
-  if (Overdue()) {
-    GiveUp(RefusalReason::kDeadlinePassed, "the deadline has passed");
+  if (IsOverdue()) {
+    Refuse(RefusalReason::kDeadlinePassed, "the deadline has passed");
     return true;
   }
   if (!hooks_.check_quarantine) {
@@ -171,7 +174,7 @@
   if (!refusal) {
     return false;
   }
-  GiveUp(refusal->reason, std::move(refusal->message), refusal->retry_after);
+  Refuse(refusal->reason, std::move(refusal->message), refusal->retry_after);
   return true;
 }
 
@@ -180,7 +183,7 @@
                                           .kind = kind_,
                                           .avoid = avoid_,
                                           .version = version_});
-  // Another version would tell a different story from the offset on.
+  // Another model version would continue the answer inconsistently.
   const bool fits =
       pick.target && (!version_ || pick.target->version == *version_);
   if (fits) {
@@ -190,8 +193,8 @@
     kind_ = AttemptKind::kWhole;
     return std::nullopt;
   }
-  GiveUp(pick.target ? RefusalReason::kNoTarget : pick.reason,
-         "no target can take the request", pick.retry_after);
+  Refuse(pick.target ? RefusalReason::kNoTarget : pick.reason,
+         "no target is available for the request", pick.retry_after);
   return std::nullopt;
 }
 
@@ -215,52 +218,54 @@
   if (kind_ == AttemptKind::kDecode) {
     order.kv_transfer_params = kv_transfer_params_;
   }
-  // Past the deadline only an answer that has begun goes on.
+  // Past the deadline only an answer that has started may continue.
   order.start_timeout = request_.deadline - hooks_.now();
   return order;
 }
 
-AttemptReport RelayRun::RunOne(const Target& target,
-                               const AttemptOrder& order) {
+AttemptReport RelayRun::RunAttemptAt(const Target& target,
+                                     const AttemptOrder& order) {
   ++result_.attempts;
   result_.last_target = target.id;
-  misfit_ = false;
-  InFlight in_flight(target, PartOf(EstimateCost(), order.kind), hooks_.now());
+  out_of_sequence_ = false;
+  InFlight in_flight(target, CostOfPart(EstimateCost(), order.kind),
+                     hooks_.now());
   if (hooks_.on_attempt_start) {
     hooks_.on_attempt_start(target, order);
   }
   TokenSink sink;
-  // What cannot be run again is run to its end, caller or not: the answer is
-  // recorded for the caller's next try.
+  // A non-idempotent request runs to its end even if its caller disconnects:
+  // the answer is recorded for a repeat by the caller.
   sink.cancelled = [this] {
-    return Overdue() || (!request_.non_idempotent && delivery_.CallerGone());
+    return IsOverdue() ||
+           (!request_.non_idempotent && delivery_.CallerDisconnected());
   };
   sink.on_token = [&](const TokenChunk& chunk) {
     in_flight.PrefillDone();
-    // A prefill engine's one token is produced again by the decode engine.
+    // The decode engine generates the prefill engine's token again.
     if (order.kind == AttemptKind::kPrefill) {
       return true;
     }
-    begun_ = true;
+    answer_started_ = true;
     const RelayDelivery::Verdict verdict = delivery_.Accept(chunk);
-    misfit_ = verdict == RelayDelivery::Verdict::kMisfit;
-    return verdict == RelayDelivery::Verdict::kTaken;
+    out_of_sequence_ = verdict == RelayDelivery::Verdict::kOutOfSequence;
+    return verdict == RelayDelivery::Verdict::kAccepted;
   };
-  return Check(order, hooks_.run(order, sink));
+  return VerifyReport(order, hooks_.run(order, sink));
 }
 
-AttemptReport RelayRun::Check(const AttemptOrder& order,
-                              AttemptReport report) const {
-  if (misfit_) {
+AttemptReport RelayRun::VerifyReport(const AttemptOrder& order,
+                                     AttemptReport report) const {
+  if (out_of_sequence_) {
     report.end = AttemptEnd::kBadAnswer;
     report.message = "tokens out of sequence";
     return report;
   }
-  const bool overdue =
-      report.end == AttemptEnd::kCancelledByCaller && !delivery_.CallerGone();
+  const bool overdue = report.end == AttemptEnd::kCancelledByCaller &&
+                       !delivery_.CallerDisconnected();
   if (overdue) {
     report.end = AttemptEnd::kTimeout;
-    report.message = "no answer began by the deadline";
+    report.message = "the attempt exceeded the deadline";
     return report;
   }
   const bool counts_tokens = report.end == AttemptEnd::kWhole &&
@@ -268,14 +273,14 @@
                              !report.plain;
   if (counts_tokens && delivery_.offset() != report.usage.completion) {
     report.end = AttemptEnd::kBadAnswer;
-    report.message = "token count differs from usage";
+    report.message = "number of tokens differs from the reported usage";
   }
   return report;
 }
 
-void RelayRun::TellPeers(const Target& target,
-                         const AttemptOrder& order,
-                         const AttemptReport& report) {
+void RelayRun::NotifyHooks(const Target& target,
+                           const AttemptOrder& order,
+                           const AttemptReport& report) {
   if (hooks_.on_attempt_end) {
     hooks_.on_attempt_end(target, order, report);
   }
@@ -283,7 +288,7 @@
       report.outcome != Outcome::kNotRun) {
     hooks_.cancel(order);
   }
-  if (hooks_.on_crash_evidence && LooksLikeCrash(report.end)) {
+  if (hooks_.on_crash_evidence && MayBeCrash(report.end)) {
     hooks_.on_crash_evidence(request_, target.id);
   }
   if (hooks_.on_clean_delivery && report.end == AttemptEnd::kWhole) {
@@ -291,7 +296,7 @@
   }
 }
 
-void RelayRun::Judge(const Target& target, AttemptReport report) {
+void RelayRun::HandleReport(const Target& target, AttemptReport report) {
   outcome_ = MergeOutcomes(outcome_, report.outcome);
   if (delivery_.offset().value() > 0 && !version_) {
     version_ = target.version;
@@ -301,24 +306,24 @@
     return;
   }
   if (report.end == AttemptEnd::kCancelledByCaller) {
-    GiveUp(RefusalReason::kCallerGone, "the caller has gone");
+    Refuse(RefusalReason::kCallerGone, "the caller disconnected");
     return;
   }
   if (report.refusal == TargetRefusal::kBadRequest) {
-    GiveUp(RefusalReason::kTargetRejected,
+    Refuse(RefusalReason::kTargetRejected,
            report.message.empty() ? "the target rejected the request"
                                   : std::move(report.message));
     result_.refusal->target_message = std::move(report.target_message);
     return;
   }
   if (request_.non_idempotent && report.outcome != Outcome::kNotRun) {
-    GiveUp(RefusalReason::kOutcomeUnknown, DescribeFailure(report));
+    Refuse(RefusalReason::kOutcomeUnknown, DescribeFailure(report));
     return;
   }
   avoid_.push_back(target.id);
-  // Whatever part of a split failed, the next try is a whole run.
+  // If a part of a split failed, the next attempt runs the whole request.
   kind_ = AttemptKind::kWhole;
-  RetryOrGiveUp(target, report);
+  RetryOrRefuse(target, report);
 }
 
 void RelayRun::Complete(AttemptReport report) {
@@ -332,21 +337,21 @@
   result_.answer.finish_reason = std::move(report.finish_reason);
   result_.answer.usage = report.usage;
   result_.answer.plain = std::move(report.plain);
-  whole_ = true;
+  answer_complete_ = true;
   done_ = true;
-  if (request_.non_idempotent && delivery_.CallerGone()) {
-    GiveUp(RefusalReason::kCallerGone, "the caller has gone");
+  if (request_.non_idempotent && delivery_.CallerDisconnected()) {
+    Refuse(RefusalReason::kCallerGone, "the caller disconnected");
   }
 }
 
-void RelayRun::RetryOrGiveUp(const Target& target,
+void RelayRun::RetryOrRefuse(const Target& target,
                              const AttemptReport& report) {
   if (result_.attempts >= limits_.max_attempts) {
-    GiveUp(RefusalReason::kAttemptsExhausted, DescribeFailure(report),
+    Refuse(RefusalReason::kAttemptsExhausted, DescribeFailure(report),
            report.retry_after);
     return;
   }
-  if (FreeReroute(report)) {
+  if (TryFreeReroute(report)) {
     return;
   }
   const RetryVerdict verdict =
@@ -354,22 +359,22 @@
                                     .failed_target = target.id,
                                     .report = &report,
                                     .attempts = result_.attempts,
-                                    .deadline = Limit()});
+                                    .deadline = EffectiveDeadline()});
   if (!verdict.allowed) {
-    GiveUp(verdict.reason, DescribeFailure(report), verdict.retry_after);
+    Refuse(verdict.reason, DescribeFailure(report), verdict.retry_after);
     return;
   }
-  // A wait that ends after the deadline would only delay the refusal.
-  if (hooks_.now() + verdict.backoff >= Limit()) {
-    GiveUp(RefusalReason::kDeadlinePassed, DescribeFailure(report));
+  // Refuse now if the backoff would end after the deadline.
+  if (hooks_.now() + verdict.backoff >= EffectiveDeadline()) {
+    Refuse(RefusalReason::kDeadlinePassed, DescribeFailure(report));
     return;
   }
   if (verdict.backoff > base::Duration::zero()) {
-    hooks_.sleep(verdict.backoff, [this] { return Cancelled(); });
+    hooks_.sleep(verdict.backoff, [this] { return CallerDisconnected(); });
   }
 }
 
-bool RelayRun::FreeReroute(const AttemptReport& report) {
+bool RelayRun::TryFreeReroute(const AttemptReport& report) {
   const bool free = report.end == AttemptEnd::kRefused &&
                     IsStaleView(report.refusal) &&
                     free_reroutes_ < limits_.max_free_reroutes;
@@ -379,7 +384,7 @@
   return free;
 }
 
-void RelayRun::GiveUp(RefusalReason reason,
+void RelayRun::Refuse(RefusalReason reason,
                       std::string message,
                       std::optional<base::Duration> retry_after) {
   result_.refusal = Refusal{.reason = reason,
@@ -395,16 +400,17 @@
                                      .decode = request_.max_output_tokens};
 }
 
-bool RelayRun::Overdue() const {
-  return hooks_.now() >= Limit();
+bool RelayRun::IsOverdue() const {
+  return hooks_.now() >= EffectiveDeadline();
 }
 
-base::Time RelayRun::Limit() const {
-  return begun_ ? request_.deadline + limits_.late_grace : request_.deadline;
+base::Time RelayRun::EffectiveDeadline() const {
+  return answer_started_ ? request_.deadline + limits_.late_grace
+                         : request_.deadline;
 }
 
-bool RelayRun::Cancelled() const {
-  return delivery_.CallerGone();
+bool RelayRun::CallerDisconnected() const {
+  return delivery_.CallerDisconnected();
 }
 
 }  // namespace lynxglade::request
--- a/src/request/relay_run.h
+++ b/src/request/relay_run.h
@@ -19,11 +19,11 @@
 
 namespace lynxglade::request {
 
-// What is known after two attempts: the more certain that work was done, the
-// stronger.
+// The combined outcome of two attempts: kRan takes precedence over kUnknown,
+// and kUnknown over kNotRun.
 base::Outcome MergeOutcomes(base::Outcome a, base::Outcome b) noexcept;
 
-// One request, from admission to its end. Used once, on one thread.
+// Processes one request. Used once, on one thread.
 class RelayRun {
  public:
   // All outlive this object.
@@ -34,40 +34,42 @@
   RelayRun(const RelayRun&) = delete;
   RelayRun& operator=(const RelayRun&) = delete;
 
-  RelayResult Go();
+  RelayResult Run();
 
  private:
-  // Before the first attempt; false when the request ended there.
-  bool Enter();
+  // Admission and claim, before the first attempt. Returns false if the request
+  // ended there.
+  bool Start();
   bool BeginClaim();
   void FinishClaim();
 
-  // One turn of the loop: pick, attempt, judge.
-  void Step();
+  // One iteration: picks a target, runs an attempt and handles its report.
+  void RunStep();
   bool StopBeforeAttempt();
   std::optional<Target> Pick();
   AttemptOrder MakeOrder(const Target& target) const;
-  AttemptReport RunOne(const Target& target, const AttemptOrder& order);
-  // Corrects a report by what the delivery saw.
-  AttemptReport Check(const AttemptOrder& order, AttemptReport report) const;
-  void TellPeers(const Target& target,
-                 const AttemptOrder& order,
-                 const AttemptReport& report);
+  AttemptReport RunAttemptAt(const Target& target, const AttemptOrder& order);
+  // Corrects a report where it contradicts the delivered tokens.
+  AttemptReport VerifyReport(const AttemptOrder& order,
+                             AttemptReport report) const;
+  void NotifyHooks(const Target& target,
+                   const AttemptOrder& order,
+                   const AttemptReport& report);
 
-  void Judge(const Target& target, AttemptReport report);
+  void HandleReport(const Target& target, AttemptReport report);
   void Complete(AttemptReport report);
-  void RetryOrGiveUp(const Target& target, const AttemptReport& report);
-  bool FreeReroute(const AttemptReport& report);
-  void GiveUp(RefusalReason reason,
+  void RetryOrRefuse(const Target& target, const AttemptReport& report);
+  bool TryFreeReroute(const AttemptReport& report);
+  void Refuse(RefusalReason reason,
               std::string message,
               std::optional<base::Duration> retry_after = std::nullopt);
   Cost EstimateCost() const;
-  bool Cancelled() const;
-  // Whether the time for the answer to begin or, once begun, to end is over.
-  // Thread-safe.
-  bool Overdue() const;
-  // When the request is given up, as things stand.
-  base::Time Limit() const;
+  bool CallerDisconnected() const;
+  // Whether EffectiveDeadline() has passed. Thread-safe.
+  bool IsOverdue() const;
+  // When the request fails as too late: the deadline, plus late_grace once its
+  // answer has started.
+  base::Time EffectiveDeadline() const;
 
   const RelayHooks& hooks_;
   const RelayLimits& limits_;
@@ -76,10 +78,11 @@
 
   RelayResult result_;
   bool done_ = false;
-  bool misfit_ = false;
-  // A token of the answer has come; read by the thread that watches attempts.
-  std::atomic<bool> begun_{false};
-  bool whole_ = false;
+  bool out_of_sequence_ = false;
+  // Whether a token of the answer has arrived. Also read by the thread that
+  // polls TokenSink::cancelled.
+  std::atomic<bool> answer_started_{false};
+  bool answer_complete_ = false;
   AdmissionVerdict admission_;
   std::optional<Claim> claim_;
   base::Outcome outcome_ = base::Outcome::kNotRun;
--- a/src/request/request.cc
+++ b/src/request/request.cc
@@ -9,7 +9,7 @@
   int http_status;
 };
 
-// One place for what a reason looks like outside.
+// Name and HTTP status of a reason.
 ReasonRow Describe(RefusalReason reason) noexcept {
   switch (reason) {
     case RefusalReason::kMalformedBody:
--- a/src/request/request.h
+++ b/src/request/request.h
@@ -1,4 +1,4 @@
-// A caller's request, parsed and checked, and why one is refused.
+// A validated request of a caller, and the reasons for refusing one.
 #ifndef LYNXGLADE_REQUEST_REQUEST_H_
 #define LYNXGLADE_REQUEST_REQUEST_H_
 
@@ -14,7 +14,7 @@
 
 namespace lynxglade::request {
 
-// Every reason for which a caller gets an error; each has a counter
+// Why a caller gets an error instead of an answer. Counted by
 // lynxglade_refusals_total{reason=...}.
 enum class RefusalReason {
   kMalformedBody,
@@ -45,27 +45,27 @@
   kNotReady,
 };
 
-// The reason's name as callers, logs and counters see it: lower_snake_case.
+// The name for callers, logs and metrics, in lower_snake_case.
 std::string_view ToString(RefusalReason reason) noexcept;
 // HTTP status for the reason.
 int HttpStatus(RefusalReason reason) noexcept;
 
-// What a caller is told instead of an answer.
+// The error that a caller gets instead of an answer.
 struct Refusal {
   RefusalReason reason = RefusalReason::kNoTarget;
   base::Outcome outcome = base::Outcome::kUnknown;
   std::string message;
-  // When to come back, where that helps.
+  // When to retry, if a retry may succeed.
   std::optional<base::Duration> retry_after;
-  // The target's own words, which may repeat the request: for its caller only,
-  // never for logs.
+  // Error message of the target. It may quote the request, so it is only for
+  // the caller and must not be logged.
   std::string target_message = {};
 };
 
 // 0 is the most urgent.
 using Priority = base::StrongNumber<struct PriorityTag, int>;
 
-// A request that passed the checks of the caller front. Immutable afterwards.
+// A request that passed the checks of the caller front. Immutable from then on.
 struct Request {
   base::RequestId id;
   base::ContractId contract;
@@ -79,17 +79,17 @@
   bool non_idempotent = false;
   base::IdempotencyKey idempotency_key;
 
-  // Estimated before the run, for cost and routing.
+  // Estimates from before the run, for cost and routing.
   base::Tokens prompt_tokens{0};
   base::Tokens max_output_tokens{0};
 
-  // Hash of what the target would run: model and messages, without ids.
+  // Hash of what the target would run: model and messages, excluding ids.
   std::uint64_t content_hash = 0;
-  // Hash of the leading part of the prompt, for cache affinity; 0 when none.
+  // Hash of the leading part of the prompt, for prefix cache affinity; 0: none.
   std::uint64_t prefix_hash = 0;
 
-  // The JSON body for engines (without the per-attempt fields), or the raw
-  // body for plain services.
+  // JSON body for engines, without the per-attempt members, or the raw body for
+  // plain services.
   std::string body;
   // Plain services only.
   std::string method;
--- a/src/request/retry_budget.h
+++ b/src/request/retry_budget.h
@@ -1,7 +1,7 @@
 // Limits retries and hedges, and chooses the backoff before them.
 //
 // A further attempt takes a token from each of three buckets: those of the
-// process, the contract and the next target. Each first attempt adds `ratio`
+// process, the contract and a target. Each first attempt adds `ratio`
 // tokens to them, and a slow refill lets contracts with little traffic retry.
 // Even if every attempt fails, the number of attempts is bounded by (1 + ratio)
 // times the number of requests, plus the initial tokens and the refill.
@@ -61,8 +61,8 @@
                       const base::TargetId& target,
                       base::Time now);
 
-  // Takes the tokens for one more attempt at `target`. If it returns false,
-  // nothing was taken and `*denial` says which bucket lacks tokens.
+  // Takes the tokens for one more attempt, charged to `target`. If it returns
+  // false, nothing was taken and `*denial` says which bucket lacks tokens.
   bool TryTake(ExtraAttempt kind,
                const base::ContractId& contract,
                const base::TargetId& target,
