--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -123,7 +123,7 @@
   // Optional. Called before every attempt.
   std::function<std::optional<Refusal>(const Request&)> check_quarantine;
   // Optional. The connection to the target was lost during an attempt.
-  std::function<void(const Request&, const base::TargetId&)> on_crash_evidence;
+  std::function<void(const Request&, const base::TargetId&)> on_connection_lost;
   // Optional. The target delivered a complete answer.
   std::function<void(const Request&, const base::TargetId&)> on_clean_delivery;
   // Optional. Called before and after every attempt.
--- a/src/request/relay_run.cc
+++ b/src/request/relay_run.cc
@@ -288,8 +288,8 @@
       report.outcome != Outcome::kNotRun) {
     hooks_.cancel(order);
   }
-  if (hooks_.on_crash_evidence && MayBeCrash(report.end)) {
-    hooks_.on_crash_evidence(request_, target.id);
+  if (hooks_.on_connection_lost && MayBeCrash(report.end)) {
+    hooks_.on_connection_lost(request_, target.id);
   }
   if (hooks_.on_clean_delivery && report.end == AttemptEnd::kWhole) {
     hooks_.on_clean_delivery(request_, target.id);
