--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -125,7 +125,7 @@
   // Optional. The connection to the target was lost during an attempt.
   std::function<void(const Request&, const base::TargetId&)> on_connection_lost;
   // Optional. The target delivered a complete answer.
-  std::function<void(const Request&, const base::TargetId&)> on_clean_delivery;
+  std::function<void(const Request&, const base::TargetId&)> on_delivered;
   // Optional. Called before and after every attempt.
   std::function<void(const Target&, const AttemptOrder&)> on_attempt_start;
   std::function<void(const Target&, const AttemptOrder&, const AttemptReport&)>
--- a/src/request/relay_run.cc
+++ b/src/request/relay_run.cc
@@ -291,8 +291,8 @@
   if (hooks_.on_connection_lost && MayBeCrash(report.end)) {
     hooks_.on_connection_lost(request_, target.id);
   }
-  if (hooks_.on_clean_delivery && report.end == AttemptEnd::kWhole) {
-    hooks_.on_clean_delivery(request_, target.id);
+  if (hooks_.on_delivered && report.end == AttemptEnd::kWhole) {
+    hooks_.on_delivered(request_, target.id);
   }
 }
 
