--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -29,7 +29,8 @@
 struct PickQuery {
   const Request* request = nullptr;
   AttemptKind kind = AttemptKind::kWhole;
-  // Targets at which an attempt of this request failed.
+  // Targets at which an attempt of this request failed. To be picked only if
+  // there is no other.
   std::vector<base::TargetId> avoid;
   // Set once tokens were delivered: only this version may continue the answer.
   std::optional<base::ModelVersion> version;
--- a/tests/request/relay_engines_test.cc
+++ b/tests/request/relay_engines_test.cc
@@ -1,5 +1,5 @@
-// The relay and the target client against stand-in engines over real sockets,
-// judged by the engines' own journals.
+// Tests the relay and the target client against fake engines over real sockets.
+// The results are checked against the engines' journals.
 #include <algorithm>
 #include <chrono>
 #include <memory>
@@ -29,7 +29,7 @@
 constexpr int kTokens = 8;
 constexpr char kPrompt[] = "nest these parts";
 
-// Three engines that answer at once, each with its faults.
+// Three fast engines, each with its own faults.
 class Fleet {
  public:
   Fleet() : blocks_(base::BootClock::now, seconds(30)) {
@@ -66,18 +66,19 @@
     return target;
   }
 
-  // Attempts of the request that engines took, and those that did work.
-  struct Taken {
-    int taken = 0;
+  // Number of the request's attempts that engines accepted, and of those that
+  // ran.
+  struct AttemptCounts {
+    int accepted = 0;
     int ran = 0;
   };
-  Taken Journal(const base::RequestId& id) const {
-    Taken sum;
+  AttemptCounts Journal(const base::RequestId& id) const {
+    AttemptCounts sum;
     for (const auto& engine : engines_) {
       const json journal = engine->JournalJson();
       for (const json& run : journal["runs"]) {
         if (run["request_id"] == id.str()) {
-          ++sum.taken;
+          ++sum.accepted;
           sum.ran += run["ran"] == true ? 1 : 0;
         }
       }
@@ -90,7 +91,7 @@
   std::vector<std::unique_ptr<fakes::EngineHost>> engines_;
 };
 
-// Shared by all tests: each request has an id of its own in the journals.
+// Shared by all tests, as each request has a unique id in the journals.
 Fleet& TheFleet() {
   static Fleet fleet;
   return fleet;
@@ -176,34 +177,32 @@
   return faults;
 }
 
-// Any fault at any of the engines: what is delivered is whole and said once,
-// "not run" is true by the engines' own journals, and a request that may not
-// be repeated is taken by one engine at most.
-RC_GTEST_FIXTURE_PROP(RelayEnginesTest,
-                      JournalsAgreeWithWhatCallersAreTold,
-                      ()) {
+// With any faults at the engines, a delivered answer is complete, an outcome of
+// not-run agrees with the engines' journals, and a non-idempotent request is
+// accepted by at most one engine.
+RC_GTEST_FIXTURE_PROP(RelayEnginesTest, ResultsAgreeWithEngineJournals, ()) {
   for (std::size_t i = 0; i < kEngines; ++i) {
     const auto n = *rc::gen::inRange<std::size_t>(0, Faults().size());
     TheFleet().engine(i).ApplyFaults(Faults()[n]);
   }
   request_.non_idempotent = *rc::gen::arbitrary<bool>();
   if (request_.non_idempotent) {
-    // It waits for a silent engine until its deadline.
+    // The relay waits for an unresponsive engine until the deadline.
     request_.deadline = request_.arrived + milliseconds(300);
   }
 
   const RelayResult result = Serve();
 
-  const Fleet::Taken taken = TheFleet().Journal(request_.id);
-  RC_LOG() << "attempts " << result.attempts << " taken " << taken.taken;
+  const Fleet::AttemptCounts counts = TheFleet().Journal(request_.id);
+  RC_LOG() << "attempts " << result.attempts << " accepted " << counts.accepted;
   if (!result.refusal) {
     RC_ASSERT(text_ == WholeText());
-    RC_ASSERT(taken.ran >= 1);
+    RC_ASSERT(counts.ran >= 1);
   } else if (result.refusal->outcome == Outcome::kNotRun) {
-    RC_ASSERT(taken.taken == 0);
+    RC_ASSERT(counts.accepted == 0);
   }
   if (request_.non_idempotent) {
-    RC_ASSERT(taken.taken <= 1);
+    RC_ASSERT(counts.accepted <= 1);
   }
 }
 
--- a/tests/request/relay_test.cc
+++ b/tests/request/relay_test.cc
@@ -21,7 +21,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// What one fake attempt does, in the order in which a real one can fail.
+// How a fake attempt fails, in the order of the stages of an attempt.
 enum class Fault {
   kNone,
   kConnectFailed,
@@ -53,7 +53,8 @@
   return text;
 }
 
-// Targets that follow a script of faults and keep a journal of what they ran.
+// Targets that follow a script of faults, one per attempt, and record what they
+// ran.
 class FakeFleet {
  public:
   explicit FakeFleet(std::vector<Fault> script) : script_(std::move(script)) {}
@@ -67,9 +68,9 @@
       case Fault::kConnectFailed:
         return End(AttemptEnd::kConnectFailed, Outcome::kNotRun);
       case Fault::kDraining:
-        return Refuse(TargetRefusal::kDraining);
+        return MakeRefusal(TargetRefusal::kDraining);
       case Fault::kOverloaded:
-        return Refuse(TargetRefusal::kOverloaded);
+        return MakeRefusal(TargetRefusal::kOverloaded);
       case Fault::kHalfSent:
         return End(AttemptEnd::kSendFailed, Outcome::kUnknown);
       case Fault::kResetBeforeRun:
@@ -106,7 +107,7 @@
     return report;
   }
 
-  static AttemptReport Refuse(TargetRefusal refusal) {
+  static AttemptReport MakeRefusal(TargetRefusal refusal) {
     AttemptReport report = End(AttemptEnd::kRefused, Outcome::kNotRun);
     report.refusal = refusal;
     return report;
@@ -122,8 +123,8 @@
     } else if (fault == Fault::kGap) {
       first = from + 1;
     }
-    const bool cut = fault == Fault::kTruncated || fault == Fault::kShort;
-    const int last = cut ? (from + kAnswerTokens) / 2 : kAnswerTokens;
+    const bool truncated = fault == Fault::kTruncated || fault == Fault::kShort;
+    const int last = truncated ? (from + kAnswerTokens) / 2 : kAnswerTokens;
     for (int n = first; n < last; ++n) {
       const std::string text = TokenText(n);
       if (!sink.on_token(TokenChunk{.text = text,
@@ -149,17 +150,17 @@
   std::vector<base::TargetId> attempts_;
 };
 
-// A caller that checks the order of its tokens and may go away.
+// A caller that checks the order of its tokens and may disconnect.
 struct FakeCaller {
   std::string text;
   std::int64_t next = 0;
   bool in_sequence = true;
-  std::int64_t leaves_after = 1000;
+  std::int64_t disconnects_after = 1000;
 
   CallerSink Sink() {
     CallerSink sink;
     sink.on_token = [this](const TokenChunk& chunk) {
-      if (next >= leaves_after) {
+      if (next >= disconnects_after) {
         return false;
       }
       in_sequence = in_sequence && chunk.offset.value() == next;
@@ -214,12 +215,12 @@
       rc::gen::inRange(0, kFaults), [](int n) { return Fault{n}; }));
 }
 
-// Whatever goes wrong in between, a delivered answer is whole, a caller's
-// tokens come once and in order, and "not run" is true.
-RC_GTEST_PROP(RelayProperty, WholeOnceOrTruthfullyRefused, ()) {
+// Under any sequence of faults, a delivered answer is complete, the caller gets
+// each token once and in order, and an outcome of not-run is correct.
+RC_GTEST_PROP(RelayProperty, AnswerIsCompleteOrCorrectlyRefused, ()) {
   FakeFleet fleet(*Scripts());
   FakeCaller caller;
-  caller.leaves_after = *rc::gen::element<std::int64_t>(1000, 1000, 0, 3);
+  caller.disconnects_after = *rc::gen::element<std::int64_t>(1000, 1000, 0, 3);
   Request request = MakeRequest(fleet);
   request.stream = *rc::gen::arbitrary<bool>();
   const Relay relay(HooksFor(fleet), RelayLimits{});
@@ -252,8 +253,8 @@
   EXPECT_NE(fleet.attempts()[0], fleet.attempts()[1]);
 }
 
-// An engine that resumes a little earlier than asked repeats tokens; they are
-// dropped and cost no further attempt.
+// An engine that resumes before the requested offset repeats tokens. They are
+// dropped and do not fail the attempt.
 TEST(RelayTest, RepeatedTokensAreDropped) {
   FakeFleet fleet({Fault::kTruncated, Fault::kOverlap});
   FakeCaller caller;
@@ -266,12 +267,12 @@
   EXPECT_EQ(result.attempts, 2);
 }
 
-// A request that cannot be repeated runs on without its caller, and its answer
-// is handed to the claim.
-TEST(RelayTest, NonIdempotentRunsOnWithoutItsCaller) {
+// A non-idempotent request runs to its end after its caller disconnected, and
+// its answer is recorded with the claim.
+TEST(RelayTest, NonIdempotentContinuesAfterCallerDisconnects) {
   FakeFleet fleet({});
   FakeCaller caller;
-  caller.leaves_after = 2;
+  caller.disconnects_after = 2;
   std::string recorded;
   RelayHooks hooks = HooksFor(fleet);
   hooks.claim_begin = [](const Request&) {
@@ -295,9 +296,9 @@
   EXPECT_EQ(fleet.cancels(), 0);
 }
 
-// Prefill and decode go to separate engines; when the decode engine fails, the
-// request runs whole elsewhere.
-TEST(RelayTest, SplitHandsOverTheCacheAndFallsBackToAWholeRun) {
+// Prefill and decode run at separate engines. If decode fails, the whole
+// request runs at one engine.
+TEST(RelayTest, SplitTransfersKvCacheAndFallsBackToWholeRun) {
   for (const bool decode_fails : {false, true}) {
     FakeFleet fleet({});
     FakeCaller caller;
@@ -362,7 +363,7 @@
   EXPECT_EQ(fleet.attempts().size(), 1u);
 }
 
-TEST(RelayTest, StaleViewsRerouteWithoutPermissionOnlyTwice) {
+TEST(RelayTest, ReroutesAfterStaleTargetStateWithoutRetryBudgetOnlyTwice) {
   FakeFleet fleet(
       {Fault::kDraining, Fault::kDraining, Fault::kDraining, Fault::kDraining});
   FakeCaller caller;
@@ -378,8 +379,8 @@
   EXPECT_EQ(result.attempts, 3);
 }
 
-// Runs `before` tokens, lets the deadline pass, and goes on to four tokens
-// unless it is told to stop.
+// Delivers `before` tokens, lets the deadline pass, and continues up to four
+// tokens unless it is cancelled.
 RunAttempt RunPastTheDeadline(base::Time* now, int before) {
   return [now, before](const AttemptOrder& order, const TokenSink& sink) {
     AttemptReport report;
@@ -400,7 +401,7 @@
   };
 }
 
-TEST(RelayTest, AnswerThatBeganInTimeIsFinishedLateAndNotCutOff) {
+TEST(RelayTest, AnswerStartedBeforeTheDeadlineIsFinishedLate) {
   FakeFleet fleet({});
   FakeCaller caller;
   RelayHooks hooks = HooksFor(fleet);
@@ -414,7 +415,7 @@
   EXPECT_EQ(result.delivered, base::Tokens(4));
 }
 
-TEST(RelayTest, AnswerThatHasNotBegunByTheDeadlineIsGivenUp) {
+TEST(RelayTest, AnswerNotStartedByTheDeadlineIsRefused) {
   FakeFleet fleet({});
   FakeCaller caller;
   RelayHooks hooks = HooksFor(fleet);
@@ -429,8 +430,7 @@
   EXPECT_EQ(result.delivered, base::Tokens(0));
 }
 
-// A backoff past the deadline is not waited for.
-TEST(RelayTest, GivesUpAtOnceWhenTheBackoffOutlastsTheDeadline) {
+TEST(RelayTest, RefusesAtOnceWhenBackoffExceedsTheDeadline) {
   FakeFleet fleet({Fault::kConnectFailed});
   FakeCaller caller;
   RelayHooks hooks = HooksFor(fleet);
