--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -191,7 +191,7 @@
   base::TargetId last_target;
 };
 
-// Thread-safe and lock-free. Maintains Target::local_load of the targets that
+// Thread-safe; holds no lock. Maintains Target::local_load of the targets that
 // it uses.
 class Relay {
  public:
--- a/src/request/router.h
+++ b/src/request/router.h
@@ -63,7 +63,7 @@
 enum class RouteReason {
   kSampled,       // the smaller backlog of two sampled targets
   kPrefix,        // recently ran this prefix
-  kPrefixHome,    // rendezvous hash of a prefix not in the prefix table
+  kPrefixHome,    // rendezvous hash: no usable target is known to have it
   kOtherZone,     // the local zone has no usable target or too long a wait
   kRoleFallback,  // roles incomplete: the whole request on any engine
   kAllEjected,    // only ejected targets are left
@@ -127,7 +127,7 @@
   std::size_t prefix_entries = 65536;
 };
 
-// Thread-safe and lock-free. Use one per process, so that all requests share
+// Thread-safe; takes no lock. Use one per process, so that all requests share
 // the prefix table.
 class Router {
  public:
