--- a/src/process/serving_plane.cc
+++ b/src/process/serving_plane.cc
@@ -47,16 +47,16 @@
   return false;
 }
 
-request::RoleWanted RoleOf(request::AttemptKind kind) noexcept {
+request::RequestedRole RoleOf(request::AttemptKind kind) noexcept {
   switch (kind) {
     case request::AttemptKind::kPrefill:
-      return request::RoleWanted::kPrefill;
+      return request::RequestedRole::kPrefill;
     case request::AttemptKind::kDecode:
-      return request::RoleWanted::kDecode;
+      return request::RequestedRole::kDecode;
     case request::AttemptKind::kWhole:
       break;
   }
-  return request::RoleWanted::kAny;
+  return request::RequestedRole::kAny;
 }
 
 // Whether the end counts as a failure of the target for outlier ejection.
@@ -188,7 +188,7 @@
 std::optional<request::RouteChoice> ServingPlane::Route(
     const request::TargetIndex& index,
     const request::PickQuery& query,
-    request::RoleWanted role,
+    request::RequestedRole role,
     request::RouteError* error) {
   const Request& request = *query.request;
   request::RouteQuery route;
@@ -247,7 +247,8 @@
   const request::PickQuery query{
       &request, request::AttemptKind::kWhole, {}, std::nullopt};
   request::RouteError error{};
-  const auto choice = Route(*index, query, request::RoleWanted::kAny, &error);
+  const auto choice =
+      Route(*index, query, request::RequestedRole::kAny, &error);
   return choice && choice->decode != nullptr;
 }
 
--- a/src/process/serving_plane.h
+++ b/src/process/serving_plane.h
@@ -124,7 +124,7 @@
                      const request::AttemptReport& report);
   std::optional<request::RouteChoice> Route(const request::TargetIndex& index,
                                             const request::PickQuery& query,
-                                            request::RoleWanted role,
+                                            request::RequestedRole role,
                                             request::RouteError* error);
   void RecordDemand(const request::Request& request, const request::Cost& cost);
 
--- a/src/request/router.cc
+++ b/src/request/router.cc
@@ -193,8 +193,8 @@
     const auto it = PickFromPool(plain, search);
     return it ? std::optional(single(*it)) : std::nullopt;
   }
-  if (search.query.role != RoleWanted::kAny) {
-    const bool wants_prefill = search.query.role == RoleWanted::kPrefill;
+  if (search.query.role != RequestedRole::kAny) {
+    const bool wants_prefill = search.query.role == RequestedRole::kPrefill;
     const auto it = PickBetter(wants_prefill ? prefill : decode, mixed, search);
     if (it) {
       return single(*it);
@@ -202,7 +202,7 @@
   }
   const auto whole = PickFromPool(mixed, search);
   const bool may_split =
-      options_.split_roles && search.query.role == RoleWanted::kAny;
+      options_.split_roles && search.query.role == RequestedRole::kAny;
   const auto first = may_split ? PickFromPool(prefill, search) : std::nullopt;
   const auto second = first ? PickFromPool(decode, search) : std::nullopt;
   const Cost& cost = search.query.cost;
--- a/src/request/router.h
+++ b/src/request/router.h
@@ -57,7 +57,7 @@
 // Which part of the request the attempt runs. kAny: all of it, at one target or
 // at a pair of a prefill and a decode engine. kPrefill and kDecode: that part,
 // at one target that supports it.
-enum class RoleWanted { kAny, kPrefill, kDecode };
+enum class RequestedRole { kAny, kPrefill, kDecode };
 
 // Why the target was chosen. ToString gives the metric label.
 enum class RouteReason {
@@ -75,7 +75,7 @@
   base::ServiceName service;
   base::ModelName model;       // empty for plain services
   base::ModelVersion version;  // empty: any
-  RoleWanted role = RoleWanted::kAny;
+  RequestedRole role = RequestedRole::kAny;
   std::uint64_t prefix_hash = 0;  // 0: none
   Cost cost;
   base::ZoneId local_zone;
--- a/tests/request/router_test.cc
+++ b/tests/request/router_test.cc
@@ -110,8 +110,8 @@
   RouteQuery query = Query();
   query.excluded = excluded;
   query.prefix_hash = *rc::gen::inRange<std::uint64_t>(0, 3);
-  query.role = *rc::gen::element(RoleWanted::kAny, RoleWanted::kPrefill,
-                                 RoleWanted::kDecode);
+  query.role = *rc::gen::element(RequestedRole::kAny, RequestedRole::kPrefill,
+                                 RequestedRole::kDecode);
   for (int i = 0; i < 20; ++i) {
     RouteError error{};
     const auto choice = router.Pick(index, query, &error);
