--- a/bench/routing_experiment.cc
+++ b/bench/routing_experiment.cc
@@ -31,13 +31,13 @@
     all.push_back({std::string(ToString(policy)), options});
   }
   RouterOptions options;
-  options.age_reports = false;
+  options.decay_reports = false;
   all.push_back({"without_aging", options});
   options = {};
   options.add_unreported_sends = false;
   all.push_back({"without_own_sends", options});
   options = {};
-  options.age_reports = false;
+  options.decay_reports = false;
   options.add_unreported_sends = false;
   all.push_back({"without_both", options});
   options = {};
--- a/src/request/router.cc
+++ b/src/request/router.cc
@@ -148,7 +148,7 @@
                                base::Time now) const noexcept {
   const Target& target = *it.target;
   double seconds = it.reported_seconds;
-  if (options_.age_reports) {
+  if (options_.decay_reports) {
     const double age = std::max(0.0, Seconds(now - target.load.as_of));
     const double trust = std::exp(-age / Seconds(options_.report_decay));
     seconds = pool.mean_seconds + (seconds - pool.mean_seconds) * trust;
--- a/src/request/router.h
+++ b/src/request/router.h
@@ -98,7 +98,7 @@
 struct RouterOptions {
   RoutePolicy policy = RoutePolicy::kDefault;
   // Switches for the individual mechanisms.
-  bool age_reports = true;
+  bool decay_reports = true;
   bool add_unreported_sends = true;
   bool prefer_local_zone = true;
   bool split_roles = true;
--- a/tests/request/router_test.cc
+++ b/tests/request/router_test.cc
@@ -254,7 +254,7 @@
   TargetTable table;
   table.targets = {MakeTarget("t", "a")};
   RouterOptions options;
-  options.age_reports = false;
+  options.decay_reports = false;
   Router router(options, base::SeededRandom(1));
   const auto estimate = [&](base::Time now) {
     const TargetIndex index = IndexOf(table);
@@ -298,7 +298,7 @@
     EXPECT_LT(adaptive.p95_first_token, round_robin.p95_first_token);
     // Both corrections of the reports contribute.
     options.router = {};
-    options.router.age_reports = false;
+    options.router.decay_reports = false;
     EXPECT_LT(adaptive.p95_first_token, RunFleetModel(options).p95_first_token);
     options.router = {};
     options.router.add_unreported_sends = false;
