--- a/src/request/passthrough/answer_admission.cc
+++ b/src/request/passthrough/answer_admission.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Bounds what is kept where routes come and go.
+// Bounds memory where routes come and go.
 constexpr base::Duration kSizesTtl = std::chrono::minutes(5);
 
 double Slots(const Engine& engine) noexcept {
@@ -38,7 +38,7 @@
   const double limit = MayUseFullCapacity(sizes, large)
                            ? capacity
                            : options_.shared_capacity_fraction * capacity;
-  // A full engine says so itself.
+  // A full engine rejects requests itself.
   const bool admitted =
       capacity >= Slots(engine) || KnownLoad(engine, now) < limit;
   Share& share = large ? sizes.large : sizes.small;
--- a/src/request/passthrough/answer_admission.h
+++ b/src/request/passthrough/answer_admission.h
@@ -1,12 +1,12 @@
-// How many answers an engine generates at a time, so that large ones end within
-// their time limit.
+// Limits the answers that an engine generates at a time, so that long answers
+// finish within their timeout.
 //
-// An engine takes longer for each token the more answers it generates. Where it
-// is filled, the largest answers run into their limit after seconds of work
-// that is then worth nothing. So each engine is given only as many requests as
-// let a large answer of every route end in time, by its own pace. What comes
-// beyond is refused at once and told when to come back, whatever its size: an
-// engine that goes on taking short answers slows down the long ones.
+// An engine takes longer per token the more answers it generates. At full slots
+// the longest answers would run into their timeout and the work would be
+// wasted. Each engine therefore gets only as many requests as let a large
+// answer of every route finish in time at its own pace. Requests beyond are
+// refused at once, whatever their size, as short answers slow down long ones
+// too.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_ANSWER_ADMISSION_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_ANSWER_ADMISSION_H_
 
@@ -22,49 +22,47 @@
 namespace lynxglade::request::passthrough {
 
 struct AnswerAdmissionOptions {
-  // The part of its route's timeout in which a large answer is to end; the rest
-  // is for the requests that come to its engine meanwhile.
+  // Fraction of the route's timeout in which a large answer should finish; the
+  // rest is a margin for requests that arrive at its engine meanwhile.
   double timeout_fraction = 0.9;
-  // Before an engine's pace is known, a token is taken to last for so long, in
-  // milliseconds; and where a large answer would not end in time, an engine has
-  // room for this part of its slots.
+  // Assumptions before an engine's pace is known: milliseconds per token and,
+  // if a large answer would not finish in time at that pace, the fraction of
+  // its slots that an engine may fill.
   double default_ms_per_token = 2;
   double default_capacity_fraction = 0.6;
-  // A large answer is this many standard deviations of the logarithm of its
-  // route's sizes above their mean: one in forty of a normal distribution is
-  // larger.
+  // A large answer is this many standard deviations above the mean of the
+  // logarithms of its route's sizes.
   double large_deviations = 2;
-  // Where there is not room for all, as large a part of the larger answers is
-  // admitted as this times that of the smaller ones.
+  // At limited capacity, the admission rate of larger answers is kept at this
+  // ratio of the rate of smaller ones.
   double large_admission_ratio = 0.6;
-  // An answer is among the larger ones of its route from so many standard
-  // deviations above the mean on: the largest third of a normal distribution.
+  // An answer counts as one of the larger of its route from this many standard
+  // deviations above the mean (the largest third of a normal distribution).
   double larger_deviations = 0.5;
-  // The part of an engine's room that those may take which are ahead of their
-  // share.
+  // Fraction of the capacity that the group ahead of its share may use.
   double shared_capacity_fraction = 0.92;
-  // What a request counts for in the shares after the next one.
+  // Weight of a request in the admission rates after the next one.
   double share_decay = 0.95;
-  // Requests of a route before their sizes are trusted; until then a large
-  // answer is one of the size that callers take at most.
+  // Requests of a route before its size statistics are used; until then the
+  // size of a large answer is the caller's limit.
   double min_requests = 20;
-  // Of the difference to what is believed of a route's sizes, the part that one
-  // more request changes it by.
+  // Part of the difference to the current statistics by which a request changes
+  // them.
   double size_learning_rate = 0.02;
-  // A route without a request for so long limits no engine.
+  // Routes without a request for this long limit no engine.
   base::Duration route_ttl = std::chrono::seconds(10);
 };
 
-// What a request says of its answer.
+// What a request states about its answer.
 struct RequestedAnswer {
-  // Tokens; 0 for what the caller does not say.
+  // In tokens; 0 if not stated.
   std::int64_t expected_tokens = 0;
   std::int64_t max_tokens = 0;
-  // Its route's; the engine stops then.
+  // The route's timeout, after which the engine stops.
   base::Duration timeout{};
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: used on the event loop only.
 class AnswerAdmission {
  public:
   explicit AnswerAdmission(const GenerationTimes& times,
@@ -72,26 +70,25 @@
   AnswerAdmission(const AnswerAdmission&) = delete;
   AnswerAdmission& operator=(const AnswerAdmission&) = delete;
 
-  // Whether the engine may be given a request that came on the route. Each call
-  // counts as a request in the sizes and the shares of the route.
+  // Whether the engine may be given a request of the route. Each call counts as
+  // a request in the route's statistics.
   bool Admit(const Engine& engine,
              const std::string& route,
              const RequestedAnswer& asked,
              base::Time now);
 
-  // Requests that the engine is to have at most for the sake of all routes that
-  // were asked for lately.
+  // Requests that the engine should have at most, for all recently used routes.
   double Capacity(const Engine& engine, base::Time now) const;
 
  private:
-  // Requests of late, and those of them that were admitted.
+  // Recent requests, and how many were admitted.
   struct Share {
     double seen = 0;
     double admitted = 0;
 
     double Rate() const noexcept { return seen > 0 ? admitted / seen : 1; }
   };
-  // The sizes asked for on one route.
+  // Answer sizes requested on one route.
   struct RouteSizes {
     double requests = 0;
     double mean_log = 0;
@@ -107,10 +104,10 @@
                             const std::string& route,
                             const RequestedAnswer& asked,
                             base::Time now);
-  // Among the larger ones of its route.
+  // Whether it is one of the larger answers of its route.
   bool IsLarge(const RouteSizes& sizes,
                const RequestedAnswer& asked) const noexcept;
-  // Whether the larger or the smaller ones may take the last of the room.
+  // Whether the group (larger or smaller answers) may use the whole capacity.
   bool MayUseFullCapacity(const RouteSizes& sizes, bool large) const noexcept;
   std::int64_t LargeTokens(const RouteSizes& sizes) const noexcept;
   double CapacityFor(const Engine& engine, const RouteSizes& sizes) const;
--- a/src/request/passthrough/engine_address.h
+++ b/src/request/passthrough/engine_address.h
@@ -1,4 +1,4 @@
-// Where a target listens.
+// Network address of a target.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_ENGINE_ADDRESS_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_ENGINE_ADDRESS_H_
 
@@ -10,7 +10,7 @@
 
 namespace lynxglade::request::passthrough {
 
-// Nothing if the entry's address is no IP number.
+// Nothing if the entry's IP address is malformed.
 inline std::optional<connection::event::Tcp::endpoint> EndpointOf(
     const Engine& engine) {
   connection::event::ErrorCode ec;
--- a/src/request/passthrough/engine_health.h
+++ b/src/request/passthrough/engine_health.h
@@ -1,8 +1,9 @@
-// What this instance's own requests say of whether a target can be used.
+// Tracks from this instance's own requests whether a target is usable.
 //
-// A target that could not be reached, broke off or rejects what it has room
-// for is avoided for a time, longer with each failure in a row. When the time
-// is over one request tries it, and the others follow if that one is answered.
+// A target that could not be reached, broke a connection or rejects requests
+// although it has capacity is avoided for a while, longer with each consecutive
+// failure. After that a single request probes it; further requests follow once
+// one is accepted.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_ENGINE_HEALTH_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_ENGINE_HEALTH_H_
 
@@ -11,34 +12,35 @@
 namespace lynxglade::request::passthrough {
 
 struct EngineHealthOptions {
-  // After the first failure; twice as long for each further one in a row.
+  // After the first failure; doubled for each consecutive one.
   base::Duration initial_avoidance = std::chrono::milliseconds(500);
   base::Duration max_avoidance = std::chrono::seconds(4);
-  // Rejections in a row, of requests that came with KV cache to fetch, before
-  // the target is taken to reject everything. One may be the cache's fault.
+  // Consecutive rejections of requests with KV cache to fetch before the target
+  // is taken to reject everything; one may be due to the cache.
   int max_rejected_fetches = 2;
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: used on the event loop only.
 class EngineHealth {
  public:
   explicit EngineHealth(EngineHealthOptions options = {}) noexcept;
 
-  // A request is sent there. While the target is on trial no other is.
+  // A request is being sent. After failures this is a probe, and the target is
+  // avoided again meanwhile.
   void OnTry(base::Time now) noexcept;
-  // It could not be reached, broke off, or is another target by now.
+  // It could not be reached, broke the connection, or is another target now.
   void OnFailure(base::Time now) noexcept;
-  // It rejected a request although it has room. `fetches`: the request came
-  // with KV cache to fetch, which may be what failed.
+  // It rejected a request although it has capacity. `fetches`: the request had
+  // KV cache to fetch, which may be the cause.
   void OnRejection(bool fetches, base::Time now) noexcept;
-  // It runs a request, or has read a prompt.
+  // It runs a request, or has prefilled a prompt.
   void OnAccepted() noexcept;
 
-  // Whether other targets are to be preferred.
+  // Whether other targets should be preferred.
   bool Avoided(base::Time now) const noexcept { return now < avoid_until_; }
   base::Time avoid_until() const noexcept { return avoid_until_; }
-  // Whether it has rejected several requests in a row, so that a further
-  // rejection says nothing of the request.
+  // Whether it has rejected several requests in a row, so that a rejection says
+  // nothing about the request itself.
   bool RejectsAll() const noexcept;
 
  private:
--- a/src/request/passthrough/engine_picker.cc
+++ b/src/request/passthrough/engine_picker.cc
@@ -81,7 +81,7 @@
       continue;
     }
     all.push_back(engine);
-    // A move between availability zones takes twice as long.
+    // A KV cache transfer between zones takes longer.
     if (engine->entry.zone == prefill_engine.entry.zone) {
       near.push_back(engine);
     }
@@ -170,8 +170,8 @@
   return pick;
 }
 
-// What waits behind this request does not count, but for the prompt that is
-// being read: its reading ends first.
+// Less urgent prompts do not delay this one, except the one that is being
+// prefilled, which the engine finishes first.
 double EnginePicker::WaitMs(const Engine& engine,
                             const PrefillsAhead& ahead,
                             int priority,
@@ -212,7 +212,7 @@
   return ahead;
 }
 
-// As in TieBreakJitter(), in requests.
+// The random part breaks ties, as TieBreakJitter() does.
 EngineHandle EnginePicker::LeastLoaded(const std::vector<EngineHandle>& usable,
                                        base::Time now) const {
   EngineHandle best;
@@ -229,12 +229,12 @@
   return best;
 }
 
-// Targets of zones that cannot be reached are left out while others remain, and
-// so are those that failed lately, here or at other instances.
+// Prefers targets that are healthy and in a reachable zone, then healthy ones,
+// then any, so that a runner is found if there is one.
 std::vector<EngineHandle> EnginePicker::UsableEngines(
     const std::vector<EngineHandle>& engines,
     const EnginePickQuery& query) const {
-  // An entry without a stage among engines that have one is not an engine's.
+  // In a service with staged engines, an entry without a stage is no engine.
   const bool staged =
       !query.prompt.empty() && std::ranges::any_of(engines, IsStaged);
   std::vector<EngineHandle> available;
--- a/src/request/passthrough/engine_picker.h
+++ b/src/request/passthrough/engine_picker.h
@@ -1,14 +1,14 @@
-// Which target runs a request.
+// Selects the engines or the plain target that run a request.
 //
-// For a prompt, each engine is judged by when it would begin to generate: how
-// long prompts wait there (by what this instance and its peers have it read, by
-// this one's overdue reads, and by the wait that its last read met), then what
-// it has to read of this one, at the speeds that prefill_times has learnt.
-// Shared parts live at a home, the prefill engine that all instances agree on
-// without a message (rendezvous hashing); another engine fetches their KV cache
-// from there, which takes a few milliseconds where reading takes hundreds. A
-// prefill engine reads at full speed, but the KV cache then has to move to a
-// decode engine. Plain requests go to the target with the fewest requests.
+// For a prompt, the pick minimises the expected time until generation starts:
+// the engine's prefill backlog (this instance's and its peers' pending tokens,
+// this instance's overdue prefills and the last observed wait) plus the prefill
+// of this prompt at the rate known to PrefillTimes. The KV cache of shared
+// parts is kept at a home engine, which all instances derive independently by
+// rendezvous hashing; other engines fetch it from there, which is far faster
+// than prefilling it again. A prefill engine prefills at full speed, but the KV
+// cache then has to be handed over to a decode engine. Requests without a
+// prompt go to the least loaded target.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_ENGINE_PICKER_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_ENGINE_PICKER_H_
 
@@ -31,88 +31,84 @@
 
 struct EnginePickerOptions {
   base::ZoneId zone;
-  // A decode engine takes so many times as long to read (users' protocol page).
+  // Prefill at a decode engine takes this many times as long.
   double decode_prefill_factor = 2;
-  // A decode engine reads a prompt in chunks of about this many tokens (a
-  // quarter of the users' 4,096), and each chunk holds up every request that
-  // it generates for. Where a prefill engine can read, longer prompts are not
-  // read at a decode engine.
+  // Longest prompt, in uncached tokens, that a decode engine prefills while a
+  // prefill engine is usable. A decode engine prefills in chunks, and each
+  // chunk delays every request that it generates for.
   std::int64_t max_decode_prefill_tokens = 1024;
-  // What leaving a part's home is taken to cost, in readings of the shared
-  // parts. More than one: what is read elsewhere is found there by nobody, and
-  // takes memory from what is.
+  // Cost of prefilling away from a part's home, in prefills of the shared
+  // parts. Above 1, as the copy is not found by other requests and displaces
+  // other parts from the cache.
   double remote_prefill_penalty = 2.0;
-  // The same at least, by the size of the shared parts: the memory that a
-  // second copy takes from other parts, and that waits are known 100 ms late,
-  // weigh as much where engines read fast.
+  // Lower bound of that cost per shared token, for engines that prefill fast.
   double remote_prefill_ms_per_token = 0.05;
-  // An engine that joined, or took up its stage, this recently still fetches
-  // the parts it is home to from where they were. Long enough for most parts
-  // to be asked for once (the users' are, every one to ten seconds).
+  // An engine that joined or changed its stage less than this ago fetches the
+  // shared parts that it is home to from their previous home. Long enough for
+  // most parts to be requested once.
   base::Duration settle_time = std::chrono::seconds(15);
-  // A wait that a read met says less of the next one the longer ago it was.
+  // Time constant with which the last observed wait decays.
   base::Duration observed_wait_decay = std::chrono::milliseconds(400);
-  // What a request at an engine costs the next one, by longer steps: a step
-  // grows by about 0.09 ms a slot, and a first token waits for a few steps.
+  // Added per request at an engine, as each one lengthens the engine's steps.
   double ms_per_request = 0.5;
-  // Added for a target of another availability zone: the round trip, and the
-  // worth of the bytes between zones.
+  // Added for a target in another availability zone: round trip and traffic
+  // cost.
   double cross_zone_ms = 4;
 };
 
-// What is to be run, and where it may be.
+// The request to place, and constraints on the engines.
 struct EnginePickQuery {
   const Prompt& prompt;
   // 0 is the most urgent.
   int priority = 0;
-  // Targets that are left out.
+  // Targets to leave out.
   const std::vector<base::TargetId>& tried;
-  // Requests of this instance that a target may have at a time: its part of
-  // the connections that the target takes, which resets those beyond.
+  // Most requests that this instance may have at one target: its share of the
+  // connections that the target accepts. The target resets connections beyond.
   int max_in_flight = std::numeric_limits<int>::max();
-  // Whether one engine may read the prompt and another run the request.
+  // Whether one engine may prefill and another one run the request.
   bool allow_separate_prefill = true;
   base::Time now{};
 };
 
 // The engines chosen for one attempt.
 struct EnginePick {
-  // Runs the request; null: no target may take it.
+  // Runs the request; null if no target is available.
   EngineHandle runner;
-  // Reads the prompt first, or null.
+  // Prefills the prompt before it is handed over to `runner`; null if the
+  // runner prefills it.
   EngineHandle prefill_engine;
-  // Where the reader (or else the runner) fetches the shared parts, or null.
+  // Source of the shared parts' KV cache for the engine that prefills, or null.
   EngineHandle fetch_from;
-  // Tokens the reader (or else the runner) is expected to read, and how long
-  // that takes if nothing else is read first.
+  // Tokens to prefill, and how long this takes without waiting.
   std::int64_t prefill_tokens = 0;
   base::Duration prefill_time{};
-  // No other read is known to be under way there.
+  // No other prefill is known to be pending at the engine that prefills.
   bool no_other_prefills = false;
-  // How long the prompt is expected to wait for others to be read.
+  // Expected time in the engine's prefill queue.
   base::Duration wait{};
-  // When generation is expected to begin, from now.
+  // Expected time from now until generation starts.
   base::Duration expected{};
 };
 
-// Tokens that other instances have the engine read before a prompt of that
-// priority.
+// Tokens that other instances have pending at the engine, at `priority` or more
+// urgent.
 using PeerTokens = std::function<
     std::int64_t(const Engine& engine, int priority, base::Time now)>;
 
-// Whether no target of a zone can be reached.
+// Whether no target of the zone can be reached.
 using ZoneUnreachable =
     std::function<bool(const base::ZoneId& zone, base::Time now)>;
 
-// Whether other instances have found that a target fails.
+// Whether other instances report that the target fails.
 using PeersAvoidEngine =
     std::function<bool(const Engine& engine, base::Time now)>;
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: used on the event loop only.
 class EnginePicker {
  public:
-  // The hooks may be empty: nothing is known of others, all zones are reached,
-  // an engine has room for as many requests as it has slots.
+  // `prefill_times` must outlive this object. Hooks may be empty: no peers are
+  // known, all zones are reachable, and an engine's capacity is its slots.
   EnginePicker(EnginePickerOptions options,
                const PrefillTimes& prefill_times,
                base::RandomSource random,
@@ -123,20 +119,22 @@
   EnginePicker(const EnginePicker&) = delete;
   EnginePicker& operator=(const EnginePicker&) = delete;
 
-  // Chooses among `engines`, those of one service.
+  // Chooses among `engines`, all of one service.
   EnginePick Pick(const std::vector<EngineHandle>& engines,
                   const EnginePickQuery& query) const;
 
-  // How long a prompt that is no more urgent than others would wait to be read,
-  // on average over the prefill engines; for ever if there is none.
+  // Mean prefill wait over the prefill engines, counting prompts of every
+  // priority; Duration::max() if there is no prefill engine.
   base::Duration Backlog(const std::vector<EngineHandle>& engines,
                          base::Time now) const;
 
-  // Whether the runner reads so much itself that it holds up what it generates
-  // for (EnginePickerOptions::max_decode_prefill_tokens).
+  // Whether the runner itself prefills more than
+  // EnginePickerOptions::max_decode_prefill_tokens, which delays the streams
+  // that it generates.
   bool PrefillStallsDecode(const EnginePick& pick) const noexcept;
 
-  // The engine to run a request whose KV cache waits at `reader`.
+  // The engine to run a request whose KV cache is held by `prefill_engine`;
+  // null if there is none.
   EngineHandle PickDecoder(const std::vector<EngineHandle>& engines,
                            const Engine& prefill_engine,
                            const EnginePickQuery& query) const;
@@ -152,13 +150,15 @@
   std::vector<EngineHandle> UsableEngines(
       const std::vector<EngineHandle>& engines,
       const EnginePickQuery& query) const;
-  // EstimatePrefill at `engine`; the pick's engines are left open.
+  // Estimates the times for a prefill at `engine`; leaves `runner` and
+  // `prefill_engine` unset.
   EnginePick EstimatePrefill(const EngineHandle& engine,
                              const PrefixPlacement& places,
                              const EnginePickQuery& query) const;
-  // Tokens of other prompts at an engine, by this instance and its peers.
+  // Pending tokens of other prompts at an engine, of this instance and its
+  // peers.
   struct PrefillsAhead {
-    // As urgent as the request, or more.
+    // At the request's priority or more urgent.
     std::int64_t before = 0;
     std::int64_t less_urgent = 0;
 
@@ -167,24 +167,22 @@
   PrefillsAhead CountPrefills(const Engine& engine,
                               int priority,
                               base::Time now) const;
-  // Until the engine begins to read what is sent now.
+  // Expected wait until the engine starts to prefill a prompt sent now.
   double WaitMs(const Engine& engine,
                 const PrefillsAhead& ahead,
                 int priority,
                 base::Time now) const;
-  // Milliseconds to read so much there; 0 for nothing.
+  // Expected time to prefill `tokens`; 0 for none.
   double PrefillMs(const Engine& engine, std::int64_t tokens) const;
-  // How many times as long reading takes at an engine of that stage.
+  // Prefill time at the engine's stage relative to a prefill engine.
   double StageFactor(const Engine& engine) const noexcept;
   double CrossZoneMs(const Engine& engine) const noexcept;
   double Capacity(const Engine& engine, base::Time now) const;
-  // What the requests at an engine cost the next one. As much as if the part of
-  // the room that they take were the part of the slots, so that slower engines
-  // get fewer.
+  // Delay caused by the requests at the engine. It is scaled by slots over
+  // capacity, so that slower engines get fewer requests.
   double LoadMs(const Engine& engine, base::Time now) const;
-  // Up to what one request more costs: of engines that look alike any may be
-  // taken, so that instances with the same picture do not all choose the same
-  // one.
+  // Random, below the cost of one request. Keeps instances with the same view
+  // from all choosing the same of several equal engines.
   base::Duration TieBreakJitter() const;
 
   const EnginePickerOptions options_;
--- a/src/request/passthrough/engine_table.cc
+++ b/src/request/passthrough/engine_table.cc
@@ -20,8 +20,8 @@
 void MarkMisdirected(Engine& engine,
                      int entry_changes,
                      base::Time now) noexcept {
-  // Longer than an instance is cut off from the store as a rule; one request in
-  // that time is no harm.
+  // Longer than most outages of the store; one stray request per period is
+  // acceptable.
   constexpr base::Duration kMisdirectedBackoff = std::chrono::seconds(10);
   if (engine.entry_changes == entry_changes) {
     engine.misdirected_until = now + kMisdirectedBackoff;
@@ -146,7 +146,7 @@
   }
 }
 
-// Requests in flight hold the engine itself; it must not look serving there.
+// Requests in flight keep the engine object, which is marked as draining.
 void EngineTable::Drop(const base::TargetId& id) {
   const auto it = engines_.find(id);
   if (it == engines_.end()) {
--- a/src/request/passthrough/event_splitter.cc
+++ b/src/request/passthrough/event_splitter.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Where the last event in `text` ends, or npos. Events end with an empty
-// line; lines end with LF or CRLF.
+// End of the last event in `text`, or npos. Events end with an empty line;
+// lines end with LF or CRLF.
 std::size_t EndOfLastEvent(std::string_view text) {
   const std::size_t lf = text.rfind("\n\n");
   const std::size_t crlf = text.rfind("\n\r\n");
--- a/src/request/passthrough/event_splitter.h
+++ b/src/request/passthrough/event_splitter.h
@@ -1,5 +1,5 @@
-// Cuts a byte stream of server-sent events at the ends of events, so that only
-// whole events are passed on and a stream can go on at another engine.
+// Splits a stream of server-sent events at event boundaries, so that only
+// complete events are forwarded and a stream can be resumed at another engine.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_EVENT_SPLITTER_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_EVENT_SPLITTER_H_
 
@@ -11,16 +11,16 @@
 
 class EventSplitter {
  public:
-  // Takes the next bytes; returns the whole events that they complete.
+  // Takes the next bytes; returns the events that they complete.
   std::string Feed(std::string_view bytes);
-  // Forgets a torn event, before another engine goes on.
+  // Drops an incomplete event before another engine resumes the stream.
   void DiscardPartial() noexcept { partial_.clear(); }
 
-  // The bytes of an event that has not ended.
+  // The bytes of the incomplete event.
   const std::string& partial() const noexcept { return partial_; }
-  // The id of the last whole event; empty if none had one.
+  // Id of the last complete event with an id; empty if there was none.
   const std::string& last_id() const noexcept { return last_id_; }
-  // Whole events with an id so far.
+  // Number of complete events with an id.
   int events() const noexcept { return events_; }
 
  private:
--- a/src/request/passthrough/generation_times.cc
+++ b/src/request/passthrough/generation_times.cc
@@ -7,9 +7,8 @@
 
 namespace {
 
-// Of an engine's difference to the others, what each of its events forgets.
+// Part of its deviation from 1 that an engine's slowness loses with each event.
 constexpr double kSlownessDecay = 0.0005;
-// Engines of one service differ by less.
 constexpr double kMaxSlowness = 10;
 // More requests never make an engine faster.
 constexpr double kMinSlopeMs = 1e-6;
--- a/src/request/passthrough/generation_times.h
+++ b/src/request/passthrough/generation_times.h
@@ -1,10 +1,10 @@
-// How long engines take to generate, learnt from this instance's own streams.
+// Estimates generation times from this instance's own streams.
 //
-// An engine takes longer for each event of a stream the more requests it has:
-// slowness * (base + slope * requests). The line is common to a service's
-// engines; an engine's slowness is what its events take against it. Callers
-// state sizes in tokens, streams come in events: whole answers show how many
-// tokens an event holds.
+// An engine takes longer per stream event the more requests it has: slowness *
+// (base + slope * requests). The line is common to a service's engines; an
+// engine's slowness is the ratio of its own events to it. Callers state answer
+// sizes in tokens while streams consist of events, so complete answers are used
+// to estimate the tokens per event.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_GENERATION_TIMES_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_GENERATION_TIMES_H_
 
@@ -20,49 +20,50 @@
 namespace lynxglade::request::passthrough {
 
 struct GenerationTimesOptions {
-  // What an event counts for after the next one.
+  // Weight of an event after the next one.
   double decay = 0.999;
-  // Events and whole answers that are seen before anything is foreseen.
+  // Events and complete answers needed before there is an estimate.
   double min_events = 100;
   int min_answers = 3;
-  // Answers of fewer events say too little of the tokens in an event.
+  // Answers with fewer events are not used to estimate the tokens per event.
   int min_events_per_answer = 8;
-  // Of the difference to what is believed of an engine, the part that one more
-  // event changes it by; and of the tokens in an event, one more answer.
+  // Part of the difference to the current estimate by which an event changes an
+  // engine's slowness, and an answer the tokens per event.
   double engine_learning_rate = 0.03;
   double size_learning_rate = 0.02;
-  // An event that took more than so many times what was expected met something
-  // else, and counts as if it had taken so many times.
+  // An event that took more than this many times the expected time was delayed
+  // by something else, and is clamped to it.
   double max_outlier_ratio = 2;
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: used on the event loop only.
 class GenerationTimes {
  public:
   explicit GenerationTimes(GenerationTimesOptions options = {});
   GenerationTimes(const GenerationTimes&) = delete;
   GenerationTimes& operator=(const GenerationTimes&) = delete;
 
-  // An event of an answer came `took` after the one before, from an engine that
-  // had so many requests.
+  // An event arrived `took` after the previous one of its answer, from an
+  // engine that had `requests` requests.
   void RecordEvent(Engine& engine, int requests, base::Duration took);
-  // A whole answer came in so many events; its caller had expected `tokens`.
+  // A complete answer had `events` events; its caller had expected `tokens`.
   void RecordAnswerSize(const base::ServiceName& service,
                         std::int64_t tokens,
                         int events);
 
-  // Requests with which the engine generates `tokens` in `within`: 1 at least,
-  // its slots at most. Nothing while too little was seen.
+  // Number of concurrent requests with which the engine generates `tokens`
+  // within `within`: at least 1, at most its slots. Nothing while there are too
+  // few samples.
   std::optional<int> MaxRequests(const Engine& engine,
                                  std::int64_t tokens,
                                  base::Duration within) const;
 
  private:
   struct Service {
-    // Milliseconds for an event by requests at the engine.
+    // Milliseconds per event by requests at the engine.
     LineFit event_ms;
     int answers = 0;
-    // Mean of the logarithm, as estimates are right at the median.
+    // Mean of the logarithm, as callers' estimates are unbiased in the median.
     double log_tokens_per_event = 0;
   };
 
--- a/src/request/passthrough/in_flight_request.h
+++ b/src/request/passthrough/in_flight_request.h
@@ -1,5 +1,5 @@
-// Counts a request at a target for as long as it is there, and learns how long
-// prompts wait there to be read.
+// Counts a request at a target for the lifetime of this object, and records how
+// long its prefill waited.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_IN_FLIGHT_REQUEST_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_IN_FLIGHT_REQUEST_H_
 
@@ -15,8 +15,8 @@
 
 class InFlightRequest {
  public:
-  // `prefill_tokens` are to be read there, which takes `prefill_time` if
-  // nothing else is; none for what has no prompt to read.
+  // `prefill_tokens` are to be prefilled there, which takes `prefill_time`
+  // without waiting; 0 if there is no prefill.
   InFlightRequest(EngineHandle engine,
                   int priority,
                   std::int64_t prefill_tokens,
@@ -40,7 +40,7 @@
   InFlightRequest(const InFlightRequest&) = delete;
   InFlightRequest& operator=(const InFlightRequest&) = delete;
 
-  // The target has read the prompt.
+  // The target has prefilled the prompt.
   void OnPrefillDone(base::Time now) {
     if (due_) {
       PrefillQueue& queue = engine_->prefills[priority_];
--- a/src/request/passthrough/line_fit.h
+++ b/src/request/passthrough/line_fit.h
@@ -1,4 +1,4 @@
-// A straight line through points that fade, by weighted least squares.
+// Weighted least-squares fit of a line to points whose weight decays.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_LINE_FIT_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_LINE_FIT_H_
 
@@ -14,7 +14,7 @@
 
 class LineFit {
  public:
-  // All points so far count for `part` of what they did.
+  // Multiplies the weight of all points so far.
   void Decay(double factor) noexcept {
     for (double* sum : {&weight_, &x_, &xx_, &y_, &xy_}) {
       *sum *= factor;
@@ -30,13 +30,13 @@
   }
 
   double weight() const noexcept { return weight_; }
-  // Weighted sums; the means are these over weight().
+  // Weighted sums; divide by weight() for the means.
   double sum_x() const noexcept { return x_; }
   double sum_xx() const noexcept { return xx_; }
 
-  // Points at one x give no slope, and noise may give a line that starts below
-  // nothing: then y is taken to grow with x alone. `min_slope` bounds the
-  // slope from below. There must be a point.
+  // Points at one x determine no slope, and noise may give a negative base:
+  // then y is taken as proportional to x. The slope is at least `min_slope`.
+  // There must be a point.
   Line Fit(double min_slope) const noexcept {
     constexpr double kMinVariance = 0.01;
     const double x = x_ / weight_;
--- a/src/request/passthrough/peer_avoidance.h
+++ b/src/request/passthrough/peer_avoidance.h
@@ -1,9 +1,10 @@
-// Targets that other instances avoid, as they last said.
+// Targets that other instances currently avoid.
 //
-// Where hundreds of instances share a service each sees a target once a minute:
-// one that has crashed would have to fail each of them in turn, at 300 ms and a
-// retry of the fleet's allowance a time. An instance leaves a target alone that
-// several others avoid; one is not enough, as its own path may be broken.
+// Where many instances share a service each one sends few requests to a target,
+// so a crashed target would have to fail at each of them, with a connection
+// timeout and a retry each time. An instance therefore also avoids targets that
+// several others avoid; one report is not enough, as that instance's own
+// network may be broken.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_PEER_AVOIDANCE_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_PEER_AVOIDANCE_H_
 
@@ -18,7 +19,7 @@
 
 namespace lynxglade::request::passthrough {
 
-// An engine that an instance avoids, and for how long more.
+// An engine that an instance avoids, and for how long from now.
 struct AvoidedEngine {
   EngineKey engine = 0;
   base::Duration left{};
@@ -27,29 +28,30 @@
 };
 
 struct PeerAvoidanceOptions {
-  // Other instances that must avoid a target.
+  // Number of other instances that must avoid a target.
   std::size_t min_observers = 2;
-  // What one says counts for so long at most, as a target that is back is to be
-  // used.
+  // Limits how long one report counts, so that a recovered target is used
+  // again.
   base::Duration max_duration = std::chrono::milliseconds(1000);
 };
 
-// What this instance avoids by its own requests, for the others.
+// The targets that this instance avoids because of its own requests, for its
+// peers.
 std::vector<AvoidedEngine> OwnAvoided(const EngineTable& engines,
                                       base::Time now);
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: used on the event loop only.
 class PeerAvoidance {
  public:
   explicit PeerAvoidance(PeerAvoidanceOptions options = {});
   PeerAvoidance(const PeerAvoidance&) = delete;
   PeerAvoidance& operator=(const PeerAvoidance&) = delete;
 
-  // `peer` avoids these, beside those that it named before.
+  // `peer` avoids these, in addition to its earlier reports.
   void Put(const base::InstanceId& peer,
            const std::vector<AvoidedEngine>& avoided,
            base::Time now);
-  // Whether enough of them avoid it now.
+  // Whether enough instances avoid the target now.
   bool Avoided(const base::TargetId& engine, base::Time now) const;
 
  private:
--- a/src/request/passthrough/peer_prefills.h
+++ b/src/request/passthrough/peer_prefills.h
@@ -1,7 +1,7 @@
-// The prompts that other instances have engines read, as they last said.
+// Pending prefills of other instances, as they last reported.
 //
-// An instance sees its own requests only, one of many at an engine. With what
-// the others say of theirs it knows how long a prompt would wait there.
+// An instance sees only its own requests, a small part of those at an engine.
+// With its peers' reports it can estimate how long a prompt would wait there.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_PEER_PREFILLS_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_PEER_PREFILLS_H_
 
@@ -15,11 +15,11 @@
 
 namespace lynxglade::request::passthrough {
 
-// Names an engine in few bytes: a hash of its id.
+// Hash of an engine's id, to keep reports small.
 using EngineKey = std::uint32_t;
 EngineKey KeyOf(const base::TargetId& id) noexcept;
 
-// What one instance has one engine read at one priority.
+// Pending prefills of one instance at one engine and priority.
 struct PeerPrefill {
   EngineKey engine = 0;
   // 0 is the most urgent.
@@ -30,29 +30,29 @@
 };
 
 struct PeerPrefillsOptions {
-  // What an instance said counts for so long: four of its reports may be lost.
+  // Reports expire after this; covers a few lost ones.
   base::Duration report_ttl = std::chrono::milliseconds(500);
 };
 
-// What this instance has engines read, for the others.
+// Pending prefills of this instance, for its peers.
 std::vector<PeerPrefill> OwnPrefills(const EngineTable& engines);
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: used on the event loop only.
 class PeerPrefills {
  public:
   explicit PeerPrefills(PeerPrefillsOptions options = {});
   PeerPrefills(const PeerPrefills&) = delete;
   PeerPrefills& operator=(const PeerPrefills&) = delete;
 
-  // All that `peer` has engines read now.
+  // Replaces all pending prefills of `peer`.
   void Put(const base::InstanceId& peer,
            const std::vector<PeerPrefill>& prefills,
            base::Time now);
-  // Instances for each one that reports here, this one left out: above 1 where
-  // not all report to all.
+  // Number of other instances per instance that reports here; above 1 where not
+  // all report to all.
   void SetScale(double scale) noexcept { scale_ = scale; }
 
-  // Tokens that are read at an engine before a prompt of that priority.
+  // Pending tokens at an engine, at `priority` or more urgent.
   std::int64_t PrefillTokens(const base::TargetId& engine,
                              int priority,
                              base::Time now) const;
--- a/src/request/passthrough/prefill_times.cc
+++ b/src/request/passthrough/prefill_times.cc
@@ -7,15 +7,14 @@
 
 namespace {
 
-// The reads that the figures of the start stand for, of several sizes, so that
-// they give a line.
+// Prompt sizes of the samples that the initial rates stand for; several, so
+// that they determine a line.
 constexpr std::array kInitialSampleTokens{500.0, 2'000.0, 10'000.0};
-// A line that would read faster than this was fitted to noise.
+// Bounds the slope of a line fitted to noise.
 constexpr double kMaxTokensPerMs = 5'000;
-// Engines of one service differ by less.
 constexpr double kMaxSlowness = 10;
-// ServiceFor an engine's difference to the others, what each of its reads
-// forgets.
+// Part of its deviation from 1 that an engine's slowness loses with each
+// prefill.
 constexpr double kSlownessDecay = 0.01;
 
 }  // namespace
@@ -31,7 +30,8 @@
   const double expected = Fit(service).At(size);
   const double ms =
       ClampOutlier(base::ToFineMillis(took), expected * engine.slowness);
-  // The pull towards 1 keeps the engines' common level out of their slowness.
+  // The pull towards 1 keeps a common change of all engines out of their
+  // slowness.
   engine.slowness +=
       options_.learning_rate * (ms / expected - engine.slowness) +
       kSlownessDecay * (1 - engine.slowness);
--- a/src/request/passthrough/prefill_times.h
+++ b/src/request/passthrough/prefill_times.h
@@ -1,10 +1,10 @@
-// How long engines take to read prompts, and to move KV cache, learnt from this
-// instance's own requests.
+// Estimates prefill and KV cache transfer times from this instance's own
+// requests.
 //
-// A service's engines are alike up to a factor: a read of n tokens takes
-// slowness * (base + n / rate). Reads that met no other show base and rate; an
-// engine's slowness is what its reads take against that. The figures that the
-// instance starts with stand for a few reads and fade as real ones come.
+// Engines of a service differ by a factor: a prefill of n tokens takes slowness
+// * (base + n / rate). Prefills that met no other determine base and rate; an
+// engine's slowness is the ratio of its own prefills to that line. The initial
+// values count as a few samples and decay as real ones arrive.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_PREFILL_TIMES_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_PREFILL_TIMES_H_
 
@@ -19,64 +19,62 @@
 namespace lynxglade::request::passthrough {
 
 struct PrefillTimesOptions {
-  // Before anything is seen. Engines of the users' sheets read 38 to 220
-  // tokens in a millisecond.
+  // Initial values, before any sample.
   double initial_tokens_per_ms = 45;
-  // Set-up and transfer of 245 MB at 370 Gbit/s.
   double initial_fetch_ms = 12;
-  // The extra call, the set-up, the transfer and a first step.
   double initial_handover_ms = 20;
-  // What a read counts for after the next one: 1 / (1 - memory) reads, 33,
-  // are remembered, less than two seconds' of a busy instance.
+  // Weight of a sample after the next one; the estimate covers about 1 / (1 -
+  // decay) samples.
   double decay = 0.97;
-  // A read that took more than so many times what was expected met something
-  // that was not known of, and counts as if it had taken so many times.
+  // A sample above this many times the expected time was probably delayed by an
+  // unknown request, and is clamped to it.
   double max_outlier_ratio = 2;
-  // ServiceFor the difference to what is believed, the part that one more read,
-  // fetch or hand-over changes it by.
+  // Part of the difference to the current estimate by which a sample changes
+  // it.
   double learning_rate = 0.1;
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: used on the event loop only.
 class PrefillTimes {
  public:
   explicit PrefillTimes(PrefillTimesOptions options = {});
   PrefillTimes(const PrefillTimes&) = delete;
   PrefillTimes& operator=(const PrefillTimes&) = delete;
 
-  // An engine read `tokens` in `took`, with nothing before it as far as is
-  // known here.
+  // The engine prefilled `tokens` in `took`, with no other known prefill
+  // queued.
   void RecordPrefill(Engine& engine, std::int64_t tokens, base::Duration took);
-  // The same, after the shared parts were fetched; what it took longer than
-  // the reading is the fetch.
+  // The same, after a fetch of the shared parts; the time beyond the prefill is
+  // attributed to the fetch.
   void RecordPrefillAfterFetch(const Engine& engine,
                                std::int64_t tokens,
                                base::Duration took);
-  // From handing a read prompt over to an engine of the service to the first
-  // event.
+  // `took`: from handing a prefilled prompt over to an engine of the service
+  // until the first event.
   void RecordHandover(const base::ServiceName& service, base::Duration took);
 
-  // Milliseconds of engine time, at the full speed of its kind.
+  // Milliseconds of engine time; at full speed, without the factor of its
+  // stage.
   double PrefillMs(const Engine& engine, std::int64_t tokens) const;
-  // Tokens in a millisecond, for a prompt of the mean size seen.
+  // Tokens per millisecond, for a prompt of the mean size seen.
   double TokensPerMs(const Engine& engine) const;
-  // What is left on average of the prompt that an engine has begun to read: it
-  // ends that one before it reads a more urgent one. Long prompts are met more
-  // often than short ones.
+  // Mean number of tokens left of the prompt that an engine is prefilling; it
+  // finishes that one before a more urgent one. Weighted by size, as an arrival
+  // more likely meets a long prompt.
   double MeanRemainingTokens(const base::ServiceName& service) const;
   double FetchMs(const base::ServiceName& service) const;
   double HandoverMs(const base::ServiceName& service) const;
 
  private:
   struct Service {
-    // Milliseconds by tokens. Errors grow with a read's size, so each read is
-    // weighted by one over its tokens.
+    // Milliseconds by tokens. Errors grow with the size, so each sample is
+    // weighted by 1 / tokens.
     LineFit prefill_ms;
     double tokens_squared = 0;
     double fetch_ms = 0;
     double handover_ms = 0;
 
-    // The weights make these sums plain ones.
+    // The weights turn these into plain sums.
     double prefills() const noexcept { return prefill_ms.sum_x(); }
     double tokens() const noexcept { return prefill_ms.sum_xx(); }
   };
@@ -86,7 +84,7 @@
   const Service& ServiceFor(const base::ServiceName& service) const;
   Service& ServiceFor(const base::ServiceName& service);
   static Line Fit(const Service& service) noexcept;
-  // `ms`, or as much as may be believed of it.
+  // Bounds `ms` to PrefillTimesOptions::max_outlier_ratio.
   double ClampOutlier(double ms, double expected) const noexcept;
 
   const PrefillTimesOptions options_;
--- a/src/request/passthrough/prefix_placement.cc
+++ b/src/request/passthrough/prefix_placement.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-// The highest score; a part's home stays when other engines come or go. Null
-// if there is no engine.
+// The engine with the highest rendezvous hash: a part's home stays the same
+// when other engines join or leave. Null if there is no engine.
 EngineHandle Highest(const std::vector<EngineHandle>& engines,
                      const PromptPart& part) {
   const auto it = std::ranges::max_element(
--- a/src/request/passthrough/prefix_placement.h
+++ b/src/request/passthrough/prefix_placement.h
@@ -1,10 +1,9 @@
-// Where the KV cache of a prompt's shared parts lives.
+// Locates the engine that holds the KV cache of a prompt's shared parts.
 //
-// All instances agree on a part's home without a message (rendezvous hashing).
-// An engine that has just joined, or has just become a prefill engine, is home
-// to parts that still lie where they were; and one that is leaving still has
-// what now belongs elsewhere. Fetching a part's cache takes a few milliseconds
-// where reading it takes hundreds.
+// All instances derive a part's home independently by rendezvous hashing. When
+// an engine joins or becomes a prefill engine it is home to parts whose cache
+// is still held by their previous home; a draining engine still holds parts
+// that now have another home.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_PREFIX_PLACEMENT_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_PREFIX_PLACEMENT_H_
 
@@ -16,17 +15,17 @@
 
 namespace lynxglade::request::passthrough {
 
-// Both null for a prompt that shares nothing.
+// Both null for a prompt without shared parts.
 struct PrefixPlacement {
-  // Where the shared parts are to be read or kept.
+  // Where the shared parts are to be prefilled and cached.
   EngineHandle home;
-  // Where they most likely are: the home, or the one before it.
+  // Where their KV cache most likely is: the home, or the previous home.
   EngineHandle holder;
 };
 
-// `usable` may read the prompt now; `engines` are all of the service, those
-// that are leaving included. An engine that took up its stage less than
-// `settling` ago is not taken to hold anything yet.
+// `usable` may prefill the prompt now; `engines` are all of the service,
+// draining ones included. An engine that took up its stage less than
+// `settle_time` ago is not assumed to hold any cache.
 PrefixPlacement FindPrefixPlacement(const std::vector<EngineHandle>& usable,
                                     const std::vector<EngineHandle>& engines,
                                     const Prompt& prompt,
--- a/src/request/passthrough/prompt.h
+++ b/src/request/passthrough/prompt.h
@@ -1,4 +1,4 @@
-// What a request says of its prompt, without the prompt itself.
+// Description of a prompt, without its text.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_PROMPT_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_PROMPT_H_
 
@@ -8,20 +8,20 @@
 
 namespace lynxglade::request::passthrough {
 
-// One part of a prompt. Requests whose parts so far are the same share the KV
-// cache of these parts.
+// One part of a prompt. Requests with equal parts up to and including this one
+// share the KV cache of these parts.
 struct PromptPart {
   std::string id;
   std::int64_t tokens = 0;
 };
 
-// The last part belongs to the request (or its session) alone; those before
-// it are shared. No parts: not a prompt for a model.
+// The last part belongs to the request (or its session) alone; those before are
+// shared. No parts: the request has no prompt.
 struct Prompt {
   std::vector<PromptPart> parts;
 
   bool empty() const noexcept { return parts.empty(); }
-  // The deepest part that other requests share, or null.
+  // The last shared part, or null.
   const PromptPart* Shared() const noexcept {
     return parts.size() < 2 ? nullptr : &parts[parts.size() - 2];
   }
@@ -29,7 +29,6 @@
   std::int64_t OwnTokens() const noexcept {
     return parts.empty() ? 0 : parts.back().tokens;
   }
-  // Tokens of all parts.
   std::int64_t TotalTokens() const noexcept {
     std::int64_t sum = 0;
     for (const PromptPart& part : parts) {
--- a/src/request/passthrough/relay.h
+++ b/src/request/passthrough/relay.h
@@ -1,11 +1,10 @@
-// A request from its caller to a target and back.
+// Forwards a request from its caller to a target, and the answer back.
 //
-// The relay finds the route, chooses the target, sends, passes the answer on,
-// and repeats where that is safe: a request that was not run anywhere may go
-// to another target; one of unknown outcome only if its route lets it run
-// twice; a broken stream goes on after its last whole event. What it tells the
-// caller is true: a refusal that promises not-run is given only if no target
-// has run the request or will.
+// The relay finds the route, picks the target, sends the request, forwards the
+// answer, and retries where this is safe: a request that did not run may go to
+// another target; one of unknown outcome only if its route allows it to run
+// twice; a broken stream is resumed after its last complete event. A refusal
+// that states "not run" is sent only if no target has run the request or will.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_RELAY_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_RELAY_H_
 
@@ -32,41 +31,39 @@
 namespace lynxglade::request::passthrough {
 
 struct RelayOptions {
-  // Targets that may reject a request before it is refused. Each costs the
-  // fleet's retry allowance one arrival.
+  // A request is retried after at most this many rejections. Each retry uses
+  // one arrival of the shared retry budget.
   int max_rejections = 2;
-  // A first reading is rejected within so long, or not at all but for rare
-  // reasons: a target says at once that it is full, or not meant. The way there
-  // and back takes 4 ms at most between availability zones, and 17 KB of a
-  // prompt 7 ms at 20 Mbit/s. Held until they are answered, 656 readings a
-  // second of up to two seconds take more than the allowance of 295 instances.
+  // How long the cost of a first prefill stays reserved. Targets that are full
+  // or misdirected reject at once, round trip and upload included; reserving
+  // until the prefill is done would exhaust the budget.
   base::Duration rejection_window = std::chrono::milliseconds(50);
-  // What cannot be paid for waits so long for what is held to be released, and
-  // for other instances to lend (a few ms away); tried again that often. Then a
-  // retry is denied; a prompt that cannot be read apart is refused, or read by
-  // the engine that runs it if it is short.
+  // How long a request waits for budget, that is for released reservations and
+  // loans of other instances, and how often it checks. After that a retry is
+  // denied; a prompt that cannot be prefilled separately is refused or, if it
+  // is short, prefilled by the engine that runs it.
   base::Duration budget_timeout = std::chrono::milliseconds(500);
   base::Duration budget_poll_interval = std::chrono::milliseconds(10);
-  // Targets that a request may find unreachable before it is refused. They cost
-  // no one but its caller, 300 ms each at most.
+  // A request is retried after at most this many unreachable targets. They use
+  // no retry budget, but a connection timeout each.
   int max_unreachable = 4;
   LatencyAdmissionOptions admission;
-  // An answer that is no stream is held until it is whole, so that a torn one
-  // never reaches the caller; beyond this size it is passed on piece by piece.
+  // An answer that is not a stream is buffered up to this size, so that the
+  // caller never gets a truncated one; a larger answer is forwarded piece by
+  // piece.
   std::size_t max_buffered_bytes = std::size_t{256} * 1024;
-  // Before it is worth sending a request again.
+  // Least time before the deadline at which a request is still retried.
   base::Duration min_time_left = std::chrono::milliseconds(30);
-  // What refused callers are told to wait: this, or a part of the time that
-  // they have left if that is longer, plus up to as much again, so that they do
-  // not come back together. Bursts last for seconds, and most callers come back
-  // once.
+  // Retry-After of refused requests: this, or a fraction of the time left if
+  // that is longer, plus up to 100% of random jitter so that callers do not
+  // come back together.
   base::Duration retry_after = std::chrono::milliseconds(300);
   double retry_after_of_time_left = 0.1;
-  // Where the configuration names no timeout and the caller no patience.
+  // If neither the route nor the caller sets a timeout.
   base::Duration default_timeout = std::chrono::seconds(30);
 };
 
-// The parts of the process that a request uses; they outlive the relay.
+// Parts of the process that requests use; all must outlive the relay.
 struct RelayDependencies {
   connection::event::asio::io_context& loop;
   connection::event::ChannelPool& channels;
@@ -81,24 +78,24 @@
   base::Clock clock;
   base::RandomSource random;
   TargetProtocol protocol;
-  // The configuration in force, or null before the first.
+  // The current configuration; null before the first one.
   std::function<std::shared_ptr<const RouteTable>()> routes;
-  // False once this instance stops and could no longer finish a new request.
+  // False once this instance is stopping and could not finish a new request.
   std::function<bool()> accepts;
-  // Instances that may be up, this one included.
+  // Number of instances that may be up, including this one.
   std::function<int()> instances;
-  // How old the view of the targets is.
+  // Age of the view of the targets.
   std::function<base::Duration()> view_age;
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: used on the event loop only.
 class Relay {
  public:
   explicit Relay(RelayDependencies parts, RelayOptions options = {});
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
-  // Answers the request; returns when the answer is sent or broken off.
+  // Answers the request; returns when the answer is sent or aborted.
   connection::event::Awaitable<void> Serve(
       std::shared_ptr<connection::event::CallerRequest> request,
       connection::event::CallerReply& reply);
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -1,4 +1,4 @@
-// A request at its targets: how it is sent, and how their answers are taken.
+// Attempts at targets: sending a request and handling the answer.
 #include <algorithm>
 #include <chrono>
 #include <memory>
@@ -29,7 +29,7 @@
 constexpr unsigned kHttp11 = 11;
 constexpr unsigned kFirstFailure = 400;
 constexpr unsigned kFirstServerFailure = 500;
-// An answer of a target to a call that frees KV cache, or to a read-only call.
+// Limit for answers that are not forwarded.
 constexpr std::size_t kMaxSideAnswerBytes = std::size_t{64} * 1024;
 constexpr base::Duration kReleaseTimeout = std::chrono::milliseconds(500);
 
@@ -42,7 +42,7 @@
   return answer;
 }
 
-// By its last report.
+// According to its last load report.
 bool IsFull(const Engine& engine) noexcept {
   return engine.reported.running + engine.reported.waiting >=
          engine.entry.slots;
@@ -50,7 +50,8 @@
 
 }  // namespace
 
-// An engine with free slots that runs other requests cannot have the cache.
+// The runner has free slots and accepts other requests, so the KV cache is
+// probably not available.
 Awaitable<void> RelayRun::HandleRejectedFetch(const Engine& runner) {
   if (IsFull(runner) || runner.health.RejectsAll()) {
     co_return;
@@ -62,9 +63,9 @@
   co_await ReleaseKvSource();
 }
 
-// The first reading that an engine accepts is no arrival beyond the request's
-// first, one that is rejected or unanswered is: its price is set aside before
-// it is sent. Later ones are paid for as attempts.
+// The first prefill that an engine accepts does not count against the budget;
+// one that is rejected or not answered does, so its cost is reserved before it
+// is sent. Later prefills are paid for by ReserveRetry().
 Awaitable<bool> RelayRun::PrefillPrompt(const EnginePick& pick) {
   bool may_count = false;
   if (accepted_prefills_ > 0) {
@@ -153,7 +154,7 @@
     prefilled_at_ = Elapsed();
     co_return true;
   }
-  // An engine that could not be reached has read nothing in vain.
+  // An unreachable engine did no work and counts in unreachable_ instead.
   failed_prefills_ += state == ExchangeState::kNotSent ? 0 : 1;
   if (!Stopped()) {
     pick.prefill_engine->health.OnFailure(parts_.clock());
@@ -186,7 +187,7 @@
   }
 }
 
-// The cache would hold memory until its time runs out.
+// Otherwise the cache would use memory until it expires.
 Awaitable<void> RelayRun::ReleaseKvSource() {
   if (!source_) {
     co_return;
@@ -196,7 +197,7 @@
   if (!endpoint) {
     co_return;
   }
-  // What cannot be freed is given up by its engine when its time runs out.
+  // If this fails, the cache expires at its engine.
   co_await Call(parts_.loop, parts_.channels, *endpoint,
                 parts_.protocol.free_handle(source),
                 {.timeout = kReleaseTimeout}, nullptr);
@@ -355,7 +356,8 @@
   co_return co_await reply_.SendPiece(bytes);
 }
 
-// Without a report of late nothing is known of what others have there.
+// Without a fresh load report the number of requests of other instances is
+// unknown.
 void RelayRun::RecordPace(Engine& target, int events, base::Duration took) {
   const base::Time now = parts_.clock();
   if (events > 0 && HasFreshReport(target, now)) {
--- a/src/request/passthrough/relay_report.cc
+++ b/src/request/passthrough/relay_report.cc
@@ -1,4 +1,4 @@
-// What a request's end looks like to its caller and in the logs.
+// How a request's end is reported to its caller, in logs and in metrics.
 #include <algorithm>
 #include <array>
 #include <chrono>
@@ -18,8 +18,8 @@
 using connection::event::Awaitable;
 namespace http = connection::event::http;
 
-// What an end without a target's answer looks like to the caller. Those that
-// promise that the request has not run and never will tell when to come back.
+// Reply to the caller if there is no target's answer. Those that promise that
+// the request has not run and will not run carry Retry-After.
 struct Refusal {
   EndReason reason;
   unsigned status;
@@ -42,14 +42,14 @@
     Refusal{EndReason::kTimeout, 504, "Gateway Timeout", false},
 };
 
-// Seconds with a fraction, as Retry-After.
+// Seconds with two decimals, for Retry-After.
 std::string SecondsText(double seconds) {
   std::array<char, 32> buf{};
   const int n = std::snprintf(buf.data(), buf.size(), "%.2f", seconds);
   return std::string(buf.data(), static_cast<std::size_t>(std::max(n, 0)));
 }
 
-// -1 for what has not happened, in log lines.
+// -1 if unset, for log lines.
 std::int64_t MillisOrNone(const std::optional<base::Duration>& d) {
   return d ? base::ToMillis(*d) : -1;
 }
--- a/src/request/passthrough/relay_run.cc
+++ b/src/request/passthrough/relay_run.cc
@@ -21,7 +21,7 @@
 using connection::event::View;
 namespace http = connection::event::http;
 
-// Times a prompt's separate reading may fail before the run goes without.
+// Failed separate prefills after which the runner prefills the prompt itself.
 constexpr int kMaxFailedPrefills = 1;
 
 std::string_view PathOf(std::string_view target) {
@@ -124,7 +124,8 @@
     }
     if (prefill_denied_ && runs_ == 0 &&
         parts_.choice.PrefillStallsDecode(pick)) {
-      // Read by the engine that runs it, it would make streams of others fail.
+      // Prefilled by its runner, the prompt would stall other requests'
+      // streams.
       co_await Refuse(EndReason::kRetryBudget);
       co_return;
     }
@@ -194,7 +195,7 @@
   return route_->priority + (late_ ? kLatePriorityOffset : 0);
 }
 
-// KV cache that waits goes with the request to another engine.
+// A KV cache that is already held by an engine is kept for the next runner.
 EnginePick RelayRun::Pick() {
   const auto& engines = parts_.engines.OfService(service_);
   const EnginePickQuery query{
@@ -215,7 +216,7 @@
 }
 
 int RelayRun::MaxInFlight() const {
-  // Idle connections count at the target, too, and counts of instances lag.
+  // Idle connections count at the target too, and instance counts lag behind.
   constexpr int kMin = 4;
   const ServiceTerms* service = table_->FindService(service_);
   if (!service || service->max_connections == 0) {
@@ -282,7 +283,7 @@
     if (!read) {
       co_return AttemptEnd::kNotRun;
     }
-    // Loads have changed while the prompt was read.
+    // Loads have changed during the prefill.
     pick = Pick();
     if (!pick.runner) {
       co_return AttemptEnd::kNotRun;
--- a/src/request/passthrough/relay_run.h
+++ b/src/request/passthrough/relay_run.h
@@ -1,5 +1,5 @@
-// One request's run through the relay; details of relay.h. Its flow is in
-// relay_run.cc, its attempts at targets in relay_attempt.cc, its end in
+// One request in the relay; implementation detail of relay.h. The flow is in
+// relay_run.cc, attempts at targets in relay_attempt.cc, refusals and logs in
 // relay_report.cc.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_RELAY_RUN_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_RELAY_RUN_H_
@@ -17,8 +17,8 @@
 
 namespace lynxglade::request::passthrough {
 
-// Why a request ended without a target's answer; each has a counter
-// lynxglade_refusals_total{reason=...}.
+// Why a request ended without a target's answer; the reason label of
+// lynxglade_refusals_total.
 enum class EndReason {
   kStopping,
   kNoConfiguration,
@@ -37,17 +37,17 @@
 
 // How one attempt at a target ended.
 enum class AttemptEnd {
-  // The caller has the whole answer, or can get no more of it.
+  // The caller has the whole answer, or cannot receive more of it.
   kFinished,
   // The target did not run the request.
   kNotRun,
-  // The target answered with a failure, which is kept.
+  // The target answered with a server error, which is saved.
   kFailed,
-  // It may have run.
+  // The request may have run.
   kUnknown,
-  // A stream broke off after events that the caller has.
+  // A stream broke after the caller had received events.
   kBroken,
-  // The caller left or the time is up.
+  // The caller disconnected, or the deadline passed.
   kStopped,
 };
 std::string_view ToString(AttemptEnd end) noexcept;
@@ -69,44 +69,46 @@
   using Awaitable = connection::event::Awaitable<T>;
   using Exchange = connection::event::Exchange;
 
-  // Finds route, service and deadline; a reason if the request ends here.
+  // Finds route, service and deadline; returns a reason if the request is
+  // refused.
   std::optional<EndReason> Admit();
   void SetDeadline(std::optional<base::Duration> timeout);
   void StartTimer();
-  // Attempts until one is final.
+  // Makes attempts until one is final.
   Awaitable<void> RunAttempts();
   EnginePick Pick();
-  // This instance's part of the connections that a target takes.
+  // This instance's share of the connections that a target accepts.
   int MaxInFlight() const;
-  // The first attempt's engines; decides whether the request is late.
+  // Engines for the first attempt; marks the request as late if it will miss
+  // its latency target.
   EnginePick PickFirst();
-  // Why the first attempt is better not made, if so.
+  // Why the first attempt should not be made, if so.
   std::optional<EndReason> CheckFirstAttempt(const EnginePick& pick) const;
   // How long the caller will wait for the first byte.
   base::Duration FirstByteTimeout() const;
   // 0 is the most urgent; late requests come after all that can be in time.
   int Priority() const noexcept;
-  // Sets aside what an attempt adds to the request's first arrival; waits a
-  // little for loans if the share is used up. Nothing if it is denied.
+  // Reserves the extra arrivals of an attempt; waits for budget up to
+  // RelayOptions::budget_timeout. Nothing if denied.
   Awaitable<std::optional<ReservedArrivals>> ReserveRetry(
       const EnginePick& pick,
       AttemptEnd after);
   Awaitable<AttemptEnd> Attempt(EnginePick pick);
-  // Has the prompt read and sets source_; false if that failed. The arrival is
-  // paid for if it counts.
+  // Sends the prompt to its prefill engine and sets source_; false on failure.
+  // Charges the shared retry budget if the arrival counts.
   Awaitable<bool> PrefillPrompt(const EnginePick& pick);
-  // Tries to pay until it succeeds; false after a little, or once the request
-  // is stopped.
+  // Calls `pay` until it succeeds; false after RelayOptions::budget_timeout or
+  // once the request is stopped.
   Awaitable<bool> WaitForBudget(const std::function<bool(base::Time now)>& pay);
-  // As PrefillPrompt(); `may_count` is set if the reading reached its engine
-  // and was not accepted.
+  // Sends the prefill for PrefillPrompt(); sets `may_count` if it reached its
+  // engine and was not accepted.
   Awaitable<bool> SendPrefill(const EnginePick& pick, bool* may_count);
-  // What a read tells of its engine.
+  // Updates the prefill time estimates.
   void RecordPrefill(const EnginePick& pick, base::Duration took);
-  // Gives back KV cache that no engine will fetch.
+  // Frees KV cache that no engine will fetch.
   Awaitable<void> ReleaseKvSource();
-  // A run that was to fetch KV cache was rejected: for the engine's own
-  // reasons, or since the cache is not to be had.
+  // A runner rejected a request with KV cache to fetch, either for its own
+  // reasons or because the cache is not available.
   Awaitable<void> HandleRejectedFetch(const Engine& runner);
   Awaitable<AttemptEnd> SendRequest(const EnginePick& pick);
   // `entry_changes`: of the target's entry when the request was sent.
@@ -117,12 +119,12 @@
                                         const EngineHandle& target);
   Awaitable<AttemptEnd> ForwardStream(Exchange& exchange,
                                       const EngineHandle& target);
-  // `events`: that the piece completes.
+  // `events`: number of events that the piece completes.
   Awaitable<bool> ForwardPiece(Exchange& exchange,
                                Engine& target,
                                int events,
                                std::string_view bytes);
-  // The piece came `took` after the one before it.
+  // The piece arrived `took` after the previous one.
   void RecordPace(Engine& target, int events, base::Duration took);
   AttemptEnd EndAfterFailure(Exchange& exchange, const EngineHandle& target);
   // Whether another attempt may follow.
@@ -130,9 +132,9 @@
   Awaitable<void> Finish(AttemptEnd end);
   Awaitable<void> Refuse(EndReason reason);
   Awaitable<void> SendSavedAnswer();
-  // A request is about to go to the engine.
+  // A request is about to be sent to the engine.
   void RecordAttempt(Engine& engine);
-  // How far it got there.
+  // How far the request got at the engine.
   void RecordReach(const Engine& engine, const Exchange& exchange);
   // `runner` did not run the request.
   void RecordRejection(Engine& runner, const AnswerInfo& facts);
@@ -142,7 +144,7 @@
   base::Duration Elapsed() const;
   base::Duration TimeLeft() const;
   bool Stopped() const noexcept;
-  // The state of the engine for which the first attempt was not made.
+  // Logs the state of the engine for which the first attempt was not made.
   void LogNotAttempted(const EnginePick& pick, EndReason reason) const;
   void LogAttempt(const EnginePick& pick, AttemptEnd end) const;
   void LogEnd() const;
@@ -162,7 +164,7 @@
   RequestTerms terms_;
   base::Time deadline_{};
   bool expired_ = false;
-  // It will miss its goal, and gives way to those that can be in time.
+  // Will miss its latency target and has a lower priority.
   bool late_ = false;
 
   std::vector<base::TargetId> tried_;
@@ -170,28 +172,28 @@
   int runs_ = 0;
   int rejections_ = 0;
   int failed_prefills_ = 0;
-  // Engines that could not be reached; that costs nobody anything but time.
+  // Targets that could not be reached.
   int unreachable_ = 0;
   // Calls that may have reached an engine.
   int arrivals_ = 0;
-  // Calls to have the prompt read that an engine accepted; the first is free.
+  // Prefill calls that an engine accepted; the first one is free.
   int accepted_prefills_ = 0;
-  // A first reading could not be paid for if it was rejected: the engine that
-  // runs the request reads, if that holds up nothing.
+  // There was no budget for a first prefill: the runner prefills if the prompt
+  // is short.
   bool prefill_denied_ = false;
-  // KV cache of this request's prompt that waits to be fetched.
+  // KV cache of this request's prompt, to be fetched by the runner.
   std::optional<KvSource> source_;
   bool outcome_unknown_ = false;
   EventSplitter events_;
-  // A failure that a target answered with, for the caller if no other attempt
-  // does better.
+  // A server error of a target, sent to the caller if no later attempt
+  // succeeds.
   struct SavedAnswer {
     connection::event::AnswerHead head;
     std::string body;
   };
   std::optional<SavedAnswer> saved_answer_;
-  // For the log lines: when the prompt was read and when the answer's first
-  // bytes came, both since the request's arrival.
+  // For logs, since the request's arrival: end of the prefill, and first bytes
+  // of the answer.
   std::optional<base::Duration> prefilled_at_;
   std::optional<base::Duration> first_bytes_at_;
   base::Duration last_bytes_at_{};
--- a/src/request/passthrough/route_table.cc
+++ b/src/request/passthrough/route_table.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The host of a Host header: lower case, without its port.
+// Host name of a Host header in lower case, without port.
 std::string HostKey(std::string_view host) {
   const std::string_view name = host.substr(0, host.rfind(':'));
   std::string key(name);
@@ -21,8 +21,7 @@
 
 }  // namespace
 
-// The users' protocol page: two seconds, four times the goal or eight times the
-// pause, whichever is longest.
+// As specified by the platform's protocol.
 base::Duration Route::EventTimeout() const noexcept {
   constexpr base::Duration kMin = std::chrono::seconds(2);
   return std::max({kMin, 4 * target_latency, 8 * pause_target});
--- a/src/request/passthrough/route_table.h
+++ b/src/request/passthrough/route_table.h
@@ -1,8 +1,7 @@
-// Routes of opaque requests: which service a host and path belong to, and the
-// terms the operator set for them.
+// Routes of passed-through requests: the service for a host and path, and the
+// operator's settings for it.
 //
-// A table is one version of the configuration and never changes; a newer
-// version is a new table.
+// A table is one version of the configuration and immutable.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_ROUTE_TABLE_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_ROUTE_TABLE_H_
 
@@ -18,18 +17,18 @@
 
 namespace lynxglade::request::passthrough {
 
-// What may be repeated. A stream is as unsafe to repeat as a non-idempotent
-// request, unless its route says that it may be resumed.
+// What may be retried. A stream is treated as non-idempotent unless its route
+// is resumable.
 enum class RouteKind { kIdempotent, kNonIdempotent, kStream };
 
 // One of the services that share a route's requests.
 struct ServiceShare {
   base::ServiceName service;
-  // Relative to the sum of the route's weights; 0 sends nothing.
+  // Relative to the sum of the route's weights; 0 for no requests.
   std::uint32_t weight = 1;
 };
 
-// The operator's terms for the requests of one host and path prefix.
+// Settings for the requests of one host and path prefix.
 struct Route {
   std::string name;
   std::string host;
@@ -38,25 +37,25 @@
   RouteKind kind = RouteKind::kNonIdempotent;
   // Engines on which one request may run.
   int max_attempts = 1;
-  // The longest time a caller is kept without its final answer.
+  // Most time until the final answer; 0 for no limit.
   base::Duration timeout{};
-  // Up to the first byte; an answer within it earns its full worth.
+  // Latency target for the first byte; 0 for none.
   base::Duration target_latency{};
-  // Longest pause between the events of a stream that earns its full worth.
+  // Target for the longest pause between the events of a stream.
   base::Duration pause_target{};
   // 0 is the most urgent.
   int priority = 0;
   bool resumable = false;
   std::vector<ServiceShare> shares;
 
-  // How long a stream's caller waits for an event, the first included, before
-  // it leaves.
+  // How long the caller of a stream waits for an event, including the first,
+  // before it disconnects.
   base::Duration EventTimeout() const noexcept;
   // Whether a request of unknown outcome may be sent to another engine.
   bool CanRetry() const noexcept;
 };
 
-// What a caller may send, and how long it may take.
+// Limits for callers' requests.
 struct CallerLimits {
   std::size_t max_header_bytes = std::size_t{16} * 1024;
   std::size_t max_body_bytes = std::size_t{4} * 1024 * 1024;
@@ -64,12 +63,13 @@
   base::Duration idle_timeout = std::chrono::seconds(15);
 };
 
-// What the configuration says of a service's targets.
+// Configuration of a service's targets.
 struct ServiceTerms {
   base::ServiceName name;
-  // Concurrent connections one target takes, from all instances together.
+  // Concurrent connections that one target accepts from all instances together;
+  // 0 for no limit.
   int max_connections = 0;
-  // Its targets are engines that can be ordered to read prompts or to generate.
+  // Its targets are engines that can be switched between prefill and decode.
   bool has_stages = false;
 };
 
@@ -81,15 +81,15 @@
              std::vector<ServiceTerms> services,
              CallerLimits limits);
 
-  // The route of that host with the longest prefix of `path` (no query), or
-  // null. The port of `host` is ignored, and its case.
+  // The route of the host with the longest prefix of `path` (without query), or
+  // null. Ignores the case and port of `host`.
   const Route* Find(std::string_view host, std::string_view path) const;
-  // Null for a service the configuration does not name.
+  // Null if the configuration does not name the service.
   const ServiceTerms* FindService(const base::ServiceName& name) const;
-  // Services whose engines can change their stage, in order of their names.
+  // Services whose engines can change their stage, ordered by name.
   std::vector<base::ServiceName> StagedServices() const;
-  // Splits a route by weight. `point` is a hash of the request, so that a
-  // request's attempts stay with one service. Null if no share has weight.
+  // Picks a service by weight. `point` is a hash of the request, so that all
+  // attempts of a request use one service. Null if no share has weight.
   static const base::ServiceName* PickService(const Route& route,
                                               std::uint64_t point) noexcept;
 
@@ -101,7 +101,7 @@
   std::int64_t version_ = 0;
   std::size_t route_count_ = 0;
   CallerLimits limits_;
-  // By lower-case host; the longest prefixes first.
+  // By lower-case host; longest prefix first.
   std::unordered_map<std::string, std::vector<Route>> by_host_;
   std::unordered_map<base::ServiceName, ServiceTerms> services_;
 };
--- a/src/request/passthrough/shared_retry_budget.cc
+++ b/src/request/passthrough/shared_retry_budget.cc
@@ -15,7 +15,7 @@
   Find(service).requests.Add(1, now);
 }
 
-// Loans first: they end, the own share does not.
+// Spends loans first, as they expire and the own share does not.
 std::optional<ReservedArrivals> SharedRetryBudget::TryReserve(
     const base::ServiceName& service,
     int arrivals,
@@ -104,7 +104,7 @@
   account.held -= held.own;
   --account.reservations;
   if (account.reservations == 0) {
-    // What rounding has left.
+    // Clears rounding errors.
     account.held = 0;
   }
 }
--- a/src/request/passthrough/shared_retry_budget.h
+++ b/src/request/passthrough/shared_retry_budget.h
@@ -1,17 +1,17 @@
-// An instance's share of the retries that the whole fleet of instances may
-// make, and what instances lend each other of their shares.
+// This instance's share of the retry budget common to all instances, and the
+// loans of parts of such shares between instances.
 //
 // The platform counts, over all instances, the arrivals at a service's targets
-// beyond the first of each request, in a sliding window: `ratio` times the
-// requests for the service plus an allowance. An instance may spend what its
-// own requests earn, plus its part of the allowance. With 295 instances that
-// part is two arrivals, and some instances are sent several times the requests
-// of others; so what one does not need it lends to one that does.
+// beyond the first of each request, and bounds them in a sliding window to
+// `ratio` times the service's requests plus an allowance. An instance may spend
+// what its own requests earn plus an equal part of the allowance. Where there
+// are many instances that part is small while load differs, so instances lend
+// each other what they do not need.
 //
-// A loan is the lender's from the moment it gives it until no window can
-// contain an arrival that it paid for. So the shares are never exceeded
-// together, whatever is lost, late or repeated between instances: a loan that
-// does not arrive is spent by nobody.
+// A loan is deducted from the lender from when it is granted until no window
+// can contain an arrival that it paid for. Shares together thus never exceed
+// the budget, even if loans are lost, late or, between instances, repeated; a
+// loan that does not arrive is not spent.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_SHARED_RETRY_BUDGET_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_SHARED_RETRY_BUDGET_H_
 
@@ -27,87 +27,86 @@
 namespace lynxglade::request::passthrough {
 
 struct SharedRetryBudgetOptions {
-  // Of the fleet, as the platform states it.
+  // The platform's bound for all instances together.
   double ratio = 0.2;
   double allowance = 50;
   base::Duration window = std::chrono::seconds(10);
-  // The part of both that is spent, so that instances whose windows or counts
-  // disagree do not exceed the fleet's bound together.
+  // Fraction of the budget that is spent at most: a margin for instances whose
+  // windows or instance counts differ.
   double max_fraction = 0.95;
-  // Of which retries and loans may take this part of both. The rest is left for
-  // first readings, which mostly cost nothing, and without which long prompts
-  // are refused.
+  // Fraction that retries and loans may use. The rest is reserved for first
+  // prefills, which rarely cost anything, and without which long prompts are
+  // refused.
   double max_retry_fraction = 0.8;
-  // A loan is spent within so long of being asked for, or not at all. Longer
-  // lasts for more reads of a prompt; shorter is given back sooner, as a loan
-  // binds its lender for this and a window.
+  // A loan may be spent until this long after it was requested. Longer covers
+  // more prefills of a prompt; shorter frees the lender earlier, for which it
+  // is bound for this and a window.
   base::Duration loan_ttl = std::chrono::seconds(5);
-  // Smaller loans are not worth a message: who misses less is lent this.
+  // Smallest loan; an instance that asks for less gets this much.
   double min_loan = 0.1;
 };
 
-// Arrivals that are set aside until it is known whether they are beyond the
-// first of their request.
+// Arrivals reserved until it is known whether they count as extra arrivals.
 struct ReservedArrivals {
-  // Of the instance's own share, and of loans.
+  // From the instance's own share, and from loans.
   double own = 0;
   double borrowed = 0;
-  // When the first of these loans ends.
+  // When the first of these loans expires.
   base::Time borrowed_until{};
   base::Time reserved_at{};
 };
 
 // What arrivals are for.
 enum class ArrivalPurpose {
-  // A request is sent again; these count if they reach a target.
+  // A request is sent again. Counts if it reaches a target.
   kRetry,
-  // The first reading of a prompt, which counts only if it is rejected.
+  // The first prefill of a prompt. Counts only if it is rejected or not
+  // answered.
   kFirstPrefill,
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: used on the event loop only.
 class SharedRetryBudget {
  public:
-  // `missing` arrivals more would have paid for something.
+  // `missing`: arrivals that were short for a reservation.
   using OnShortfall =
       std::function<void(const base::ServiceName& service, double missing)>;
 
-  // `on_short` may be empty; it is called whenever something could not be paid
-  // for. Loans that are asked for before they are needed end unspent, while
-  // they bind their lenders for three times as long: where each instance asked
-  // as soon as it had little, the fleet's allowance was gone in four seconds.
+  // `on_shortfall` may be empty; it is called for every failed reservation.
+  // Loans are not requested earlier: they would expire unspent while they bind
+  // their lenders for much longer.
   explicit SharedRetryBudget(SharedRetryBudgetOptions options,
                              OnShortfall on_short = {});
   SharedRetryBudget(const SharedRetryBudget&) = delete;
   SharedRetryBudget& operator=(const SharedRetryBudget&) = delete;
 
-  // A request for the service was taken from a caller.
+  // Counts a request for the service received from a caller.
   void OnRequest(const base::ServiceName& service, base::Time now);
-  // Sets so many arrivals aside; nothing if the share and what was borrowed do
-  // not cover them. What is held is either released or charged. `instances`,
-  // here and below: those that may be up, this one included.
+  // Reserves `arrivals`; nothing if own share and loans do not cover them. Each
+  // reservation must be either released or charged. `instances`, here and
+  // below: those that may be up, including this one.
   std::optional<ReservedArrivals> TryReserve(const base::ServiceName& service,
                                              int arrivals,
                                              ArrivalPurpose use,
                                              int instances,
                                              base::Time now);
-  // They do not count.
+  // Returns a reservation whose arrivals do not count.
   void Release(const base::ServiceName& service,
                const ReservedArrivals& held,
                base::Time now);
-  // They count, from when they were held.
+  // Spends a reservation; its arrivals count from when they were reserved.
   void Charge(const base::ServiceName& service, const ReservedArrivals& held);
-  // An arrival that counts although it was not held any more.
+  // Counts an arrival whose reservation was already released.
   void ChargeLate(const base::ServiceName& service, base::Time now);
 
-  // Arrivals lent to another instance that misses `wanted`; 0 if this one has
-  // none left. It keeps nothing back: it can borrow itself when it has to, and
-  // what 295 instances keep for themselves is missing where it is needed.
+  // Grants up to `wanted` arrivals, at least `min_loan`, to another instance
+  // and returns how many; 0 if less is left. Nothing is kept back, as this
+  // instance can borrow itself.
   double Lend(const base::ServiceName& service,
               double wanted,
               int instances,
               base::Time now);
-  // Another instance lent so much, in answer to a question of that time.
+  // Adds a loan from another instance that was requested at `asked_at`.
   void Borrow(const base::ServiceName& service,
               double arrivals,
               base::Time asked_at);
@@ -124,19 +123,19 @@
           lent(options.window + options.loan_ttl) {}
 
     SlidingWindowSum requests;
-    // Paid from the own share.
+    // Charged to the own share.
     SlidingWindowSum spent;
     SlidingWindowSum lent;
-    // Of the own share; and arrivals held in all.
+    // Reserved of the own share, and the number of open reservations.
     double held = 0;
     int reservations = 0;
-    // Left of what was borrowed, those that end first in front.
+    // Unspent loans, ordered by expiry.
     std::vector<Loan> loans;
   };
 
   Account& Find(const base::ServiceName& service);
-  // Left of the own share if so much of it may be spent; below 0 if less was
-  // left of it before, or the share has shrunk.
+  // What remains of the fraction `part` of the own share; negative if more was
+  // spent before, or the share has shrunk.
   double OwnRemaining(Account& account,
                       double part,
                       int instances,
--- a/src/request/passthrough/sliding_window_sum.h
+++ b/src/request/passthrough/sliding_window_sum.h
@@ -1,4 +1,4 @@
-// A sum of amounts that each count for a fixed time.
+// Sum of the amounts added within a time window.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_SLIDING_WINDOW_SUM_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_SLIDING_WINDOW_SUM_H_
 
@@ -12,7 +12,7 @@
 // Not thread-safe.
 class SlidingWindowSum {
  public:
-  // An amount of t counts up to and including t + `life`.
+  // An amount added at t counts up to and including t + `life`.
   explicit SlidingWindowSum(base::Duration life) noexcept : life_(life) {}
 
   void Add(double amount, base::Time at) {
@@ -21,14 +21,14 @@
     total_ += amount;
   }
 
-  // `now` never goes back.
+  // `now` must not decrease.
   double Total(base::Time now) {
     while (!amounts_.empty() && amounts_.front().at < now - life_) {
       total_ -= amounts_.front().amount;
       amounts_.pop_front();
     }
     if (amounts_.empty()) {
-      // What rounding has left.
+      // Clears rounding errors.
       total_ = 0;
     }
     return total_;
--- a/src/request/passthrough/target_protocol.h
+++ b/src/request/passthrough/target_protocol.h
@@ -1,8 +1,8 @@
-// What the relay has to know of the protocol that callers and targets speak.
+// Hooks for the protocol between callers and targets.
 //
-// The relay passes bodies and most headers on as they are. The few headers
-// that carry terms are read and written by these hooks, so that the relay
-// knows no header's name.
+// The relay forwards bodies and most headers unchanged. The few headers with
+// terms are read and written by these hooks, so that the relay is independent
+// of header names.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_TARGET_PROTOCOL_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_TARGET_PROTOCOL_H_
 
@@ -20,65 +20,63 @@
 
 namespace lynxglade::request::passthrough {
 
-// The terms in a caller's head.
+// Terms in the head of a caller's request.
 struct RequestTerms {
-  // The caller's name for this request; a repeat by the caller has a new one.
+  // Assigned by the caller; a retry by the caller has a new one.
   std::string request_id;
-  // How long the caller will wait from now, if it says so.
+  // How long the caller waits from now, if stated.
   std::optional<base::Duration> timeout;
   Prompt prompt;
-  // Output tokens that the caller expects, right at the median and often far
-  // off; 0 if it does not say.
+  // Output tokens that the caller expects; a rough estimate, unbiased in the
+  // median. 0 if not stated.
   std::int64_t expected_tokens = 0;
-  // Output tokens that the caller takes at most; 0 if it does not say.
+  // Most output tokens that the caller accepts; 0 if not stated.
   std::int64_t max_tokens = 0;
-  // The caller goes on after this event of a broken stream; empty: from the
-  // start.
+  // The caller resumes a broken stream after this event; empty: from the start.
   std::string last_event_id;
 };
 
-// KV cache that waits at an engine to be fetched once.
+// KV cache held by an engine, to be fetched once.
 struct KvSource {
   EngineHandle engine;
   std::string handle;
 };
 
-// The terms under which a request goes to one target.
+// Terms under which a request is sent to one target.
 struct SendTerms {
   EngineHandle target;
-  // A target stops working when this has passed.
+  // The target stops working after this.
   base::Duration time_left{};
   // 0 is the most urgent.
   int priority = 0;
-  // Only the prompt is read; the KV cache waits for another engine.
+  // Only prefill; the KV cache is kept for another engine.
   bool prefill_only = false;
   std::optional<KvSource> source;
-  // Fetch what is cached there of the prompt's parts first; null: nothing.
+  // Fetch cached parts of the prompt from this engine first; null: none.
   EngineHandle fetch_from;
-  // Go on after this event; empty: from the start.
+  // Resume after this event; empty: from the start.
   std::string last_event_id;
 };
 
-// What the head of a target's answer says.
+// Contents of the head of a target's answer.
 struct AnswerInfo {
-  // kNotRun if the target says that it did not run the request.
+  // kNotRun if the target states that it did not run the request.
   base::Outcome outcome = base::Outcome::kRan;
-  // Another target has this address.
+  // The address belongs to another target.
   bool misdirected = false;
-  // It carries the target's proof of origin, and the body is as the target
-  // made it.
+  // Carries the target's proof of origin, and the body is unmodified.
   bool authenticated = false;
   std::optional<ReportedLoad> load;
 };
 
 struct TargetProtocol {
-  // Nothing, with a reason, if a head's terms cannot be read.
+  // Nothing, with a reason, if the terms are malformed.
   std::function<std::optional<RequestTerms>(
       const connection::event::RequestHead&,
       std::string* reason)>
       parse_terms;
-  // Turns a copy of the caller's head into the target's: takes out what is
-  // the system's to set, and sets it.
+  // Turns a copy of the caller's head into the one for the target: removes
+  // headers reserved to the system and sets them.
   std::function<void(connection::event::RequestHead&, const SendTerms&)>
       rewrite_head;
   std::function<AnswerInfo(const connection::event::ResponseHead&)>
@@ -88,9 +86,9 @@
                      std::string_view request_id,
                      bool fresh_connection)>
       is_answer_to;
-  // The handle in the body of an answer to a read-only request.
+  // The handle in the body of an answer to a prefill-only request.
   std::function<std::optional<std::string>(std::string_view body)> parse_handle;
-  // The request that frees KV cache that nobody will fetch.
+  // The request that frees KV cache that will not be fetched.
   std::function<connection::event::OutgoingRequest(const KvSource&)>
       free_handle;
 };
--- a/src/request/passthrough/zone_health.h
+++ b/src/request/passthrough/zone_health.h
@@ -1,9 +1,9 @@
-// Whether the targets of an availability zone can be reached at all.
+// Detects that the targets of an availability zone cannot be reached.
 //
-// When zones are cut off from each other every target there would have to fail
-// for itself, at 300 ms a request and target. Several different targets of a
-// zone that cannot be reached, and none that could in between, say it for all.
-// One request at a time then finds out whether the zone is back.
+// When zones are partitioned every target there would have to fail
+// individually, at a connection timeout each. A zone counts as unreachable when
+// several different targets of it could not be reached and none was reached in
+// between. A single request at a time then probes it.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_ZONE_HEALTH_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_ZONE_HEALTH_H_
 
@@ -17,44 +17,44 @@
 namespace lynxglade::request::passthrough {
 
 struct ZoneHealthOptions {
-  // Different targets in a row. Fewer would take a few crashed engines for a
-  // cut: of 90, the users lose up to 23 at once.
+  // Different targets in a row. Fewer could be a few crashed engines.
   std::size_t min_unreachable_targets = 3;
-  // Failures longer ago say nothing any more.
+  // Earlier failures are ignored.
   base::Duration failure_ttl = std::chrono::milliseconds(2000);
-  // Between requests that try a zone that is cut off.
+  // Between probe requests to an unreachable zone.
   base::Duration probe_interval = std::chrono::milliseconds(500);
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: used on the event loop only.
 class ZoneHealth {
  public:
   explicit ZoneHealth(ZoneHealthOptions options = {});
   ZoneHealth(const ZoneHealth&) = delete;
   ZoneHealth& operator=(const ZoneHealth&) = delete;
 
-  // A connection to a target could not be made.
+  // A connection to a target failed.
   void OnUnreachable(const base::ZoneId& zone,
                      const base::TargetId& target,
                      base::Time now);
   // A target answered.
   void OnReached(const base::ZoneId& zone);
-  // A request is sent there.
+  // A request is being sent to the zone.
   void OnTry(const base::ZoneId& zone, base::Time now);
 
-  // Whether targets of other zones are to be preferred.
+  // Whether targets of other zones should be preferred; false when a probe is
+  // due.
   bool IsUnreachable(const base::ZoneId& zone, base::Time now) const;
 
  private:
   struct Zone {
-    // Targets that could not be reached since one could.
+    // Targets that could not be reached since the last one that was.
     std::set<base::TargetId> unreachable;
     base::Time last_failure{};
-    // No request before then.
+    // When the next request may be sent there.
     base::Time next_probe{};
   };
 
-  // Whether enough targets in a row speak against the zone.
+  // Whether enough different targets failed in a row.
   bool IsSuspect(const Zone& zone) const noexcept {
     return zone.unreachable.size() >= options_.min_unreachable_targets;
   }
