--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -116,7 +116,7 @@
       [this](const request::passthrough::Engine& engine, base::Time now) {
         return answers.Capacity(engine, now);
       };
-  request::passthrough::EnginePicker choice;
+  request::passthrough::EnginePicker picker;
   request::passthrough::SharedRetryBudget allowance;
   process::InstancePresence presence;
   // What the followers watch: the store, or another instance that does.
@@ -144,7 +144,7 @@
 EntryDaemon::Details::Details(const process::EntrySettings& s)
     : settings(s),
       store(loop, channels, {.endpoint = EndpointOf(s.store)}, metrics),
-      choice(
+      picker(
           {.zone = s.zone},
           prefill_times,
           random,
@@ -201,7 +201,7 @@
           },
           [this] { return clock() - last_request > kIdleAfter; },
           [this](const base::ServiceName& service) {
-            return choice.Backlog(views.engines().OfService(service), clock());
+            return picker.Backlog(views.engines().OfService(service), clock());
           },
           room,
           clock,
@@ -296,11 +296,11 @@
   return {.loop = loop,
           .channels = channels,
           .engines = views.engines(),
-          .choice = choice,
+          .picker = picker,
           .prefill_times = prefill_times,
           .generation_times = generation_times,
           .answers = answers,
-          .allowance = allowance,
+          .retry_budget = allowance,
           .zones = zones,
           .metrics = metrics,
           .clock = clock,
--- a/src/request/passthrough/relay.h
+++ b/src/request/passthrough/relay.h
@@ -68,11 +68,11 @@
   connection::event::asio::io_context& loop;
   connection::event::ChannelPool& channels;
   EngineTable& engines;
-  const EnginePicker& choice;
+  const EnginePicker& picker;
   PrefillTimes& prefill_times;
   GenerationTimes& generation_times;
   AnswerAdmission& answers;
-  SharedRetryBudget& allowance;
+  SharedRetryBudget& retry_budget;
   ZoneHealth& zones;
   base::Metrics& metrics;
   base::Clock clock;
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -73,7 +73,7 @@
   }
   const auto held = std::make_shared<std::optional<ReservedArrivals>>();
   const std::function<bool(base::Time)> hold = [&](base::Time now) {
-    *held = parts_.allowance.TryReserve(
+    *held = parts_.retry_budget.TryReserve(
         service_, 1, ArrivalPurpose::kFirstPrefill, parts_.instances(), now);
     return held->has_value();
   };
@@ -90,17 +90,17 @@
                                               options_.rejection_window);
   timer.async_wait([this, held, alive = alive_](const ErrorCode& ec) {
     if (!ec && *alive && *held) {
-      parts_.allowance.Release(service_, **held, parts_.clock());
+      parts_.retry_budget.Release(service_, **held, parts_.clock());
       held->reset();
     }
   });
   const bool read = co_await SendPrefill(pick, &may_count);
   if (*held && may_count) {
-    parts_.allowance.Charge(service_, **held);
+    parts_.retry_budget.Charge(service_, **held);
   } else if (*held) {
-    parts_.allowance.Release(service_, **held, parts_.clock());
+    parts_.retry_budget.Release(service_, **held, parts_.clock());
   } else if (may_count) {
-    parts_.allowance.ChargeLate(service_, parts_.clock());
+    parts_.retry_budget.ChargeLate(service_, parts_.clock());
   }
   held->reset();
   co_return read;
--- a/src/request/passthrough/relay_run.cc
+++ b/src/request/passthrough/relay_run.cc
@@ -51,7 +51,7 @@
     LogEnd();
     co_return;
   }
-  parts_.allowance.OnRequest(service_, parts_.clock());
+  parts_.retry_budget.OnRequest(service_, parts_.clock());
   StartTimer();
   reply_.OnGone([this] {
     if (current_) {
@@ -123,7 +123,7 @@
       break;
     }
     if (prefill_denied_ && runs_ == 0 &&
-        parts_.choice.PrefillStallsDecode(pick)) {
+        parts_.picker.PrefillStallsDecode(pick)) {
       // Prefilled by its runner, the prompt would stall other requests'
       // streams.
       co_await Refuse(EndReason::kRetryBudget);
@@ -141,9 +141,9 @@
     const int arrivals_before = arrivals_;
     end = co_await Attempt(pick);
     if (arrivals_ > arrivals_before) {
-      parts_.allowance.Charge(service_, *paid);
+      parts_.retry_budget.Charge(service_, *paid);
     } else {
-      parts_.allowance.Release(service_, *paid, parts_.clock());
+      parts_.retry_budget.Release(service_, *paid, parts_.clock());
     }
     LogAttempt(pick, end);
     if (end == AttemptEnd::kFinished || !MayRetry(end)) {
@@ -207,10 +207,10 @@
                                 runs_ == 0 && !prefill_denied_,
       .now = parts_.clock()};
   if (!source_) {
-    return parts_.choice.Pick(engines, query);
+    return parts_.picker.Pick(engines, query);
   }
   EnginePick pick;
-  pick.runner = parts_.choice.PickDecoder(engines, *source_->engine, query);
+  pick.runner = parts_.picker.PickDecoder(engines, *source_->engine, query);
   pick.prefill_engine = source_->engine;
   return pick;
 }
@@ -233,12 +233,13 @@
   const int arrivals = (runs_ + rejections_ > 0 ? 1 : 0) +
                        (prefills && accepted_prefills_ > 0 ? 1 : 0);
   if (arrivals == 0) {
-    co_return parts_.allowance.TryReserve(service_, 0, ArrivalPurpose::kRetry,
-                                          parts_.instances(), parts_.clock());
+    co_return parts_.retry_budget.TryReserve(
+        service_, 0, ArrivalPurpose::kRetry, parts_.instances(),
+        parts_.clock());
   }
   std::optional<ReservedArrivals> held;
   const std::function<bool(base::Time)> hold = [&](base::Time now) {
-    held = parts_.allowance.TryReserve(
+    held = parts_.retry_budget.TryReserve(
         service_, arrivals, ArrivalPurpose::kRetry, parts_.instances(), now);
     return held.has_value();
   };
--- a/tests/platform/relay_fixture.h
+++ b/tests/platform/relay_fixture.h
@@ -86,7 +86,7 @@
   request::passthrough::PrefillTimes prefill_times_;
   request::passthrough::GenerationTimes generation_times_;
   request::passthrough::AnswerAdmission answers_{generation_times_};
-  request::passthrough::EnginePicker choice_{{.zone = base::ZoneId("a")},
+  request::passthrough::EnginePicker picker_{{.zone = base::ZoneId("a")},
                                              prefill_times_,
                                              base::SeededRandom(1)};
   request::passthrough::SharedRetryBudget allowance_{{}};
