--- a/src/request/passthrough/answer_admission.cc
+++ b/src/request/passthrough/answer_admission.cc
@@ -66,9 +66,10 @@
     sizes.requests += 1;
     const double step =
         std::max(options_.size_learning_rate, 1 / sizes.requests);
-    const double off = LogTokens(asked) - sizes.mean_log;
-    sizes.mean_log += step * off;
-    sizes.variance_log = (1 - step) * (sizes.variance_log + step * off * off);
+    const double deviation = LogTokens(asked) - sizes.mean_log;
+    sizes.mean_log += step * deviation;
+    sizes.variance_log =
+        (1 - step) * (sizes.variance_log + step * deviation * deviation);
   }
   return sizes;
 }
@@ -120,8 +121,8 @@
   const auto within = std::chrono::duration_cast<base::Duration>(
       options_.timeout_fraction * sizes.timeout);
   const std::int64_t large = LargeTokens(sizes);
-  const auto most = times_.MaxRequests(engine, large, within);
-  return most ? *most : DefaultCapacity(engine, large, within);
+  const auto max_requests = times_.MaxRequests(engine, large, within);
+  return max_requests ? *max_requests : DefaultCapacity(engine, large, within);
 }
 
 double AnswerAdmission::DefaultCapacity(const Engine& engine,
--- a/src/request/passthrough/engine_picker.cc
+++ b/src/request/passthrough/engine_picker.cc
@@ -112,7 +112,7 @@
   std::vector<EngineHandle> prefill_engines;
   std::ranges::copy_if(usable, std::back_inserter(prefill_engines),
                        [](const EngineHandle& it) { return IsPrefill(*it); });
-  const PrefixPlacement places =
+  const PrefixPlacement placement =
       FindPrefixPlacement(prefill_engines.empty() ? decoders : prefill_engines,
                           engines, query.prompt, options_.settle_time, now);
   if (!query.allow_separate_prefill) {
@@ -122,7 +122,7 @@
   best.expected = base::Duration::max();
   for (const EngineHandle& engine : decoders) {
     EnginePick pick = EstimatePrefill(
-        engine, prefill_engines.empty() ? places : PrefixPlacement(), query);
+        engine, prefill_engines.empty() ? placement : PrefixPlacement(), query);
     pick.expected += TieBreakJitter();
     if (pick.expected < best.expected &&
         (!PrefillStallsDecode(pick) || prefill_engines.empty())) {
@@ -131,7 +131,7 @@
     }
   }
   for (const EngineHandle& engine : prefill_engines) {
-    EnginePick pick = EstimatePrefill(engine, places, query);
+    EnginePick pick = EstimatePrefill(engine, placement, query);
     pick.expected += FromFineMillis(
         prefill_times_.HandoverMs(engine->entry.service) + least_loaded_ms);
     if (pick.expected < best.expected) {
@@ -144,20 +144,21 @@
 }
 
 EnginePick EnginePicker::EstimatePrefill(const EngineHandle& engine,
-                                         const PrefixPlacement& places,
+                                         const PrefixPlacement& placement,
                                          const EnginePickQuery& query) const {
   const Prompt& prompt = query.prompt;
   const PrefillsAhead ahead = CountPrefills(*engine, query.priority, query.now);
   const double wait_ms = WaitMs(*engine, ahead, query.priority, query.now);
   EnginePick pick;
   pick.no_other_prefills = ahead.total() == 0;
-  pick.prefill_tokens = places.home ? prompt.OwnTokens() : prompt.TotalTokens();
+  pick.prefill_tokens =
+      placement.home ? prompt.OwnTokens() : prompt.TotalTokens();
   double prefill_ms = PrefillMs(*engine, pick.prefill_tokens);
-  if (places.holder && engine != places.holder) {
-    pick.fetch_from = places.holder;
+  if (placement.holder && engine != placement.holder) {
+    pick.fetch_from = placement.holder;
     prefill_ms += prefill_times_.FetchMs(engine->entry.service);
   }
-  if (places.home && engine != places.home) {
+  if (placement.home && engine != placement.home) {
     const std::int64_t shared = prompt.TotalTokens() - prompt.OwnTokens();
     prefill_ms += std::max(
         options_.remote_prefill_penalty * PrefillMs(*engine, shared),
--- a/src/request/passthrough/engine_picker.h
+++ b/src/request/passthrough/engine_picker.h
@@ -153,7 +153,7 @@
   // Estimates the times for a prefill at `engine`; leaves `runner` and
   // `prefill_engine` unset.
   EnginePick EstimatePrefill(const EngineHandle& engine,
-                             const PrefixPlacement& places,
+                             const PrefixPlacement& placement,
                              const EnginePickQuery& query) const;
   // Pending tokens of other prompts at an engine, of this instance and its
   // peers.
--- a/src/request/passthrough/generation_times.cc
+++ b/src/request/passthrough/generation_times.cc
@@ -26,9 +26,9 @@
   double& slowness = engine.generation_slowness;
   double ms = base::ToFineMillis(took);
   if (fit.weight() >= options_.min_events) {
-    const double usual = fit.Fit(kMinSlopeMs).At(n);
-    ms = std::min(ms, options_.max_outlier_ratio * usual * slowness);
-    slowness += options_.engine_learning_rate * (ms / usual - slowness) +
+    const double expected = fit.Fit(kMinSlopeMs).At(n);
+    ms = std::min(ms, options_.max_outlier_ratio * expected * slowness);
+    slowness += options_.engine_learning_rate * (ms / expected - slowness) +
                 kSlownessDecay * (1 - slowness);
     slowness = std::clamp(slowness, 1 / kMaxSlowness, kMaxSlowness);
   }
@@ -62,10 +62,10 @@
   const Service& service = it->second;
   const double events =
       static_cast<double>(tokens) / std::exp(service.log_tokens_per_event);
-  const double most_event_ms =
+  const double max_event_ms =
       base::ToFineMillis(within) / events / engine.generation_slowness;
   const Line line = service.event_ms.Fit(kMinSlopeMs);
-  const double n = (most_event_ms - line.base) / line.slope;
+  const double n = (max_event_ms - line.base) / line.slope;
   const double slots = std::max(engine.entry.slots, 1);
   return static_cast<int>(std::clamp(n, 1.0, slots));
 }
--- a/src/request/passthrough/latency_admission.cc
+++ b/src/request/passthrough/latency_admission.cc
@@ -2,18 +2,18 @@
 
 namespace lynxglade::request::passthrough {
 
-bool MissesLatencyTarget(const LatencyForecast& outlook,
-                         base::Duration goal,
+bool MissesLatencyTarget(const LatencyForecast& forecast,
+                         base::Duration latency_target,
                          const LatencyAdmissionOptions& options) noexcept {
-  return goal > base::Duration::zero() &&
-         outlook.wait > options.max_wait_per_target * goal;
+  return latency_target > base::Duration::zero() &&
+         forecast.wait > options.max_wait_per_target * latency_target;
 }
 
-bool ExceedsCallerTimeout(const LatencyForecast& outlook,
-                          base::Duration left,
+bool ExceedsCallerTimeout(const LatencyForecast& forecast,
+                          base::Duration time_left,
                           const LatencyAdmissionOptions& options) noexcept {
-  return outlook.expected > left ||
-         outlook.wait > options.max_wait_per_time_left * left;
+  return forecast.expected > time_left ||
+         forecast.wait > options.max_wait_per_time_left * time_left;
 }
 
 }  // namespace lynxglade::request::passthrough
--- a/src/request/passthrough/latency_admission.h
+++ b/src/request/passthrough/latency_admission.h
@@ -39,14 +39,14 @@
 // Whether the prompt will miss the latency target. Its own size does not count,
 // so that large prompts are not at a disadvantage. Always false for a target of
 // 0 (none).
-bool MissesLatencyTarget(const LatencyForecast& outlook,
-                         base::Duration goal,
+bool MissesLatencyTarget(const LatencyForecast& forecast,
+                         base::Duration latency_target,
                          const LatencyAdmissionOptions& options) noexcept;
 
-// Whether to refuse the prompt; `left`: how long its caller waits for the first
-// byte.
-bool ExceedsCallerTimeout(const LatencyForecast& outlook,
-                          base::Duration left,
+// Whether to refuse the prompt; `time_left`: how long its caller waits for the
+// first byte.
+bool ExceedsCallerTimeout(const LatencyForecast& forecast,
+                          base::Duration time_left,
                           const LatencyAdmissionOptions& options) noexcept;
 
 }  // namespace lynxglade::request::passthrough
--- a/src/request/passthrough/peer_prefills.cc
+++ b/src/request/passthrough/peer_prefills.cc
@@ -29,21 +29,21 @@
 void PeerPrefills::Put(const base::InstanceId& peer,
                        const std::vector<PeerPrefill>& prefills,
                        base::Time now) {
-  for (auto& [engine, by_peer] : reads_) {
+  for (auto& [engine, by_peer] : prefills_) {
     by_peer.erase(peer);
   }
-  for (const PeerPrefill& read : prefills) {
-    reads_[read.engine].emplace(peer,
-                                Entry{read.priority, read.prefill_tokens, now});
+  for (const PeerPrefill& prefill : prefills) {
+    prefills_[prefill.engine].emplace(
+        peer, Entry{prefill.priority, prefill.prefill_tokens, now});
   }
-  std::erase_if(reads_, [](const auto& it) { return it.second.empty(); });
+  std::erase_if(prefills_, [](const auto& it) { return it.second.empty(); });
 }
 
 std::int64_t PeerPrefills::PrefillTokens(const base::TargetId& engine,
                                          int priority,
                                          base::Time now) const {
-  const auto it = reads_.find(KeyOf(engine));
-  if (it == reads_.end()) {
+  const auto it = prefills_.find(KeyOf(engine));
+  if (it == prefills_.end()) {
     return 0;
   }
   std::int64_t sum = 0;
--- a/src/request/passthrough/peer_prefills.h
+++ b/src/request/passthrough/peer_prefills.h
@@ -67,7 +67,7 @@
 
   const PeerPrefillsOptions options_;
   double scale_ = 1;
-  std::map<EngineKey, ByPeer> reads_;
+  std::map<EngineKey, ByPeer> prefills_;
 };
 
 }  // namespace lynxglade::request::passthrough
--- a/src/request/passthrough/prefix_placement.cc
+++ b/src/request/passthrough/prefix_placement.cc
@@ -11,8 +11,8 @@
 
 // The engine with the highest rendezvous hash: a part's home stays the same
 // when other engines join or leave. Null if there is no engine.
-EngineHandle Highest(const std::vector<EngineHandle>& engines,
-                     const PromptPart& part) {
+EngineHandle HighestScore(const std::vector<EngineHandle>& engines,
+                          const PromptPart& part) {
   const auto it = std::ranges::max_element(
       engines, {}, [&part](const EngineHandle& engine) {
         return base::HashPair(engine->entry.id.str(), part.id);
@@ -31,20 +31,20 @@
   if (!shared || usable.empty()) {
     return {};
   }
-  PrefixPlacement places;
-  places.home = Highest(usable, *shared);
-  const EngineStage stage = places.home->entry.stage;
+  PrefixPlacement placement;
+  placement.home = HighestScore(usable, *shared);
+  const EngineStage stage = placement.home->entry.stage;
   std::vector<EngineHandle> settled;
   std::ranges::copy_if(
       engines, std::back_inserter(settled), [&](const EngineHandle& it) {
         return it->entry.stage == stage &&
                it->stage_since + settle_time <= now && !it->health.Avoided(now);
       });
-  places.holder = Highest(settled, *shared);
-  if (!places.holder) {
-    places.holder = places.home;
+  placement.holder = HighestScore(settled, *shared);
+  if (!placement.holder) {
+    placement.holder = placement.home;
   }
-  return places;
+  return placement;
 }
 
 }  // namespace lynxglade::request::passthrough
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -71,13 +71,13 @@
   if (accepted_prefills_ > 0) {
     co_return co_await SendPrefill(pick, &may_count);
   }
-  const auto held = std::make_shared<std::optional<ReservedArrivals>>();
-  const std::function<bool(base::Time)> hold = [&](base::Time now) {
-    *held = parts_.retry_budget.TryReserve(
+  const auto reserved = std::make_shared<std::optional<ReservedArrivals>>();
+  const std::function<bool(base::Time)> reserve = [&](base::Time now) {
+    *reserved = parts_.retry_budget.TryReserve(
         service_, 1, ArrivalPurpose::kFirstPrefill, parts_.instances(), now);
-    return held->has_value();
+    return reserved->has_value();
   };
-  const bool paid = co_await WaitForBudget(hold);
+  const bool paid = co_await WaitForBudget(reserve);
   if (!paid) {
     prefill_denied_ = true;
     parts_.metrics
@@ -88,22 +88,22 @@
   }
   connection::event::asio::steady_timer timer(parts_.loop,
                                               options_.rejection_window);
-  timer.async_wait([this, held, alive = alive_](const ErrorCode& ec) {
-    if (!ec && *alive && *held) {
-      parts_.retry_budget.Release(service_, **held, parts_.clock());
-      held->reset();
+  timer.async_wait([this, reserved, alive = alive_](const ErrorCode& ec) {
+    if (!ec && *alive && *reserved) {
+      parts_.retry_budget.Release(service_, **reserved, parts_.clock());
+      reserved->reset();
     }
   });
-  const bool read = co_await SendPrefill(pick, &may_count);
-  if (*held && may_count) {
-    parts_.retry_budget.Charge(service_, **held);
-  } else if (*held) {
-    parts_.retry_budget.Release(service_, **held, parts_.clock());
+  const bool prefilled = co_await SendPrefill(pick, &may_count);
+  if (*reserved && may_count) {
+    parts_.retry_budget.Charge(service_, **reserved);
+  } else if (*reserved) {
+    parts_.retry_budget.Release(service_, **reserved, parts_.clock());
   } else if (may_count) {
     parts_.retry_budget.ChargeLate(service_, parts_.clock());
   }
-  held->reset();
-  co_return read;
+  reserved->reset();
+  co_return prefilled;
 }
 
 Awaitable<bool> RelayRun::SendPrefill(const EnginePick& pick, bool* may_count) {
--- a/src/request/passthrough/relay_report.cc
+++ b/src/request/passthrough/relay_report.cc
@@ -125,12 +125,12 @@
   if (refusal.promises_not_run) {
     const base::Duration part = std::chrono::duration_cast<base::Duration>(
         options_.retry_after_of_time_left * TimeLeft());
-    const double least =
+    const double min_seconds =
         std::chrono::duration<double>(std::max(options_.retry_after, part))
             .count();
     head.fields.set(
         http::field::retry_after,
-        SecondsText(least * (1 + base::UniformReal(parts_.random))));
+        SecondsText(min_seconds * (1 + base::UniformReal(parts_.random))));
   }
   co_await reply_.SendWhole(std::move(head), {});
 }
--- a/src/request/passthrough/relay_run.cc
+++ b/src/request/passthrough/relay_run.cc
@@ -237,13 +237,13 @@
         service_, 0, ArrivalPurpose::kRetry, parts_.instances(),
         parts_.clock());
   }
-  std::optional<ReservedArrivals> held;
-  const std::function<bool(base::Time)> hold = [&](base::Time now) {
-    held = parts_.retry_budget.TryReserve(
+  std::optional<ReservedArrivals> reserved;
+  const std::function<bool(base::Time)> reserve = [&](base::Time now) {
+    reserved = parts_.retry_budget.TryReserve(
         service_, arrivals, ArrivalPurpose::kRetry, parts_.instances(), now);
-    return held.has_value();
+    return reserved.has_value();
   };
-  const bool paid = co_await WaitForBudget(hold);
+  const bool paid = co_await WaitForBudget(reserve);
   parts_.metrics
       .GetCounter(
           paid ? "lynxglade_retries_total" : "lynxglade_retry_denials_total",
@@ -256,7 +256,7 @@
        {"after", ToString(after)},
        {"arrivals", arrivals},
        {"instances", parts_.instances()}});
-  co_return held;
+  co_return reserved;
 }
 
 Awaitable<bool> RelayRun::WaitForBudget(
@@ -277,11 +277,11 @@
 
 Awaitable<AttemptEnd> RelayRun::Attempt(EnginePick pick) {
   if (pick.prefill_engine && !source_) {
-    const bool read = co_await PrefillPrompt(pick);
+    const bool prefilled = co_await PrefillPrompt(pick);
     if (Stopped()) {
       co_return AttemptEnd::kStopped;
     }
-    if (!read) {
+    if (!prefilled) {
       co_return AttemptEnd::kNotRun;
     }
     // Loads have changed during the prefill.
--- a/src/request/passthrough/shared_retry_budget.cc
+++ b/src/request/passthrough/shared_retry_budget.cc
@@ -7,8 +7,8 @@
 namespace lynxglade::request::passthrough {
 
 SharedRetryBudget::SharedRetryBudget(SharedRetryBudgetOptions options,
-                                     OnShortfall on_short)
-    : options_(options), on_short_(std::move(on_short)) {}
+                                     OnShortfall on_shortfall)
+    : options_(options), on_shortfall_(std::move(on_shortfall)) {}
 
 void SharedRetryBudget::OnRequest(const base::ServiceName& service,
                                   base::Time now) {
@@ -27,49 +27,49 @@
   const double own =
       std::max(OwnRemaining(account, FractionFor(use), instances, now), 0.0);
   if (borrowed + own < arrivals) {
-    if (on_short_) {
-      on_short_(service, arrivals - borrowed - own);
+    if (on_shortfall_) {
+      on_shortfall_(service, arrivals - borrowed - own);
     }
     return std::nullopt;
   }
-  ReservedArrivals held;
-  held.reserved_at = now;
+  ReservedArrivals reserved;
+  reserved.reserved_at = now;
   if (!account.loans.empty()) {
-    held.borrowed_until = account.loans.front().until;
+    reserved.borrowed_until = account.loans.front().until;
   }
-  held.borrowed = std::min<double>(borrowed, arrivals);
-  held.own = arrivals - held.borrowed;
-  SpendLoans(account, held.borrowed);
-  account.held += held.own;
+  reserved.borrowed = std::min<double>(borrowed, arrivals);
+  reserved.own = arrivals - reserved.borrowed;
+  SpendLoans(account, reserved.borrowed);
+  account.reserved += reserved.own;
   ++account.reservations;
-  return held;
+  return reserved;
 }
 
 void SharedRetryBudget::SpendLoans(Account& account, double arrivals) {
   for (Loan& loan : account.loans) {
-    const double part = std::min(loan.arrivals, arrivals);
-    loan.arrivals -= part;
-    arrivals -= part;
+    const double used = std::min(loan.arrivals, arrivals);
+    loan.arrivals -= used;
+    arrivals -= used;
   }
   std::erase_if(account.loans, [](const Loan& it) { return it.arrivals <= 0; });
 }
 
 void SharedRetryBudget::Release(const base::ServiceName& service,
-                                const ReservedArrivals& held,
+                                const ReservedArrivals& reserved,
                                 base::Time now) {
   Account& account = Find(service);
-  DropReservation(account, held);
-  if (held.borrowed > 0 && held.borrowed_until > now) {
-    AddLoan(account, {held.borrowed_until, held.borrowed});
+  DropReservation(account, reserved);
+  if (reserved.borrowed > 0 && reserved.borrowed_until > now) {
+    AddLoan(account, {reserved.borrowed_until, reserved.borrowed});
   }
 }
 
 void SharedRetryBudget::Charge(const base::ServiceName& service,
-                               const ReservedArrivals& held) {
+                               const ReservedArrivals& reserved) {
   Account& account = Find(service);
-  DropReservation(account, held);
-  if (held.own > 0) {
-    account.spent.Add(held.own, held.reserved_at);
+  DropReservation(account, reserved);
+  if (reserved.own > 0) {
+    account.spent.Add(reserved.own, reserved.reserved_at);
   }
 }
 
@@ -100,12 +100,12 @@
 }
 
 void SharedRetryBudget::DropReservation(Account& account,
-                                        const ReservedArrivals& held) {
-  account.held -= held.own;
+                                        const ReservedArrivals& reserved) {
+  account.reserved -= reserved.own;
   --account.reservations;
   if (account.reservations == 0) {
     // Clears rounding errors.
-    account.held = 0;
+    account.reserved = 0;
   }
 }
 
@@ -120,13 +120,13 @@
 }
 
 double SharedRetryBudget::OwnRemaining(Account& account,
-                                       double part,
+                                       double fraction,
                                        int instances,
                                        base::Time now) const {
   const double earned = options_.ratio * account.requests.Total(now);
   const double granted = options_.allowance / std::max(instances, 1);
-  return part * (earned + granted) - account.spent.Total(now) -
-         account.lent.Total(now) - account.held;
+  return fraction * (earned + granted) - account.spent.Total(now) -
+         account.lent.Total(now) - account.reserved;
 }
 
 double SharedRetryBudget::Borrowed(Account& account, base::Time now) {
--- a/src/request/passthrough/shared_retry_budget.h
+++ b/src/request/passthrough/shared_retry_budget.h
@@ -76,7 +76,7 @@
   // Loans are not requested earlier: they would expire unspent while they bind
   // their lenders for much longer.
   explicit SharedRetryBudget(SharedRetryBudgetOptions options,
-                             OnShortfall on_short = {});
+                             OnShortfall on_shortfall = {});
   SharedRetryBudget(const SharedRetryBudget&) = delete;
   SharedRetryBudget& operator=(const SharedRetryBudget&) = delete;
 
@@ -92,10 +92,11 @@
                                              base::Time now);
   // Returns a reservation whose arrivals do not count.
   void Release(const base::ServiceName& service,
-               const ReservedArrivals& held,
+               const ReservedArrivals& reserved,
                base::Time now);
   // Spends a reservation; its arrivals count from when they were reserved.
-  void Charge(const base::ServiceName& service, const ReservedArrivals& held);
+  void Charge(const base::ServiceName& service,
+              const ReservedArrivals& reserved);
   // Counts an arrival whose reservation was already released.
   void ChargeLate(const base::ServiceName& service, base::Time now);
 
@@ -127,26 +128,27 @@
     SlidingWindowSum spent;
     SlidingWindowSum lent;
     // Reserved of the own share, and the number of open reservations.
-    double held = 0;
+    double reserved = 0;
     int reservations = 0;
     // Unspent loans, ordered by expiry.
     std::vector<Loan> loans;
   };
 
   Account& Find(const base::ServiceName& service);
-  // What remains of the fraction `part` of the own share; negative if more was
-  // spent before, or the share has shrunk.
+  // What remains of the fraction `fraction` of the own share; negative if more
+  // was spent before, or the share has shrunk.
   double OwnRemaining(Account& account,
-                      double part,
+                      double fraction,
                       int instances,
                       base::Time now) const;
   static double Borrowed(Account& account, base::Time now);
   double FractionFor(ArrivalPurpose use) const noexcept;
   static void SpendLoans(Account& account, double arrivals);
   static void AddLoan(Account& account, const Loan& loan);
-  static void DropReservation(Account& account, const ReservedArrivals& held);
+  static void DropReservation(Account& account,
+                              const ReservedArrivals& reserved);
   const SharedRetryBudgetOptions options_;
-  const OnShortfall on_short_;
+  const OnShortfall on_shortfall_;
   std::map<base::ServiceName, Account> accounts_;
 };
 
