--- a/tests/request/passthrough/answer_admission_test.cc
+++ b/tests/request/passthrough/answer_admission_test.cc
@@ -30,23 +30,23 @@
   return engine;
 }
 
-// One engine that generates, a millisecond a step. A step takes 0.72 ms and
-// 0.025 ms more for each answer under way, as the users' engines' do.
+// Simulates one engine in steps of 1 ms. The time per token grows with the
+// number of answers in flight.
 class Generator {
  public:
-  Generator(bool bounded, std::uint64_t seed)
-      : bounded_(bounded), random_(base::SeededRandom(seed)) {
+  Generator(bool limited, std::uint64_t seed)
+      : limited_(limited), random_(base::SeededRandom(seed)) {
     engine_.in_flight = 0;
   }
 
-  // Answers of 300 to 9,000 tokens, 15 s each at most.
+  // Answers of 300 to 9,000 tokens with a timeout of 15 s.
   void Arrive() {
     const double tokens = 300 * std::exp(3.4 * base::UniformReal(random_));
     const RequestedAnswer asked{.expected_tokens = std::llround(tokens),
                                 .max_tokens = 9'000,
                                 .timeout = seconds(15)};
     const bool refused =
-        (bounded_ && !admission_.Admit(engine_, kRoute, asked, kNow)) ||
+        (limited_ && !admission_.Admit(engine_, kRoute, asked, kNow)) ||
         engine_.in_flight >= engine_.entry.slots;
     (tokens > kLongTokens ? asked_long_ : asked_) += 1;
     if (!refused) {
@@ -69,9 +69,9 @@
     }
   }
 
-  double served_long() const { return Part(served_long_, asked_long_); }
+  double served_long() const { return Fraction(served_long_, asked_long_); }
   double served_all() const {
-    return Part(served_ + served_long_, asked_ + asked_long_);
+    return Fraction(served_ + served_long_, asked_ + asked_long_);
   }
 
  private:
@@ -96,11 +96,11 @@
     --engine_.in_flight;
     return true;
   }
-  static double Part(int n, int of) {
+  static double Fraction(int n, int of) {
     return static_cast<double>(n) / std::max(of, 1);
   }
 
-  const bool bounded_;
+  const bool limited_;
   const base::RandomSource random_;
   Engine engine_ = MakeEngine(64);
   GenerationTimes times_;
@@ -112,23 +112,21 @@
   int served_long_ = 0;
 };
 
-// The pattern: a burst of answers of all lengths that fills every slot for
-// longer than the longest may take. The load this answers: of the largest tenth
-// of the answers 0.35 were served, of all 0.83; the others ran for 15 s in
-// vain.
-TEST(AnswerAdmission, LongAnswersEndUnderABurst) {
-  Generator bounded(true, 5);
+// Guards against long answers that run into their timeout while a burst of
+// answers of all lengths fills every slot.
+TEST(AnswerAdmission, LongAnswersFinishDuringABurst) {
+  Generator limited(true, 5);
   Generator open(false, 5);
   for (int i = 0; i < 1'600; ++i) {
-    for (Generator* generator : {&bounded, &open}) {
+    for (Generator* generator : {&limited, &open}) {
       generator->Arrive();
       generator->Run(milliseconds(50));
     }
   }
   EXPECT_LT(open.served_long(), 0.1);
-  EXPECT_GT(bounded.served_long(), 0.5 * bounded.served_all());
-  // No fewer are served for it.
-  EXPECT_GT(bounded.served_all(), 0.9 * open.served_all());
+  EXPECT_GT(limited.served_long(), 0.5 * limited.served_all());
+  // The limit must not reduce the total.
+  EXPECT_GT(limited.served_all(), 0.9 * open.served_all());
 }
 
 // Drafts of up to 9,000 tokens in 15 s, and verdicts of up to 250 in 2 s.
@@ -139,10 +137,10 @@
                                .max_tokens = 252,
                                .timeout = seconds(2)};
 
-// What an instance knows once it has seen a few answers of 42 tokens an event,
-// 1.5 ms a token with 30 requests and 2.25 ms with 60.
-struct KnownPace {
-  KnownPace() {
+// Estimates after a few answers of 42 tokens per event: 1.5 ms per token with
+// 30 requests, 2.25 ms with 60.
+struct PaceSamples {
+  PaceSamples() {
     for (int i = 0; i < 2'000; ++i) {
       const int requests = i % 2 == 0 ? 30 : 60;
       times.RecordEvent(engine, requests,
@@ -160,11 +158,11 @@
   AnswerAdmission answers{times};
 };
 
-TEST(AnswerAdmission, AnEngineIsFilledByWhatItReportsAndWhatItHasOfUs) {
-  KnownPace known;
-  Engine& engine = known.engine;
+TEST(AnswerAdmission, ReportedAndOwnRequestsCountTowardsCapacity) {
+  PaceSamples samples;
+  Engine& engine = samples.engine;
   const auto filled = [&](base::Time now) {
-    return !known.answers.Admit(engine, "drafts", kDraft, now);
+    return !samples.answers.Admit(engine, "drafts", kDraft, now);
   };
   EXPECT_FALSE(filled(kNow));
   engine.in_flight = 39;
@@ -173,32 +171,34 @@
   engine.reported = {.running = 36, .waiting = 3, .slots = 64};
   engine.reported_at = kNow;
   EXPECT_TRUE(filled(kNow));
-  // An old report says nothing.
+  // The load report has expired.
   EXPECT_FALSE(filled(kNow + seconds(2)));
 }
 
-// A verdict of two events ends in time beside any number of drafts; a draft of
-// ninety does not.
-TEST(AnswerAdmission, OnlyAnswersThatWouldEndLateFillAnEngine) {
-  KnownPace known;
-  known.engine.in_flight = 60;
-  EXPECT_TRUE(known.answers.Admit(known.engine, "verdicts", kVerdict, kNow));
-  EXPECT_FALSE(known.answers.Admit(known.engine, "drafts", kDraft, kNow));
-  // Nothing is said of its size.
-  EXPECT_TRUE(known.answers.Admit(known.engine, "other", {}, kNow));
+// A verdict of two events finishes in time beside any number of drafts; a draft
+// of ninety events does not.
+TEST(AnswerAdmission, RefusesOnlyAnswersThatWouldFinishLate) {
+  PaceSamples samples;
+  samples.engine.in_flight = 60;
+  EXPECT_TRUE(
+      samples.answers.Admit(samples.engine, "verdicts", kVerdict, kNow));
+  EXPECT_FALSE(samples.answers.Admit(samples.engine, "drafts", kDraft, kNow));
+  // No size is stated.
+  EXPECT_TRUE(samples.answers.Admit(samples.engine, "other", {}, kNow));
 }
 
-// 8,946 tokens in 0.9 of 15 s are 1.51 ms a token: 30 requests.
-TEST(AnswerAdmission, TheRoomIsThatOfTheStrictestRouteOfLate) {
-  KnownPace known;
-  EXPECT_NEAR(known.answers.Capacity(known.engine, kNow), 30, 1);
-  known.answers.Admit(known.engine, "verdicts", kVerdict, kNow + seconds(30));
-  EXPECT_EQ(known.answers.Capacity(known.engine, kNow + seconds(30)), 64);
+// 8,946 tokens in 0.9 of 15 s are 1.51 ms per token: 30 requests.
+TEST(AnswerAdmission, CapacityIsThatOfTheStrictestRecentRoute) {
+  PaceSamples samples;
+  EXPECT_NEAR(samples.answers.Capacity(samples.engine, kNow), 30, 1);
+  samples.answers.Admit(samples.engine, "verdicts", kVerdict,
+                        kNow + seconds(30));
+  EXPECT_EQ(samples.answers.Capacity(samples.engine, kNow + seconds(30)), 64);
 }
 
-// Guards against: an instance that has just started fills engines up to their
-// slots, since it has not seen their pace, and the largest answers end late.
-TEST(AnswerAdmission, AnInstanceThatHasJustStartedDoesNotFillEngines) {
+// Guards against an instance that has just started and, without a known pace,
+// fills engines up to their slots, so that the largest answers time out.
+TEST(AnswerAdmission, WithoutSamplesEnginesAreNotFilledWithLongAnswers) {
   const GenerationTimes times;
   AnswerAdmission answers(times);
   Engine engine = MakeEngine(64);
@@ -206,11 +206,11 @@
   EXPECT_TRUE(answers.Admit(engine, "drafts", kDraft, kNow));
   engine.in_flight = 40;
   EXPECT_FALSE(answers.Admit(engine, "drafts", kDraft, kNow));
-  // These end in time at any pace that engines have.
+  // These finish in time at any likely pace.
   EXPECT_TRUE(answers.Admit(engine, "verdicts", kVerdict, kNow));
 }
 
-TEST(AnswerAdmission, WithoutKnowledgeEnginesHaveRoomForShortAnswers) {
+TEST(AnswerAdmission, WithoutSamplesAllSlotsTakeShortAnswers) {
   const GenerationTimes times;
   AnswerAdmission answers(times);
   Engine engine = MakeEngine(64);
@@ -219,26 +219,26 @@
   EXPECT_EQ(answers.Capacity(engine, kNow), 64);
 }
 
-// Guards against: short answers taking all the room, so that fewer than half as
-// many of the larger ones are admitted. An engine with room for 30 is asked for
-// twice as much; answers last for 10 to 110 further requests.
-RC_GTEST_PROP(AnswerAdmission, LargerAnswersKeepTheirShareOfTheRoom, ()) {
-  KnownPace known;
+// Guards against short answers taking the whole capacity, so that fewer than
+// half as many of the larger ones are admitted. An engine with a capacity of 30
+// gets twice that load; an answer lasts for 10 to 110 further requests.
+RC_GTEST_PROP(AnswerAdmission, LargerAnswersKeepTheirShareOfTheCapacity, ()) {
+  PaceSamples samples;
   const auto random = base::SeededRandom(*rc::gen::inRange(1, 1'000'000));
   std::multiset<int> ends;
   int seen[2] = {0, 0};
   int admitted[2] = {0, 0};
   for (int i = 0; i < 2'000; ++i) {
     ends.erase(ends.begin(), ends.lower_bound(i));
-    known.engine.in_flight = static_cast<int>(ends.size());
+    samples.engine.in_flight = static_cast<int>(ends.size());
     const double tokens = 300 * std::exp(3.4 * base::UniformReal(random));
     const int large = tokens > 5'000 ? 1 : 0;
     ++seen[large];
-    if (known.answers.Admit(known.engine, "drafts",
-                            {.expected_tokens = std::llround(tokens),
-                             .max_tokens = 9'000,
-                             .timeout = seconds(15)},
-                            kNow)) {
+    if (samples.answers.Admit(samples.engine, "drafts",
+                              {.expected_tokens = std::llround(tokens),
+                               .max_tokens = 9'000,
+                               .timeout = seconds(15)},
+                              kNow)) {
       ++admitted[large];
       ends.insert(i + 10 + static_cast<int>(tokens / 90));
     }
@@ -250,18 +250,18 @@
   RC_ASSERT(part(1) > 0.5 * part(0));
 }
 
-// Where callers take far more than they expect, their limit says little.
-TEST(AnswerAdmission, ALargeAnswerIsLearntFromWhatCallersExpect) {
-  KnownPace known;
+// The callers' limits are far above their estimates.
+TEST(AnswerAdmission, LargeAnswerSizeFollowsCallersEstimates) {
+  PaceSamples samples;
   for (int i = 0; i < 200; ++i) {
-    known.answers.Admit(known.engine, "drafts",
-                        {.expected_tokens = i % 2 == 0 ? 2'000 : 3'000,
-                         .max_tokens = 1'000'000,
-                         .timeout = seconds(15)},
-                        kNow);
+    samples.answers.Admit(samples.engine, "drafts",
+                          {.expected_tokens = i % 2 == 0 ? 2'000 : 3'000,
+                           .max_tokens = 1'000'000,
+                           .timeout = seconds(15)},
+                          kNow);
   }
-  // 3,200 tokens at most.
-  EXPECT_EQ(known.answers.Capacity(known.engine, kNow), 64);
+  // At most 3,200 tokens.
+  EXPECT_EQ(samples.answers.Capacity(samples.engine, kNow), 64);
 }
 
 }  // namespace
--- a/tests/request/passthrough/engine_health_test.cc
+++ b/tests/request/passthrough/engine_health_test.cc
@@ -10,7 +10,7 @@
 
 const base::Time kNow = base::Time() + std::chrono::hours(1);
 
-TEST(EngineHealth, AFailureAvoidsForATimeThatGrows) {
+TEST(EngineHealth, AvoidancePeriodGrowsWithEachFailure) {
   EngineHealth health;
   EXPECT_FALSE(health.Avoided(kNow));
   health.OnFailure(kNow);
@@ -22,9 +22,9 @@
   EXPECT_FALSE(health.Avoided(kNow));
 }
 
-// The load this answers: an engine goes silent. Each time it was tried again
-// all requests of the moment went there, and each waited for 300 ms.
-TEST(EngineHealth, OneRequestTriesATargetThatFailed) {
+// Guards against all waiting requests going to an unresponsive engine at once
+// whenever its avoidance ends.
+TEST(EngineHealth, OneRequestProbesATargetThatFailed) {
   EngineHealth health;
   health.OnFailure(kNow);
   const base::Time later = kNow + milliseconds(600);
@@ -35,13 +35,13 @@
   EXPECT_FALSE(health.Avoided(later));
 }
 
-TEST(EngineHealth, ATryDoesNotConcernATargetThatIsWell) {
+TEST(EngineHealth, RequestsToAHealthyTargetAreNotProbes) {
   EngineHealth health;
   health.OnTry(kNow);
   EXPECT_FALSE(health.Avoided(kNow));
 }
 
-TEST(EngineHealth, ARejectedFetchMayBeTheCachesFault) {
+TEST(EngineHealth, OneRejectedFetchDoesNotAvoidTheTarget) {
   EngineHealth health;
   health.OnRejection(true, kNow);
   EXPECT_FALSE(health.Avoided(kNow));
@@ -53,15 +53,15 @@
   EXPECT_FALSE(health.RejectsAll());
 }
 
-TEST(EngineHealth, ARejectionWithoutAFetchIsTheTargets) {
+TEST(EngineHealth, ARejectionWithoutAFetchAvoidsTheTarget) {
   EngineHealth health;
   health.OnRejection(false, kNow);
   EXPECT_TRUE(health.Avoided(kNow));
 }
 
-// Whatever happens, a target is tried again within the longest time, and one
-// that accepts is used at once.
-RC_GTEST_PROP(EngineHealth, NoTargetIsAvoidedForEver, ()) {
+// Random events: a target is avoided for the longest period at most, and not at
+// all once it accepts.
+RC_GTEST_PROP(EngineHealth, AvoidanceEnds, ()) {
   EngineHealth health;
   base::Time now = kNow;
   const int n = *rc::gen::inRange(1, 40);
--- a/tests/request/passthrough/engine_picker_test.cc
+++ b/tests/request/passthrough/engine_picker_test.cc
@@ -39,47 +39,46 @@
   return fleet;
 }
 
-// An album of the users' sheet: a long shared part and a part of its own.
+// A long shared part and a part of its own.
 Prompt Album(const std::string& shared) {
   return Prompt{{{shared, 13'300}, {"own", 3'720}}};
 }
 
-// The least urgent of the users' routes.
 constexpr int kPriority = 2;
 
-EnginePick Ask(EnginePicker& choice,
+EnginePick Ask(EnginePicker& picker,
                const std::vector<EngineHandle>& fleet,
                const Prompt& prompt,
                base::Time now = kNow,
                const std::vector<base::TargetId>& tried = {},
                int priority = kPriority) {
-  return choice.Pick(
+  return picker.Pick(
       fleet,
       {.prompt = prompt, .priority = priority, .tried = tried, .now = now});
 }
 
-// Nothing is learnt in these tests: engines read 45 tokens in a millisecond.
+// Without samples: the estimate is 45 tokens per millisecond.
 PrefillTimes prefill_times;
 
-EnginePicker MakeChoice(std::uint64_t seed = 1) {
+EnginePicker MakePicker(std::uint64_t seed = 1) {
   EnginePickerOptions options;
   options.zone = base::ZoneId("a");
   return EnginePicker(options, prefill_times, base::SeededRandom(seed));
 }
 
-TEST(EnginePicker, LongPromptsAreReadAtPrefillEngines) {
-  EnginePicker choice = MakeChoice();
+TEST(EnginePicker, LongPromptsArePrefilledAtPrefillEngines) {
+  EnginePicker picker = MakePicker();
   const auto fleet = Fleet(4, 2);
-  const EnginePick pick = Ask(choice, fleet, Album("x"));
+  const EnginePick pick = Ask(picker, fleet, Album("x"));
   ASSERT_NE(pick.prefill_engine, nullptr);
   EXPECT_EQ(pick.prefill_engine->entry.stage, EngineStage::kPrefill);
   EXPECT_EQ(pick.runner->entry.stage, EngineStage::kDecode);
 }
 
-// The load this answers: albums whose shared parts were taken to be cached at
-// decode engines, where reading one held up each stream for 400 ms a piece.
-TEST(EnginePicker, ADecodeEngineNeverReadsALongPromptWhileAnotherCan) {
-  EnginePicker choice = MakeChoice();
+// Guards against long prompts prefilled at decode engines, which stalls the
+// streams there.
+TEST(EnginePicker, DecodeEnginesDoNotPrefillLongPromptsWhilePrefillEnginesCan) {
+  EnginePicker picker = MakePicker();
   const auto fleet = Fleet(2, 6);
   for (const EngineHandle& engine : fleet) {
     if (engine->entry.stage == EngineStage::kPrefill) {
@@ -87,39 +86,38 @@
     }
   }
   for (int i = 0; i < 200; ++i) {
-    const EnginePick pick = Ask(choice, fleet, Album(std::to_string(i)));
+    const EnginePick pick = Ask(picker, fleet, Album(std::to_string(i)));
     EXPECT_NE(pick.prefill_engine, nullptr);
   }
 }
 
-// Guards against: long answers spread evenly over engines of two speeds, so
-// that those at the slow ones end late.
-TEST(EnginePicker, EnginesAreFilledByTheirRoom) {
+// Guards against long answers spread evenly over engines of two speeds, so that
+// those at the slow one time out.
+TEST(EnginePicker, RequestsAreSpreadByCapacity) {
   const auto fleet = Fleet(2, 2);
-  EnginePicker choice({.zone = base::ZoneId("a")}, prefill_times,
+  EnginePicker picker({.zone = base::ZoneId("a")}, prefill_times,
                       base::SeededRandom(1), {}, {}, {},
                       [](const Engine& engine, base::Time) {
                         return engine.entry.id.str() == "d0" ? 16.0 : 48.0;
                       });
   const Prompt draft{{{"shared", 80}, {"own", 140}}};
   for (int i = 0; i < 40; ++i) {
-    ++Ask(choice, fleet, draft).runner->in_flight;
+    ++Ask(picker, fleet, draft).runner->in_flight;
   }
   EXPECT_NEAR(fleet[2]->in_flight, 10, 2);
   EXPECT_NEAR(fleet[3]->in_flight, 30, 2);
 }
 
-// The load this answers: a fleet of 295 instances whose prompts may not be read
-// apart. They all took the first of the engines that looked alike, which got
-// 6.1 times the mean of arrivals.
-TEST(EnginePicker, OfEnginesThatLookAlikeEachInstanceTakesAnother) {
+// Guards against many instances with the same view all choosing the first of
+// several equal engines.
+TEST(EnginePicker, InstancesSpreadOverEqualEngines) {
   constexpr int kInstances = 200;
   constexpr int kEngines = 20;
   const auto fleet = Fleet(4, kEngines);
   std::map<base::TargetId, int> taken;
   for (std::uint64_t i = 0; i < kInstances; ++i) {
-    const EnginePicker choice = MakeChoice(i + 1);
-    const EnginePick pick = choice.Pick(fleet, {.prompt = Album("x"),
+    const EnginePicker picker = MakePicker(i + 1);
+    const EnginePick pick = picker.Pick(fleet, {.prompt = Album("x"),
                                                 .priority = kPriority,
                                                 .tried = {},
                                                 .allow_separate_prefill = false,
@@ -131,137 +129,136 @@
   }
 }
 
-// The load this answers: seven instances, each of which sees one read in seven.
-// Where the home is busy with what others sent, an instance took it for idle:
-// waits of 150 to 300 ms were foreseen and 500 ms met.
-TEST(EnginePicker, WhatPeersHaveReadCounts) {
+// Guards against an instance taking a busy home for idle because it sees only
+// its own prefills.
+TEST(EnginePicker, PendingPrefillsOfPeersCount) {
   const auto fleet = Fleet(4, 2);
-  EnginePicker blind = MakeChoice();
-  const EngineHandle home = Ask(blind, fleet, Album("x")).prefill_engine;
-  EnginePicker choice({.zone = base::ZoneId("a")}, prefill_times,
+  EnginePicker without_peers = MakePicker();
+  const EngineHandle home =
+      Ask(without_peers, fleet, Album("x")).prefill_engine;
+  EnginePicker picker({.zone = base::ZoneId("a")}, prefill_times,
                       base::SeededRandom(1),
                       [&home](const Engine& engine, int, base::Time) {
                         return &engine == home.get() ? 100'000 : 0;
                       });
-  const EnginePick pick = Ask(choice, fleet, Album("x"));
+  const EnginePick pick = Ask(picker, fleet, Album("x"));
   EXPECT_NE(pick.prefill_engine, home);
   EXPECT_EQ(pick.fetch_from, home);
   EXPECT_LT(pick.wait, milliseconds(1));
 }
 
-// The load this answers: quick questions sent to engines that had begun to
-// read a job of 20,000 tokens; one in ten waited for 470 ms.
-TEST(EnginePicker, AQuickPromptAvoidsAnEngineThatReadsALongOne) {
-  EnginePicker choice = MakeChoice();
+// Guards against short prompts queued behind a long one that an engine has
+// started to prefill.
+TEST(EnginePicker, ShortPromptAvoidsAnEngineThatPrefillsALongOne) {
+  EnginePicker picker = MakePicker();
   const auto fleet = Fleet(2, 1);
   const Prompt question{{{"shop", 350}, {"own", 1'110}}};
   const EngineHandle home =
-      Ask(choice, fleet, question, kNow, {}, /*priority=*/0).prefill_engine;
+      Ask(picker, fleet, question, kNow, {}, /*priority=*/0).prefill_engine;
   ASSERT_NE(home, nullptr);
   home->prefills[kPriority].prefill_tokens = 20'000;
   EXPECT_NE(
-      Ask(choice, fleet, question, kNow, {}, /*priority=*/0).prefill_engine,
+      Ask(picker, fleet, question, kNow, {}, /*priority=*/0).prefill_engine,
       home);
 }
 
-TEST(EnginePicker, AZoneThatIsCutOffIsLeftWhileOthersRemain) {
+TEST(EnginePicker, UnreachableZoneIsAvoidedWhileOthersRemain) {
   std::vector<EngineHandle> fleet = Fleet(2, 2);
   fleet[0]->entry.zone = base::ZoneId("b");
   fleet[2]->entry.zone = base::ZoneId("b");
-  EnginePicker choice({.zone = base::ZoneId("a")}, prefill_times,
+  EnginePicker picker({.zone = base::ZoneId("a")}, prefill_times,
                       base::SeededRandom(1), {},
                       [](const base::ZoneId& zone, base::Time) {
                         return zone == base::ZoneId("b");
                       });
   for (int i = 0; i < 50; ++i) {
-    const EnginePick pick = Ask(choice, fleet, Album(std::to_string(i)));
+    const EnginePick pick = Ask(picker, fleet, Album(std::to_string(i)));
     EXPECT_EQ(pick.prefill_engine, fleet[1]);
     EXPECT_EQ(pick.runner, fleet[3]);
   }
-  // Better than nothing.
+  // Engines of the unreachable zone are still used if there are no others.
   fleet.pop_back();
   fleet.erase(fleet.begin() + 1);
-  EXPECT_NE(Ask(choice, fleet, Album("x")).runner, nullptr);
+  EXPECT_NE(Ask(picker, fleet, Album("x")).runner, nullptr);
 }
 
-TEST(EnginePicker, WithoutPrefillEnginesADecodeEngineReads) {
-  EnginePicker choice = MakeChoice();
+TEST(EnginePicker, DecodeEnginePrefillsIfThereIsNoPrefillEngine) {
+  EnginePicker picker = MakePicker();
   const auto fleet = Fleet(0, 3);
-  const EnginePick pick = Ask(choice, fleet, Album("x"));
+  const EnginePick pick = Ask(picker, fleet, Album("x"));
   ASSERT_NE(pick.runner, nullptr);
   EXPECT_EQ(pick.prefill_engine, nullptr);
 }
 
-TEST(EnginePicker, WithoutDecodeEnginesNothingRuns) {
-  EnginePicker choice = MakeChoice();
-  EXPECT_EQ(Ask(choice, Fleet(3, 0), Album("x")).runner, nullptr);
+TEST(EnginePicker, NoPickWithoutDecodeEngines) {
+  EnginePicker picker = MakePicker();
+  EXPECT_EQ(Ask(picker, Fleet(3, 0), Album("x")).runner, nullptr);
 }
 
 TEST(EnginePicker, DrainingAndTriedEnginesAreLeftOut) {
-  EnginePicker choice = MakeChoice();
+  EnginePicker picker = MakePicker();
   auto fleet = Fleet(0, 3);
   fleet[0]->entry.draining = true;
   const EnginePick pick =
-      Ask(choice, fleet, Prompt{}, kNow, {fleet[1]->entry.id});
+      Ask(picker, fleet, Prompt{}, kNow, {fleet[1]->entry.id});
   EXPECT_EQ(pick.runner, fleet[2]);
 }
 
-TEST(EnginePicker, AnEngineThatFailedIsUsedOnlyIfAllDid) {
-  EnginePicker choice = MakeChoice();
+TEST(EnginePicker, FailedEngineIsUsedOnlyIfAllFailed) {
+  EnginePicker picker = MakePicker();
   auto fleet = Fleet(0, 2);
   fleet[0]->health.OnFailure(kNow);
-  EXPECT_EQ(Ask(choice, fleet, Prompt{}).runner, fleet[1]);
+  EXPECT_EQ(Ask(picker, fleet, Prompt{}).runner, fleet[1]);
   fleet[1]->health.OnFailure(kNow);
-  EXPECT_NE(Ask(choice, fleet, Prompt{}).runner, nullptr);
+  EXPECT_NE(Ask(picker, fleet, Prompt{}).runner, nullptr);
 }
 
-// All instances agree on a part's home without a message.
-RC_GTEST_PROP(EnginePicker, IdleInstancesSendAPartToTheSameEngine, ()) {
+RC_GTEST_PROP(EnginePicker, InstancesAgreeOnThePrefillEngineOfAPart, ()) {
   const auto fleet = Fleet(*rc::gen::inRange(1, 12), 2);
   const auto part = *rc::gen::nonEmpty<std::string>();
-  EnginePicker one = MakeChoice(1);
-  EnginePicker two = MakeChoice(2);
+  EnginePicker one = MakePicker(1);
+  EnginePicker two = MakePicker(2);
   RC_ASSERT(Ask(one, fleet, Album(part)).prefill_engine ==
             Ask(two, fleet, Album(part)).prefill_engine);
 }
 
-// The loss of an engine moves only the parts that lived there.
-RC_GTEST_PROP(EnginePicker, PartsOfOtherEnginesStayWhenOneLeaves, ()) {
+// Only the parts of the engine that left move.
+RC_GTEST_PROP(EnginePicker, OtherPartsKeepTheirHomeWhenAnEngineLeaves, ()) {
   auto fleet = Fleet(*rc::gen::inRange(2, 12), 2);
   const auto part = *rc::gen::nonEmpty<std::string>();
-  EnginePicker choice = MakeChoice();
-  const EngineHandle before = Ask(choice, fleet, Album(part)).prefill_engine;
+  EnginePicker picker = MakePicker();
+  const EngineHandle before = Ask(picker, fleet, Album(part)).prefill_engine;
   const auto left = *rc::gen::inRange<std::size_t>(0, fleet.size() - 2);
   RC_PRE(fleet[left] != before);
   fleet[left]->entry.draining = true;
-  RC_ASSERT(Ask(choice, fleet, Album(part)).prefill_engine == before);
+  RC_ASSERT(Ask(picker, fleet, Album(part)).prefill_engine == before);
 }
 
-TEST(EnginePicker, WhatOthersFindToFailIsLeftWhileOthersRemain) {
+TEST(EnginePicker, EnginesThatPeersAvoidAreLeftOutWhileOthersRemain) {
   const auto fleet = Fleet(2, 1);
   std::set<std::string> avoided{"p0"};
-  EnginePicker choice({.zone = base::ZoneId("a")}, prefill_times,
+  EnginePicker picker({.zone = base::ZoneId("a")}, prefill_times,
                       base::SeededRandom(1), {}, {},
                       [&avoided](const Engine& engine, base::Time) {
                         return avoided.contains(engine.entry.id.str());
                       });
   for (int i = 0; i < 20; ++i) {
-    const EnginePick pick = Ask(choice, fleet, Album(std::to_string(i)));
+    const EnginePick pick = Ask(picker, fleet, Album(std::to_string(i)));
     ASSERT_NE(pick.prefill_engine, nullptr);
     EXPECT_EQ(pick.prefill_engine->entry.id.str(), "p1");
   }
-  // The only one that can run it is used all the same.
+  // The only engine that can run it is still used.
   avoided.insert("d0");
-  EXPECT_NE(Ask(choice, fleet, Album("x")).runner, nullptr);
+  EXPECT_NE(Ask(picker, fleet, Album("x")).runner, nullptr);
 }
 
-TEST(EnginePicker, SharedPartsSpreadOverTheReaders) {
-  EnginePicker choice = MakeChoice();
+TEST(EnginePicker, SharedPartsSpreadOverThePrefillEngines) {
+  EnginePicker picker = MakePicker();
   const auto fleet = Fleet(12, 6);
   std::map<EngineHandle, int> parts;
   constexpr int kParts = 164;
   for (int i = 0; i < kParts; ++i) {
-    ++parts[Ask(choice, fleet, Album("part" + std::to_string(i)))
+    ++parts[Ask(picker, fleet, Album("part" + std::to_string(i)))
                 .prefill_engine];
   }
   EXPECT_EQ(parts.size(), 12U);
@@ -270,28 +267,28 @@
   EXPECT_LT(most->second, 3 * kParts / 12);
 }
 
-// A home with work for two seconds is passed over, and the shared part is
-// fetched from it.
-TEST(EnginePicker, ABusyHomeIsPassedOverAndFetchedFrom) {
-  EnginePicker choice = MakeChoice();
+// A home with two seconds of pending prefills is avoided, and the shared part
+// is fetched from it.
+TEST(EnginePicker, BusyHomeIsAvoidedAndFetchedFrom) {
+  EnginePicker picker = MakePicker();
   const auto fleet = Fleet(4, 2);
-  const EnginePick calm = Ask(choice, fleet, Album("x"));
+  const EnginePick calm = Ask(picker, fleet, Album("x"));
   EXPECT_EQ(calm.fetch_from, nullptr);
   EXPECT_EQ(calm.prefill_tokens, 3'720);
   calm.prefill_engine->prefills[kPriority].prefill_tokens = 90'000;
-  const EnginePick busy = Ask(choice, fleet, Album("x"));
+  const EnginePick busy = Ask(picker, fleet, Album("x"));
   EXPECT_NE(busy.prefill_engine, calm.prefill_engine);
   EXPECT_EQ(busy.fetch_from, calm.prefill_engine);
 }
 
-// The load this answers: a retry, or a request whose cache was lost, is read by
-// the engine that runs it; it read the whole album there, at half speed.
-TEST(EnginePicker, ARunnerThatReadsFetchesTheSharedPart) {
-  EnginePicker choice = MakeChoice();
+// Guards against a runner that prefills the whole prompt, shared part included,
+// at half speed.
+TEST(EnginePicker, RunnerThatPrefillsFetchesTheSharedPart) {
+  EnginePicker picker = MakePicker();
   const auto fleet = Fleet(4, 2);
-  const EngineHandle home = Ask(choice, fleet, Album("x")).prefill_engine;
+  const EngineHandle home = Ask(picker, fleet, Album("x")).prefill_engine;
   const Prompt album = Album("x");
-  const EnginePick pick = choice.Pick(fleet, {.prompt = album,
+  const EnginePick pick = picker.Pick(fleet, {.prompt = album,
                                               .tried = {},
                                               .allow_separate_prefill = false,
                                               .now = kNow});
@@ -300,63 +297,62 @@
   EXPECT_EQ(pick.prefill_tokens, 3'720);
 }
 
-// The load this answers: albums whose requests spread as soon as their home
-// had a little to do, so that 7.1 million tokens of shared parts were read
-// again in 34 s, and each read waited for these.
-TEST(EnginePicker, AHomeThatIsALittleBusierKeepsItsParts) {
-  EnginePicker choice = MakeChoice();
+// Guards against requests spreading over engines as soon as their home is
+// slightly busy, which prefills the shared parts again at each engine.
+TEST(EnginePicker, SlightlyBusyHomeKeepsItsParts) {
+  EnginePicker picker = MakePicker();
   const auto fleet = Fleet(4, 2);
-  const EngineHandle home = Ask(choice, fleet, Album("x")).prefill_engine;
+  const EngineHandle home = Ask(picker, fleet, Album("x")).prefill_engine;
   home->prefills[kPriority].prefill_tokens = 13'300;
-  EXPECT_EQ(Ask(choice, fleet, Album("x")).prefill_engine, home);
+  EXPECT_EQ(Ask(picker, fleet, Album("x")).prefill_engine, home);
 }
 
-// Reads of other instances show in the wait that this instance's own met, for
-// a moment, and in its reads that are overdue.
-TEST(EnginePicker, WaitsThatReadsMetCountForAMoment) {
-  EnginePicker choice = MakeChoice();
+// Prefills of other instances show in the wait that this instance's own last
+// one met, and in its overdue ones.
+TEST(EnginePicker, ObservedWaitCountsForAShortTime) {
+  EnginePicker picker = MakePicker();
   const auto fleet = Fleet(4, 2);
-  const EngineHandle home = Ask(choice, fleet, Album("x")).prefill_engine;
+  const EngineHandle home = Ask(picker, fleet, Album("x")).prefill_engine;
   home->prefills[kPriority].last_wait = std::chrono::seconds(2);
   home->prefills[kPriority].last_wait_at = kNow;
-  EXPECT_NE(Ask(choice, fleet, Album("x")).prefill_engine, home);
-  EXPECT_EQ(Ask(choice, fleet, Album("x"), kNow + std::chrono::seconds(2))
+  EXPECT_NE(Ask(picker, fleet, Album("x")).prefill_engine, home);
+  EXPECT_EQ(Ask(picker, fleet, Album("x"), kNow + std::chrono::seconds(2))
                 .prefill_engine,
             home);
 }
 
-TEST(EnginePicker, AnOverdueReadSaysThatItsEngineIsBusy) {
-  EnginePicker choice = MakeChoice();
+TEST(EnginePicker, OverduePrefillMarksItsEngineAsBusy) {
+  EnginePicker picker = MakePicker();
   const auto fleet = Fleet(4, 2);
-  const EngineHandle home = Ask(choice, fleet, Album("x")).prefill_engine;
+  const EngineHandle home = Ask(picker, fleet, Album("x")).prefill_engine;
   home->prefills[kPriority].due.insert(kNow - std::chrono::seconds(2));
-  EXPECT_NE(Ask(choice, fleet, Album("x")).prefill_engine, home);
+  EXPECT_NE(Ask(picker, fleet, Album("x")).prefill_engine, home);
 }
 
-// An engine reads urgent prompts first: what waits behind a request does not
-// hold it up, and what goes before it does.
-TEST(EnginePicker, OnlyPromptsAsUrgentCountAsAhead) {
-  EnginePicker choice = MakeChoice();
+// Engines prefill urgent prompts first: less urgent ones do not delay a
+// request, more urgent ones do.
+TEST(EnginePicker, OnlyPromptsAtLeastAsUrgentCountAsAhead) {
+  EnginePicker picker = MakePicker();
   const auto fleet = Fleet(1, 1);
   PrefillQueue& queue = fleet[0]->prefills[1];
   queue.last_wait = milliseconds(700);
   queue.last_wait_at = kNow;
-  EXPECT_EQ(Ask(choice, fleet, Album("x"), kNow, {}, 0).wait,
+  EXPECT_EQ(Ask(picker, fleet, Album("x"), kNow, {}, 0).wait,
             base::Duration(0));
-  EXPECT_EQ(Ask(choice, fleet, Album("x"), kNow, {}, 1).wait,
+  EXPECT_EQ(Ask(picker, fleet, Album("x"), kNow, {}, 1).wait,
             milliseconds(700));
-  EXPECT_EQ(Ask(choice, fleet, Album("x"), kNow, {}, 2).wait,
+  EXPECT_EQ(Ask(picker, fleet, Album("x"), kNow, {}, 2).wait,
             milliseconds(700));
 }
 
-TEST(EnginePicker, ATargetInUseIsCountedAndItsWaitLearnt) {
+TEST(EnginePicker, InFlightRequestIsCountedAndItsWaitRecorded) {
   const EngineHandle engine = MakeEngine("p", EngineStage::kPrefill);
   {
-    InFlightRequest use(engine, kPriority, 1'000, milliseconds(20), kNow);
+    InFlightRequest in_flight(engine, kPriority, 1'000, milliseconds(20), kNow);
     EXPECT_EQ(engine->in_flight, 1);
     EXPECT_EQ(engine->prefills[kPriority].prefill_tokens, 1'000);
     EXPECT_EQ(engine->prefills[kPriority].due.size(), 1U);
-    use.OnPrefillDone(kNow + milliseconds(50));
+    in_flight.OnPrefillDone(kNow + milliseconds(50));
     EXPECT_EQ(engine->prefills[kPriority].prefill_tokens, 0);
     EXPECT_EQ(engine->prefills[kPriority].last_wait, milliseconds(30));
   }
@@ -364,47 +360,47 @@
   EXPECT_TRUE(engine->prefills[kPriority].due.empty());
 }
 
-// The engine that generates what the first of the fleet has read.
-EngineHandle Decoder(const EnginePicker& choice,
-                     const std::vector<EngineHandle>& fleet,
-                     const std::vector<base::TargetId>& tried) {
+// The engine to decode what the first engine of the fleet has prefilled.
+EngineHandle PickDecodeEngine(const EnginePicker& picker,
+                              const std::vector<EngineHandle>& fleet,
+                              const std::vector<base::TargetId>& tried) {
   const Prompt prompt = Album("x");
-  return choice.PickDecoder(fleet, *fleet[0],
+  return picker.PickDecoder(fleet, *fleet[0],
                             {.prompt = prompt, .tried = tried, .now = kNow});
 }
 
-// A target takes so many connections from all instances, and resets those
-// beyond: a request that was sent on one has an unknown outcome.
-TEST(EnginePicker, ATargetWithItsPartOfConnectionsIsLeftOut) {
-  EnginePicker choice = MakeChoice();
+// A target accepts a limited number of connections from all instances and
+// resets those beyond, which leaves requests with unknown outcome.
+TEST(EnginePicker, TargetAtItsConnectionLimitIsLeftOut) {
+  EnginePicker picker = MakePicker();
   const auto fleet = Fleet(0, 2);
   const Prompt plain;
   fleet[0]->in_flight = 4;
   const EnginePickQuery query{
       .prompt = plain, .tried = {}, .max_in_flight = 4, .now = kNow};
-  EXPECT_EQ(choice.Pick(fleet, query).runner, fleet[1]);
+  EXPECT_EQ(picker.Pick(fleet, query).runner, fleet[1]);
   fleet[1]->in_flight = 4;
-  EXPECT_EQ(choice.Pick(fleet, query).runner, nullptr);
+  EXPECT_EQ(picker.Pick(fleet, query).runner, nullptr);
 }
 
-TEST(EnginePicker, AnotherEngineOfTheReadersZoneGenerates) {
-  EnginePicker choice = MakeChoice();
+TEST(EnginePicker, DecodeEngineIsInThePrefillEnginesZone) {
+  EnginePicker picker = MakePicker();
   const std::vector<EngineHandle> fleet = {
       MakeEngine("p", EngineStage::kPrefill, "b"),
       MakeEngine("d0", EngineStage::kDecode, "a"),
       MakeEngine("d1", EngineStage::kDecode, "b")};
-  EXPECT_EQ(Decoder(choice, fleet, {}), fleet[2]);
-  EXPECT_EQ(Decoder(choice, fleet, {fleet[2]->entry.id}), fleet[1]);
+  EXPECT_EQ(PickDecodeEngine(picker, fleet, {}), fleet[2]);
+  EXPECT_EQ(PickDecodeEngine(picker, fleet, {fleet[2]->entry.id}), fleet[1]);
 }
 
-// Requests of a plain service go where the fewest are, reports included.
+// Load reports count, too.
 TEST(EnginePicker, PlainRequestsGoToTheLeastLoaded) {
-  EnginePicker choice = MakeChoice();
+  EnginePicker picker = MakePicker();
   const auto fleet = Fleet(0, 3);
   fleet[0]->in_flight = 5;
   fleet[1]->reported = {6, 2, 6};
   fleet[1]->reported_at = kNow;
-  EXPECT_EQ(Ask(choice, fleet, Prompt{}).runner, fleet[2]);
+  EXPECT_EQ(Ask(picker, fleet, Prompt{}).runner, fleet[2]);
 }
 
 }  // namespace
--- a/tests/request/passthrough/engine_table_test.cc
+++ b/tests/request/passthrough/engine_table_test.cc
@@ -20,18 +20,18 @@
   return entry;
 }
 
-TEST(EngineTable, AnEntryThatVanishesIsGoneAtOnce) {
+TEST(EngineTable, MissingEntryIsDroppedAtOnce) {
   EngineTable table(kGrace);
   table.Put(Entry("a"), kNow);
   const EngineHandle held = table.Find(base::TargetId("a"));
   table.Remove(base::TargetId("a"), kNow);
   EXPECT_EQ(table.Find(base::TargetId("a")), nullptr);
   EXPECT_TRUE(table.OfService(kService).empty());
-  // A request in flight that holds it sees that it takes nothing new.
+  // Requests in flight see that the target takes no new ones.
   EXPECT_TRUE(held->entry.draining);
 }
 
-TEST(EngineTable, AfterTheStoreWasAwayMissingEntriesHaveTimeToReturn) {
+TEST(EngineTable, MissingEntriesAreKeptForTheGracePeriodAfterAnOutage) {
   EngineTable table(kGrace);
   table.Put(Entry("a"), kNow);
   table.Put(Entry("b"), kNow);
@@ -44,7 +44,7 @@
   EXPECT_EQ(table.OfService(kService)[0]->entry.id.str(), "a");
 }
 
-TEST(EngineTable, TheGraceEndsForGood) {
+TEST(EngineTable, GracePeriodEnds) {
   EngineTable table(kGrace);
   table.Put(Entry("a"), kNow);
   table.OnStoreReturned(kNow);
@@ -58,9 +58,8 @@
   return entry;
 }
 
-// What this instance has learnt of a target, and has there, belongs to one of
-// its lives.
-TEST(EngineTable, ATargetThatIsBornAgainStartsFromNothing) {
+// State learnt about a target belongs to one lifetime of it.
+TEST(EngineTable, NewLifetimeStartsWithoutState) {
   EngineTable table(kGrace);
   table.Put(Born("a", 1000), kNow - std::chrono::minutes(1));
   const EngineHandle before = table.Find(base::TargetId("a"));
@@ -76,13 +75,13 @@
   EXPECT_EQ(after->reported.running, 0);
   EXPECT_FALSE(after->health.Avoided(kNow));
   EXPECT_EQ(after->stage_since, kNow);
-  // Requests in flight hold the life that they were sent to.
+  // Requests in flight keep the handle of the lifetime that they were sent to.
   EXPECT_TRUE(before->entry.draining);
   EXPECT_EQ(before->in_flight, 3);
   EXPECT_EQ(table.OfService(kService).size(), 1U);
 }
 
-TEST(EngineTable, AnotherBirthIsAnotherLifeAlsoWhenItIsEarlierOrMissing) {
+TEST(EngineTable, EarlierOrMissingBirthIsAnotherLifetimeToo) {
   EngineTable table(kGrace);
   table.Put(Born("a", 2000), kNow);
   const EngineHandle first = table.Find(base::TargetId("a"));
@@ -93,15 +92,15 @@
   EXPECT_NE(table.Find(base::TargetId("a")), earlier);
 }
 
-// The load this answers: addresses of lost engines that other services' targets
-// took, in a zone that could not hear the store of it.
-TEST(EngineTable, AMisdirectedTargetIsLeftAloneUntilItsEntryChanges) {
+// Guards against requests to a reused address while the zone is cut off from
+// the store.
+TEST(EngineTable, MisdirectedTargetIsExcludedUntilItsEntryChanges) {
   EngineTable table(kGrace);
   table.Put(Entry("a"), kNow);
   const EngineHandle engine = table.Find(base::TargetId("a"));
   MarkMisdirected(*engine, engine->entry_changes, kNow);
   EXPECT_GT(engine->misdirected_until, kNow);
-  // The list is read again and says the same.
+  // The list is read again without a change.
   table.Replace({Entry("a")}, kNow);
   EXPECT_GT(engine->misdirected_until, kNow);
   EngineEntry moved = Entry("a");
@@ -109,12 +108,12 @@
   const int before = engine->entry_changes;
   table.Put(moved, kNow);
   EXPECT_LE(engine->misdirected_until, kNow);
-  // An answer to what was sent before the change says nothing.
+  // A reply to a request sent before the change has no effect.
   MarkMisdirected(*engine, before, kNow);
   EXPECT_LE(engine->misdirected_until, kNow);
 }
 
-TEST(EngineTable, TheSameLifeKeepsWhatIsKnown) {
+TEST(EngineTable, SameLifetimeKeepsItsState) {
   EngineTable table(kGrace);
   table.Put(Born("a", 1000), kNow);
   const EngineHandle before = table.Find(base::TargetId("a"));
@@ -125,8 +124,8 @@
   EXPECT_TRUE(before->entry.draining);
 }
 
-// No grace for it: its key is there, so nothing of it is on its way.
-TEST(EngineTable, AKeyThatNamesNoTargetDropsItAtOnceAndHoldsTheOthers) {
+// No grace period, as the key itself is present.
+TEST(EngineTable, InvalidEntryIsDroppedAtOnceAndOthersAreKept) {
   EngineTable table(kGrace);
   table.Put(Entry("a"), kNow);
   table.Put(Entry("b"), kNow);
@@ -139,7 +138,7 @@
   EXPECT_EQ(table.size(), 1U);
 }
 
-TEST(EngineTable, AListWithoutAnOutageDropsWhatIsMissing) {
+TEST(EngineTable, ListWithoutAnOutageDropsMissingEntries) {
   EngineTable table(kGrace);
   table.Put(Entry("a"), kNow);
   table.Replace({Entry("b")}, kNow);
@@ -147,7 +146,7 @@
   EXPECT_NE(table.Find(base::TargetId("b")), nullptr);
 }
 
-TEST(EngineTable, AChangedEntryKeepsWhatWasSeenOfTheLoad) {
+TEST(EngineTable, ChangedEntryKeepsItsLoad) {
   EngineTable table(kGrace);
   table.Put(Entry("a"), kNow);
   table.Find(base::TargetId("a"))->in_flight = 3;
--- a/tests/request/passthrough/event_splitter_test.cc
+++ b/tests/request/passthrough/event_splitter_test.cc
@@ -8,7 +8,7 @@
 namespace lynxglade::request::passthrough {
 namespace {
 
-TEST(EventSplitter, HoldsATornEventBack) {
+TEST(EventSplitter, HoldsBackAnIncompleteEvent) {
   EventSplitter events;
   EXPECT_EQ(events.Feed("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
   EXPECT_EQ(events.last_id(), "1");
@@ -18,22 +18,21 @@
   EXPECT_EQ(events.events(), 2);
 }
 
-TEST(EventSplitter, AnotherEngineGoesOnAfterTheLastWholeEvent) {
+TEST(EventSplitter, ResumesAfterTheLastCompleteEvent) {
   EventSplitter events;
   events.Feed("id: 1\ndata: a\n\nid: 2\ndata");
   events.DiscardPartial();
   EXPECT_EQ(events.Feed("id: 2\ndata: b\n\n"), "id: 2\ndata: b\n\n");
 }
 
-TEST(EventSplitter, LinesMayEndWithCarriageReturns) {
+TEST(EventSplitter, AcceptsLinesThatEndWithCrLf) {
   EventSplitter events;
   EXPECT_EQ(events.Feed("id:7\r\ndata: a\r\n\r\n"), "id:7\r\ndata: a\r\n\r\n");
   EXPECT_EQ(events.last_id(), "7");
 }
 
-// However a stream is cut into pieces, the caller gets the same bytes, and
-// never a part of an event.
-RC_GTEST_PROP(EventSplitter, PiecesMakeNoDifference, ()) {
+// However the stream is split, the same bytes come out, in complete events.
+RC_GTEST_PROP(EventSplitter, SplittingOfTheInputMakesNoDifference, ()) {
   const int count = *rc::gen::inRange(1, 20);
   std::string stream;
   for (int i = 1; i <= count; ++i) {
--- a/tests/request/passthrough/generation_times_test.cc
+++ b/tests/request/passthrough/generation_times_test.cc
@@ -24,9 +24,9 @@
   return engine;
 }
 
-// A service as it really is, of 40 tokens an event; events have 10% of noise,
-// and one in twenty waited for a prompt that was read meanwhile.
-struct TrueService {
+// A simulated service with 40 tokens per event. Events have 10% of noise, and
+// one in twenty is delayed by a prefill.
+struct SimulatedService {
   double base_ms = 0;
   double slope_ms = 0;
   base::RandomSource random;
@@ -38,26 +38,28 @@
     for (int i = 0; i < events; ++i) {
       const int requests = 1 + static_cast<int>(59 * base::UniformReal(random));
       const double noise = 0.95 + 0.1 * base::UniformReal(random);
-      const bool last_wait = base::UniformReal(random) < 0.05;
+      const bool delayed = base::UniformReal(random) < 0.05;
       const double ms = slowness * (base_ms + slope_ms * requests) * noise;
       times.RecordEvent(engine, requests,
-                        base::FromFineMillis(last_wait ? 4 * ms : ms));
+                        base::FromFineMillis(delayed ? 4 * ms : ms));
     }
   }
-  // Estimates are off by a factor of two either way, and right in the middle.
+  // Callers' estimates are off by up to a factor of two, unbiased in the
+  // median.
   void End(GenerationTimes& times, int answers) const {
     for (int i = 0; i < answers; ++i) {
       const int events = 10 + static_cast<int>(90 * base::UniformReal(random));
-      const double off = std::exp2(2 * base::UniformReal(random) - 1);
-      times.RecordAnswerSize(kService, std::llround(40 * events * off), events);
+      const double error = std::exp2(2 * base::UniformReal(random) - 1);
+      times.RecordAnswerSize(kService, std::llround(40 * events * error),
+                             events);
     }
   }
 };
 
-TEST(GenerationTimes, ForeseesNothingBeforeItHasSeenAnything) {
+TEST(GenerationTimes, NoEstimateWithoutSamples) {
   GenerationTimes times;
   Engine engine = MakeEngine("a");
-  const TrueService real{30, 1, base::SeededRandom(1)};
+  const SimulatedService real{30, 1, base::SeededRandom(1)};
   EXPECT_FALSE(times.MaxRequests(engine, 4'000, seconds(15)));
   real.Generate(times, engine, 1, 500);
   EXPECT_FALSE(times.MaxRequests(engine, 4'000, seconds(15)));
@@ -65,11 +67,11 @@
   EXPECT_TRUE(times.MaxRequests(engine, 4'000, seconds(15)));
 }
 
-// Answers of a few events say too little of their tokens.
-TEST(GenerationTimes, ShortAnswersSayNothingOfAnEventsSize) {
+// Too few events to estimate the tokens per event.
+TEST(GenerationTimes, ShortAnswersDoNotCountForTokensPerEvent) {
   GenerationTimes times;
   Engine engine = MakeEngine("a");
-  const TrueService real{30, 1, base::SeededRandom(1)};
+  const SimulatedService real{30, 1, base::SeededRandom(1)};
   real.Generate(times, engine, 1, 500);
   for (int i = 0; i < 100; ++i) {
     times.RecordAnswerSize(kService, 200, 1);
@@ -77,14 +79,14 @@
   EXPECT_FALSE(times.MaxRequests(engine, 4'000, seconds(15)));
 }
 
-// Whatever the pace, the requests found are about those with which the answer
-// would just end in time.
-RC_GTEST_PROP(GenerationTimes, FindsThePaceBehindNoiseAndBadEstimates, ()) {
+// At any pace, the answer takes about `within` with the number of requests
+// found.
+RC_GTEST_PROP(GenerationTimes, FindsThePaceDespiteNoiseAndBadEstimates, ()) {
   GenerationTimes times;
   Engine engine = MakeEngine("a");
-  const TrueService real{*rc::gen::inRange(10, 200) / 1.0,
-                         *rc::gen::inRange(5, 50) / 10.0,
-                         base::SeededRandom(*rc::gen::inRange(1, 1'000'000))};
+  const SimulatedService real{
+      *rc::gen::inRange(10, 200) / 1.0, *rc::gen::inRange(5, 50) / 10.0,
+      base::SeededRandom(*rc::gen::inRange(1, 1'000'000))};
   real.Generate(times, engine, 1, 3'000);
   real.End(times, 200);
   const int requests = *rc::gen::inRange(10, 50);
@@ -97,19 +99,19 @@
   RC_ASSERT(found_ms < 1.4 * answer_ms);
 }
 
-// Guards against: slow engines filled as far as fast ones, where their largest
-// answers cannot end in time.
-TEST(GenerationTimes, SlowEnginesAreToHaveFewerRequests) {
+// Guards against slow engines filled as far as fast ones, so that their largest
+// answers time out.
+TEST(GenerationTimes, SlowEnginesGetFewerRequests) {
   GenerationTimes times;
   Engine fast = MakeEngine("a");
   Engine slow = MakeEngine("b");
-  const TrueService real{30, 1, base::SeededRandom(1)};
+  const SimulatedService real{30, 1, base::SeededRandom(1)};
   for (int i = 0; i < 50; ++i) {
     real.Generate(times, fast, 1, 20);
     real.Generate(times, slow, 1.3, 20);
   }
   real.End(times, 50);
-  // An event may take 65 ms: with 35 requests at the fast one, 20 at the other.
+  // 65 ms per event: 35 requests at the fast engine, 20 at the slow one.
   const auto within = base::FromFineMillis(100 * 65);
   const int at_fast = times.MaxRequests(fast, 4'000, within).value_or(0);
   const int at_slow = times.MaxRequests(slow, 4'000, within).value_or(0);
--- a/tests/request/passthrough/long_answers_test.cc
+++ b/tests/request/passthrough/long_answers_test.cc
@@ -1,4 +1,4 @@
-// Share of long answers that end in time at one engine that generates.
+// Share of long answers that finish in time at one simulated engine.
 #include <algorithm>
 #include <chrono>
 #include <cmath>
@@ -21,7 +21,7 @@
 const base::ServiceName kService("llm");
 const std::string kRoute = "drafts";
 constexpr base::Duration kTimeout = seconds(15);
-constexpr std::int64_t kMostTokens = 8'946;
+constexpr std::int64_t kMaxTokens = 8'946;
 constexpr double kTokensPerEvent = 42;
 constexpr int kSlots = 64;
 
@@ -29,18 +29,18 @@
   double tokens = 0;
   // The caller's estimate.
   std::int64_t expected_tokens = 0;
-  double made = 0;
+  double generated = 0;
   milliseconds age{0};
-  double event_begun = 0;
+  double event_start = 0;
 };
 
-// The decision under test, as the relay makes it.
+// The admission decision as the relay makes it.
 class Admission {
  public:
-  bool Admits(const Engine& engine, const Answer& answer, base::Time now) {
+  bool Admit(const Engine& engine, const Answer& answer, base::Time now) {
     return answers_.Admit(engine, kRoute,
                           {.expected_tokens = answer.expected_tokens,
-                           .max_tokens = kMostTokens,
+                           .max_tokens = kMaxTokens,
                            .timeout = kTimeout},
                           now);
   }
@@ -48,8 +48,9 @@
     times_.RecordEvent(engine, KnownLoad(engine, now), took);
   }
   void OnEnd(const Answer& answer) {
-    times_.RecordAnswerSize(kService, answer.expected_tokens,
-                            static_cast<int>(answer.made / kTokensPerEvent));
+    times_.RecordAnswerSize(
+        kService, answer.expected_tokens,
+        static_cast<int>(answer.generated / kTokensPerEvent));
   }
 
  private:
@@ -57,12 +58,12 @@
   AnswerAdmission answers_{times_};
 };
 
-// A step takes 0.723 ms and 0.0252 ms more for each answer under way, times
-// `slowness`. Half of the answers have more than 2,646 tokens, the largest
-// tenth more than 7,700; estimates are right at the median.
-class SlowGenerator {
+// A step takes 0.723 ms plus 0.0252 ms per answer in flight, times `slowness`.
+// Answer sizes are log-normal with a median of 2,646 tokens; the largest tenth
+// has more than 7,700. Estimates are unbiased in the median.
+class SimulatedEngine {
  public:
-  SlowGenerator(double slowness, std::uint64_t seed)
+  SimulatedEngine(double slowness, std::uint64_t seed)
       : slowness_(slowness), random_(base::SeededRandom(seed)) {
     engine_.entry.service = kService;
     engine_.entry.slots = kSlots;
@@ -79,16 +80,16 @@
     }
   }
 
-  // Of the largest tenth, and of all.
-  double served_large() const { return Part(served_large_, asked_large_); }
-  double served() const { return Part(served_, asked_); }
+  // Share of the largest tenth, and of all.
+  double served_large() const { return Fraction(served_large_, asked_large_); }
+  double served() const { return Fraction(served_, asked_); }
 
  private:
   static constexpr milliseconds kTick{1};
   static constexpr double kTicksPerSecond = 1'000;
   static constexpr double kLargeTokens = 7'700;
 
-  static double Part(int n, int of) {
+  static double Fraction(int n, int of) {
     return static_cast<double>(n) / std::max(of, 1);
   }
 
@@ -107,14 +108,13 @@
   void Arrive() {
     Answer answer;
     answer.tokens = std::min(2'646 * std::exp(0.84 * Normal()),
-                             static_cast<double>(kMostTokens));
+                             static_cast<double>(kMaxTokens));
     answer.expected_tokens =
         std::llround(answer.tokens * std::exp(0.5 * Normal()));
     ++asked_;
     asked_large_ += answer.tokens > kLargeTokens ? 1 : 0;
     Report();
-    if (engine_.in_flight < kSlots &&
-        admission_.Admits(engine_, answer, now_)) {
+    if (engine_.in_flight < kSlots && admission_.Admit(engine_, answer, now_)) {
       answers_.push_back(answer);
     }
   }
@@ -125,9 +125,9 @@
         slowness_ * (0.723 + 0.0252 * static_cast<double>(answers_.size()));
     for (Answer& it : answers_) {
       it.age += kTick;
-      it.made += 1 / step_ms;
-      if (it.made - it.event_begun >= kTokensPerEvent) {
-        it.event_begun = it.made;
+      it.generated += 1 / step_ms;
+      if (it.generated - it.event_start >= kTokensPerEvent) {
+        it.event_start = it.generated;
         admission_.OnEvent(
             engine_, base::FromFineMillis(kTokensPerEvent * step_ms), now_);
       }
@@ -136,7 +136,7 @@
   }
 
   bool Ended(const Answer& answer) {
-    if (answer.made < answer.tokens) {
+    if (answer.generated < answer.tokens) {
       return answer.age >= kTimeout;
     }
     ++served_;
@@ -157,14 +157,14 @@
   int served_large_ = 0;
 };
 
-// Guards against: fewer than half as many of the largest answers served as of
-// all, where more is asked for than a slow engine generates.
-TEST(LongAnswers, TheLargestAreServedHalfAsOftenAsAll) {
+// Guards against serving fewer than half as many of the largest answers as of
+// all, under more load than a slow engine can handle.
+TEST(LongAnswers, LargestAnswersAreServedAtLeastHalfAsOftenAsAll) {
   for (const std::uint64_t seed : {1, 2, 3, 4, 5}) {
     for (const double slowness : {1.0, 1.3, 1.6}) {
-      SlowGenerator generator(slowness, seed);
-      generator.Run(seconds(300), 6);
-      EXPECT_GE(generator.served_large(), 0.5 * generator.served())
+      SimulatedEngine engine(slowness, seed);
+      engine.Run(seconds(300), 6);
+      EXPECT_GE(engine.served_large(), 0.5 * engine.served())
           << "seed " << seed << ", slowness " << slowness;
     }
   }
--- a/tests/request/passthrough/peer_prefills_test.cc
+++ b/tests/request/passthrough/peer_prefills_test.cc
@@ -16,45 +16,47 @@
 const base::InstanceId kPeer("a");
 const base::InstanceId kOther("b");
 
-PeerPrefill Read(const base::TargetId& engine,
-                 int priority,
-                 std::int64_t tokens) {
+PeerPrefill MakePrefill(const base::TargetId& engine,
+                        int priority,
+                        std::int64_t tokens) {
   return {KeyOf(engine), priority, tokens};
 }
 
-TEST(PeerPrefills, CountsWhatIsAsUrgentOrMore) {
+TEST(PeerPrefills, CountsPromptsAtLeastAsUrgent) {
   PeerPrefills prefills;
-  prefills.Put(kPeer, {Read(kEngine, 0, 100), Read(kEngine, 2, 3'000)}, kNow);
-  prefills.Put(kOther, {Read(kEngine, 1, 20)}, kNow);
+  prefills.Put(kPeer,
+               {MakePrefill(kEngine, 0, 100), MakePrefill(kEngine, 2, 3'000)},
+               kNow);
+  prefills.Put(kOther, {MakePrefill(kEngine, 1, 20)}, kNow);
   EXPECT_EQ(prefills.PrefillTokens(kEngine, 0, kNow), 100);
   EXPECT_EQ(prefills.PrefillTokens(kEngine, 1, kNow), 120);
   EXPECT_EQ(prefills.PrefillTokens(kEngine, 2, kNow), 3'120);
   EXPECT_EQ(prefills.PrefillTokens(base::TargetId("e2"), 2, kNow), 0);
 }
 
-TEST(PeerPrefills, AReportReplacesTheOneBefore) {
+TEST(PeerPrefills, ReportReplacesThePreviousOne) {
   PeerPrefills prefills;
-  prefills.Put(kPeer, {Read(kEngine, 0, 100)}, kNow);
+  prefills.Put(kPeer, {MakePrefill(kEngine, 0, 100)}, kNow);
   prefills.Put(kPeer, {}, kNow);
   EXPECT_EQ(prefills.PrefillTokens(kEngine, 9, kNow), 0);
 }
 
-// An instance that is cut off or was killed says nothing of its end.
-TEST(PeerPrefills, WhatIsNotSaidAgainIsForgotten) {
+// An instance that is partitioned or killed does not report its end.
+TEST(PeerPrefills, ReportsExpire) {
   PeerPrefills prefills;
-  prefills.Put(kPeer, {Read(kEngine, 0, 100)}, kNow);
+  prefills.Put(kPeer, {MakePrefill(kEngine, 0, 100)}, kNow);
   EXPECT_EQ(prefills.PrefillTokens(kEngine, 0, kNow + milliseconds(500)), 100);
   EXPECT_EQ(prefills.PrefillTokens(kEngine, 0, kNow + milliseconds(501)), 0);
 }
 
-TEST(PeerPrefills, InstancesThatDoNotReportAreTakenToBeLikeThoseThatDo) {
+TEST(PeerPrefills, ScaleAccountsForInstancesThatDoNotReport) {
   PeerPrefills prefills;
   prefills.SetScale(2.5);
-  prefills.Put(kPeer, {Read(kEngine, 0, 100)}, kNow);
+  prefills.Put(kPeer, {MakePrefill(kEngine, 0, 100)}, kNow);
   EXPECT_EQ(prefills.PrefillTokens(kEngine, 0, kNow), 250);
 }
 
-TEST(PeerPrefills, OwnReadsAreThoseUnderWay) {
+TEST(PeerPrefills, OwnPrefillsArePendingOnes) {
   EngineTable engines{base::Duration(0)};
   for (const char* id : {"e1", "e2", "e3"}) {
     EngineEntry entry;
@@ -70,9 +72,8 @@
   EXPECT_EQ(prefills[0].prefill_tokens, 70);
 }
 
-// Whatever the order of reports, the newest of each peer counts, and nothing
-// of a peer that fell silent.
-RC_GTEST_PROP(PeerPrefills, TheNewestOfEachPeerCounts, ()) {
+// Random reports: only the newest one of each peer counts, until it expires.
+RC_GTEST_PROP(PeerPrefills, NewestReportOfEachPeerCounts, ()) {
   PeerPrefills prefills;
   base::Time now = kNow;
   std::map<std::string, std::pair<std::int64_t, base::Time>> last;
@@ -82,7 +83,8 @@
     const std::string peer =
         *rc::gen::elementOf(std::vector<std::string>{"a", "b", "c"});
     const std::int64_t tokens = *rc::gen::inRange(0, 1000);
-    prefills.Put(base::InstanceId(peer), {Read(kEngine, 0, tokens)}, now);
+    prefills.Put(base::InstanceId(peer), {MakePrefill(kEngine, 0, tokens)},
+                 now);
     last[peer] = {tokens, now};
   }
   std::int64_t sum = 0;
--- a/tests/request/passthrough/prefix_placement_test.cc
+++ b/tests/request/passthrough/prefix_placement_test.cc
@@ -13,7 +13,7 @@
 using std::chrono::seconds;
 
 const base::Time kNow = base::Time() + std::chrono::hours(1);
-constexpr base::Duration kSettling = seconds(15);
+constexpr base::Duration kSettleTime = seconds(15);
 
 EngineHandle MakeEngine(int n) {
   auto engine = std::make_shared<Engine>();
@@ -44,64 +44,62 @@
 }
 
 PrefixPlacement Find(const std::vector<EngineHandle>& engines, int album) {
-  return FindPrefixPlacement(Usable(engines), engines, Album(album), kSettling,
-                             kNow);
+  return FindPrefixPlacement(Usable(engines), engines, Album(album),
+                             kSettleTime, kNow);
 }
 
-TEST(PrefixPlacement, APartIsAtItsHome) {
+TEST(PrefixPlacement, HomeHoldsThePart) {
   const auto engines = Engines(5);
-  const PrefixPlacement places = Find(engines, 1);
-  ASSERT_NE(places.home, nullptr);
-  EXPECT_EQ(places.holder, places.home);
+  const PrefixPlacement placement = Find(engines, 1);
+  ASSERT_NE(placement.home, nullptr);
+  EXPECT_EQ(placement.holder, placement.home);
 }
 
-TEST(PrefixPlacement, APromptThatSharesNothingHasNone) {
+TEST(PrefixPlacement, PromptWithoutSharedPartsHasNone) {
   const auto engines = Engines(5);
-  const PrefixPlacement places = FindPrefixPlacement(
-      engines, engines, Prompt{{{"own", 3'720}}}, kSettling, kNow);
-  EXPECT_EQ(places.home, nullptr);
-  EXPECT_EQ(places.holder, nullptr);
+  const PrefixPlacement placement = FindPrefixPlacement(
+      engines, engines, Prompt{{{"own", 3'720}}}, kSettleTime, kNow);
+  EXPECT_EQ(placement.home, nullptr);
+  EXPECT_EQ(placement.holder, nullptr);
 }
 
-// The load this answers: engines replaced one after the other. Each new one
-// became home to an eighteenth of the albums and read all of them again, while
-// those that had read them stood by: a fifth of all reading.
-TEST(PrefixPlacement, ANewHomeFetchesFromTheOneBefore) {
+// Guards against each replaced engine prefilling all shared parts of its home
+// again while the previous home still holds them.
+TEST(PrefixPlacement, NewHomeFetchesFromThePreviousOne) {
   auto engines = Engines(5);
   for (int album = 0; album < 50; ++album) {
     const EngineHandle before = Find(engines, album).home;
     auto joined = engines;
     joined.push_back(MakeEngine(9));
     joined.back()->stage_since = kNow - seconds(1);
-    const PrefixPlacement places = Find(joined, album);
-    EXPECT_EQ(places.holder, before);
-    joined.back()->stage_since = kNow - kSettling;
+    const PrefixPlacement placement = Find(joined, album);
+    EXPECT_EQ(placement.holder, before);
+    joined.back()->stage_since = kNow - kSettleTime;
     EXPECT_EQ(Find(joined, album).holder, Find(joined, album).home);
   }
 }
 
-// What an engine that is leaving has read is fetched while it still serves.
-TEST(PrefixPlacement, ALeavingEngineIsFetchedFrom) {
+// The cache of a draining engine is used while it still serves.
+TEST(PrefixPlacement, DrainingEngineIsFetchedFrom) {
   const auto engines = Engines(5);
   const EngineHandle before = Find(engines, 1).home;
   before->entry.draining = true;
-  const PrefixPlacement places = Find(engines, 1);
-  EXPECT_NE(places.home, before);
-  EXPECT_EQ(places.holder, before);
+  const PrefixPlacement placement = Find(engines, 1);
+  EXPECT_NE(placement.home, before);
+  EXPECT_EQ(placement.holder, before);
 }
 
-TEST(PrefixPlacement, AnEngineThatCannotBeReachedIsNotFetchedFrom) {
+TEST(PrefixPlacement, UnreachableEngineIsNotFetchedFrom) {
   const auto engines = Engines(5);
   const EngineHandle before = Find(engines, 1).home;
   before->health.OnFailure(kNow);
-  const PrefixPlacement places = Find(engines, 1);
-  EXPECT_NE(places.home, before);
-  EXPECT_EQ(places.holder, places.home);
+  const PrefixPlacement placement = Find(engines, 1);
+  EXPECT_NE(placement.home, before);
+  EXPECT_EQ(placement.holder, placement.home);
 }
 
-// Whoever comes, goes or fails: a home is usable, a holder is none that just
-// joined unless nothing else is there, and instances that see the same engines
-// in another order agree.
+// Random engines: a home is usable, a holder has not just joined unless there
+// is no other engine, and the order of engines does not matter.
 RC_GTEST_PROP(PrefixPlacement, AllInstancesAgree, ()) {
   auto engines = Engines(*rc::gen::inRange(1, 12));
   for (const EngineHandle& engine : engines) {
@@ -114,19 +112,19 @@
     }
   }
   const int album = *rc::gen::inRange(0, 1000);
-  const PrefixPlacement places = Find(engines, album);
+  const PrefixPlacement placement = Find(engines, album);
   const auto usable = Usable(engines);
-  RC_ASSERT((places.home == nullptr) == usable.empty());
-  RC_ASSERT((places.holder == nullptr) == usable.empty());
-  if (places.home) {
-    RC_ASSERT(std::ranges::count(usable, places.home) == 1);
-    RC_ASSERT((places.holder == places.home ||
-               places.holder->stage_since == base::Time()));
+  RC_ASSERT((placement.home == nullptr) == usable.empty());
+  RC_ASSERT((placement.holder == nullptr) == usable.empty());
+  if (placement.home) {
+    RC_ASSERT(std::ranges::count(usable, placement.home) == 1);
+    RC_ASSERT((placement.holder == placement.home ||
+               placement.holder->stage_since == base::Time()));
   }
   std::ranges::reverse(engines);
   const PrefixPlacement other = Find(engines, album);
-  RC_ASSERT(other.home == places.home);
-  RC_ASSERT(other.holder == places.holder);
+  RC_ASSERT(other.home == placement.home);
+  RC_ASSERT(other.holder == placement.holder);
 }
 
 }  // namespace
--- a/tests/request/passthrough/route_table_test.cc
+++ b/tests/request/passthrough/route_table_test.cc
@@ -29,7 +29,7 @@
                     {}, {});
 }
 
-TEST(RouteTable, TakesTheLongestPrefixOfTheHost) {
+TEST(RouteTable, FindsTheLongestPrefixOfTheHost) {
   const RouteTable table = MakeTable();
   EXPECT_EQ(table.Find("a.example", "/p/q/x")->name, "long");
   EXPECT_EQ(table.Find("a.example", "/p/x")->name, "short");
@@ -39,18 +39,18 @@
   EXPECT_EQ(table.Find("c.example", "/p/x"), nullptr);
 }
 
-TEST(RouteTable, APrefixEndsAtASlash) {
+TEST(RouteTable, PrefixEndsAtASlash) {
   const RouteTable table = MakeTable();
   EXPECT_EQ(table.Find("a.example", "/p/qq/x")->name, "short");
   EXPECT_EQ(table.Find("b.example", "/pp/x"), nullptr);
 }
 
-TEST(RouteTable, CaseAndPortOfTheHostDoNotCount) {
+TEST(RouteTable, IgnoresCaseAndPortOfTheHost) {
   const RouteTable table = MakeTable();
   EXPECT_EQ(table.Find("A.Example:8080", "/p/x")->name, "short");
 }
 
-TEST(RouteTable, WhatMayBeRepeatedFollowsFromTheKind) {
+TEST(RouteTable, CanRetryFollowsFromTheKind) {
   Route route;
   route.kind = RouteKind::kIdempotent;
   EXPECT_TRUE(route.CanRetry());
@@ -64,14 +64,14 @@
   EXPECT_FALSE(route.CanRetry());
 }
 
-TEST(RouteTable, WithoutWeightThereIsNoService) {
+TEST(RouteTable, NoServiceWithoutWeight) {
   Route route;
   EXPECT_EQ(RouteTable::PickService(route, 5), nullptr);
   route.shares = {{base::ServiceName("a"), 0}};
   EXPECT_EQ(RouteTable::PickService(route, 5), nullptr);
 }
 
-RC_GTEST_PROP(RouteTable, SharesGetTheirWeightOfAllPoints, ()) {
+RC_GTEST_PROP(RouteTable, SharesGetRequestsByWeight, ()) {
   Route route;
   const auto weights = *rc::gen::nonEmpty(
       rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 50)));
--- a/tests/request/passthrough/shared_retry_budget_test.cc
+++ b/tests/request/passthrough/shared_retry_budget_test.cc
@@ -20,162 +20,162 @@
 const base::Time kNow = base::Time() + std::chrono::hours(1);
 const base::ServiceName kService("llm");
 
-std::optional<ReservedArrivals> HoldReading(SharedRetryBudget& allowance,
-                                            int instances,
-                                            base::Time now) {
-  return allowance.TryReserve(kService, 1, ArrivalPurpose::kFirstPrefill,
-                              instances, now);
+std::optional<ReservedArrivals> ReservePrefill(SharedRetryBudget& budget,
+                                               int instances,
+                                               base::Time now) {
+  return budget.TryReserve(kService, 1, ArrivalPurpose::kFirstPrefill,
+                           instances, now);
 }
 
-// Retries that reach their targets.
-bool Take(SharedRetryBudget& allowance,
+// Reserves and charges retries.
+bool Take(SharedRetryBudget& budget,
           int arrivals,
           int instances,
           base::Time now,
           const base::ServiceName& service = kService) {
-  const auto held = allowance.TryReserve(
+  const auto reserved = budget.TryReserve(
       service, arrivals, ArrivalPurpose::kRetry, instances, now);
-  if (held) {
-    allowance.Charge(service, *held);
+  if (reserved) {
+    budget.Charge(service, *reserved);
   }
-  return held.has_value();
+  return reserved.has_value();
 }
 
-// Whether one arrival more could be set aside, by the only instance.
-bool CanHold(SharedRetryBudget& allowance, base::Time now) {
-  const auto held = HoldReading(allowance, 1, now);
-  if (held) {
-    allowance.Release(kService, *held, now);
+// Whether one more arrival could be reserved, with a single instance.
+bool CanReserve(SharedRetryBudget& budget, base::Time now) {
+  const auto reserved = ReservePrefill(budget, 1, now);
+  if (reserved) {
+    budget.Release(kService, *reserved, now);
   }
-  return held.has_value();
+  return reserved.has_value();
 }
 
-TEST(SharedRetryBudget, AQuietInstanceMaySpendItsPartOfTheAllowance) {
-  SharedRetryBudget allowance({.ratio = 0.2,
-                               .allowance = 50,
-                               .max_fraction = 1,
-                               .max_retry_fraction = 1});
+TEST(SharedRetryBudget, IdleInstanceMaySpendItsPartOfTheAllowance) {
+  SharedRetryBudget budget({.ratio = 0.2,
+                            .allowance = 50,
+                            .max_fraction = 1,
+                            .max_retry_fraction = 1});
   int taken = 0;
-  while (Take(allowance, 1, 5, kNow)) {
+  while (Take(budget, 1, 5, kNow)) {
     ++taken;
   }
   EXPECT_EQ(taken, 10);
-  EXPECT_TRUE(Take(allowance, 1, 5, kNow + seconds(11)));
+  EXPECT_TRUE(Take(budget, 1, 5, kNow + seconds(11)));
 }
 
-TEST(SharedRetryBudget, ServicesDoNotShare) {
-  SharedRetryBudget allowance(
+TEST(SharedRetryBudget, ServicesHaveSeparateBudgets) {
+  SharedRetryBudget budget(
       {.ratio = 0, .allowance = 1, .max_fraction = 1, .max_retry_fraction = 1});
-  EXPECT_TRUE(Take(allowance, 1, 1, kNow));
-  EXPECT_FALSE(Take(allowance, 1, 1, kNow));
-  EXPECT_TRUE(Take(allowance, 1, 1, kNow, base::ServiceName("portal")));
+  EXPECT_TRUE(Take(budget, 1, 1, kNow));
+  EXPECT_FALSE(Take(budget, 1, 1, kNow));
+  EXPECT_TRUE(Take(budget, 1, 1, kNow, base::ServiceName("portal")));
 }
 
-TEST(SharedRetryBudget, WhatCannotBePaidWholeTakesNothing) {
-  SharedRetryBudget allowance(
+TEST(SharedRetryBudget, FailedReservationTakesNothing) {
+  SharedRetryBudget budget(
       {.ratio = 0, .allowance = 1, .max_fraction = 1, .max_retry_fraction = 1});
-  EXPECT_FALSE(Take(allowance, 2, 1, kNow));
-  EXPECT_TRUE(Take(allowance, 1, 1, kNow));
+  EXPECT_FALSE(Take(budget, 2, 1, kNow));
+  EXPECT_TRUE(Take(budget, 1, 1, kNow));
 }
 
-TEST(SharedRetryBudget, HeldArrivalsCountUntilTheyAreReleased) {
-  SharedRetryBudget allowance(
+TEST(SharedRetryBudget, ReservationsCountUntilReleased) {
+  SharedRetryBudget budget(
       {.ratio = 0, .allowance = 2, .max_fraction = 1, .max_retry_fraction = 1});
-  const auto first = HoldReading(allowance, 1, kNow);
-  const auto second = HoldReading(allowance, 1, kNow);
+  const auto first = ReservePrefill(budget, 1, kNow);
+  const auto second = ReservePrefill(budget, 1, kNow);
   ASSERT_TRUE(first && second);
-  EXPECT_FALSE(HoldReading(allowance, 1, kNow));
-  EXPECT_FALSE(Take(allowance, 1, 1, kNow));
-  allowance.Release(kService, *first, kNow);
-  EXPECT_TRUE(Take(allowance, 1, 1, kNow));
+  EXPECT_FALSE(ReservePrefill(budget, 1, kNow));
+  EXPECT_FALSE(Take(budget, 1, 1, kNow));
+  budget.Release(kService, *first, kNow);
+  EXPECT_TRUE(Take(budget, 1, 1, kNow));
 }
 
-TEST(SharedRetryBudget, HeldArrivalsThatAreChargedCountForAWindow) {
-  SharedRetryBudget allowance(
+TEST(SharedRetryBudget, ChargedReservationsCountForAWindow) {
+  SharedRetryBudget budget(
       {.ratio = 0, .allowance = 1, .max_fraction = 1, .max_retry_fraction = 1});
-  const auto held = HoldReading(allowance, 1, kNow);
-  ASSERT_TRUE(held);
-  allowance.Charge(kService, *held);
-  EXPECT_FALSE(CanHold(allowance, kNow + seconds(10)));
-  EXPECT_TRUE(CanHold(allowance, kNow + milliseconds(10'001)));
+  const auto reserved = ReservePrefill(budget, 1, kNow);
+  ASSERT_TRUE(reserved);
+  budget.Charge(kService, *reserved);
+  EXPECT_FALSE(CanReserve(budget, kNow + seconds(10)));
+  EXPECT_TRUE(CanReserve(budget, kNow + milliseconds(10'001)));
 }
 
-TEST(SharedRetryBudget, ALoanIsSpentInTimeOrNotAtAll) {
-  SharedRetryBudget allowance(
+TEST(SharedRetryBudget, LoansExpire) {
+  SharedRetryBudget budget(
       {.ratio = 0, .allowance = 0, .max_fraction = 1, .max_retry_fraction = 1});
-  allowance.Borrow(kService, 1.5, kNow);
-  EXPECT_TRUE(Take(allowance, 1, 1, kNow + seconds(4)));
-  allowance.Borrow(kService, 0.5, kNow + seconds(1));
-  EXPECT_FALSE(Take(allowance, 1, 1, kNow + seconds(5)));
+  budget.Borrow(kService, 1.5, kNow);
+  EXPECT_TRUE(Take(budget, 1, 1, kNow + seconds(4)));
+  budget.Borrow(kService, 0.5, kNow + seconds(1));
+  EXPECT_FALSE(Take(budget, 1, 1, kNow + seconds(5)));
 }
 
-TEST(SharedRetryBudget, AHeldLoanThatIsReleasedEndsWhenItWouldHave) {
-  SharedRetryBudget allowance(
+TEST(SharedRetryBudget, ReleasedLoanKeepsItsExpiry) {
+  SharedRetryBudget budget(
       {.ratio = 0, .allowance = 0, .max_fraction = 1, .max_retry_fraction = 1});
-  allowance.Borrow(kService, 1, kNow);
-  const auto held = HoldReading(allowance, 1, kNow);
-  ASSERT_TRUE(held);
-  EXPECT_FALSE(CanHold(allowance, kNow));
-  allowance.Release(kService, *held, kNow + seconds(1));
-  EXPECT_TRUE(CanHold(allowance, kNow + seconds(4)));
-  EXPECT_FALSE(CanHold(allowance, kNow + seconds(5)));
+  budget.Borrow(kService, 1, kNow);
+  const auto reserved = ReservePrefill(budget, 1, kNow);
+  ASSERT_TRUE(reserved);
+  EXPECT_FALSE(CanReserve(budget, kNow));
+  budget.Release(kService, *reserved, kNow + seconds(1));
+  EXPECT_TRUE(CanReserve(budget, kNow + seconds(4)));
+  EXPECT_FALSE(CanReserve(budget, kNow + seconds(5)));
 }
 
-// It is bound until no window can contain what the loan paid for.
-TEST(SharedRetryBudget, ALenderGetsItBackAfterTheLoansLifeAndAWindow) {
-  SharedRetryBudget allowance(
+// Until then a window can contain an arrival that the loan paid for.
+TEST(SharedRetryBudget, LoanBindsItsLenderForItsTtlAndAWindow) {
+  SharedRetryBudget budget(
       {.ratio = 0, .allowance = 4, .max_fraction = 1, .max_retry_fraction = 1});
-  EXPECT_EQ(allowance.Lend(kService, 3, 1, kNow), 3);
-  EXPECT_EQ(allowance.Lend(kService, 3, 1, kNow + seconds(15)), 1);
-  EXPECT_EQ(allowance.Lend(kService, 3, 1, kNow + milliseconds(15'001)), 3);
+  EXPECT_EQ(budget.Lend(kService, 3, 1, kNow), 3);
+  EXPECT_EQ(budget.Lend(kService, 3, 1, kNow + seconds(15)), 1);
+  EXPECT_EQ(budget.Lend(kService, 3, 1, kNow + milliseconds(15'001)), 3);
 }
 
-TEST(SharedRetryBudget, OneWithoutAnyToSpareLendsNone) {
-  SharedRetryBudget allowance(
+TEST(SharedRetryBudget, LendsNothingWithoutOwnBudgetLeft) {
+  SharedRetryBudget budget(
       {.ratio = 0, .allowance = 2, .max_fraction = 1, .max_retry_fraction = 1});
-  EXPECT_TRUE(Take(allowance, 2, 1, kNow));
-  EXPECT_EQ(allowance.Lend(kService, 1, 1, kNow), 0);
-  // What was borrowed is not lent on.
-  allowance.Borrow(kService, 5, kNow);
-  EXPECT_EQ(allowance.Lend(kService, 1, 1, kNow), 0);
+  EXPECT_TRUE(Take(budget, 2, 1, kNow));
+  EXPECT_EQ(budget.Lend(kService, 1, 1, kNow), 0);
+  // Loans are not passed on.
+  budget.Borrow(kService, 5, kNow);
+  EXPECT_EQ(budget.Lend(kService, 1, 1, kNow), 0);
 }
 
-// The load this answers: engines that crash in series, before which retries
-// took all, and prompts could not be read apart any more.
-TEST(SharedRetryBudget, RetriesLeaveAPartToFirstReadings) {
-  SharedRetryBudget allowance({.ratio = 0,
-                               .allowance = 10,
-                               .max_fraction = 1,
-                               .max_retry_fraction = 0.8});
+// Guards against retries using the whole budget, so that prompts cannot be
+// prefilled separately any more.
+TEST(SharedRetryBudget, RetriesLeaveAPartForFirstPrefills) {
+  SharedRetryBudget budget({.ratio = 0,
+                            .allowance = 10,
+                            .max_fraction = 1,
+                            .max_retry_fraction = 0.8});
   int taken = 0;
-  while (Take(allowance, 1, 1, kNow)) {
+  while (Take(budget, 1, 1, kNow)) {
     ++taken;
   }
   EXPECT_EQ(taken, 8);
-  EXPECT_EQ(allowance.Lend(kService, 1, 1, kNow), 0);
-  EXPECT_TRUE(HoldReading(allowance, 1, kNow));
-  EXPECT_TRUE(HoldReading(allowance, 1, kNow));
-  EXPECT_FALSE(HoldReading(allowance, 1, kNow));
+  EXPECT_EQ(budget.Lend(kService, 1, 1, kNow), 0);
+  EXPECT_TRUE(ReservePrefill(budget, 1, kNow));
+  EXPECT_TRUE(ReservePrefill(budget, 1, kNow));
+  EXPECT_FALSE(ReservePrefill(budget, 1, kNow));
 }
 
-TEST(SharedRetryBudget, SaysWhatIsMissing) {
+TEST(SharedRetryBudget, ReportsTheShortfall) {
   double missing = 0;
-  SharedRetryBudget allowance(
+  SharedRetryBudget budget(
       {.ratio = 0,
        .allowance = 1.5,
        .max_fraction = 1,
        .max_retry_fraction = 1},
       [&missing](const base::ServiceName&, double n) { missing = n; });
-  ASSERT_TRUE(HoldReading(allowance, 1, kNow));
+  ASSERT_TRUE(ReservePrefill(budget, 1, kNow));
   EXPECT_EQ(missing, 0);
-  EXPECT_FALSE(HoldReading(allowance, 1, kNow));
+  EXPECT_FALSE(ReservePrefill(budget, 1, kNow));
   EXPECT_EQ(missing, 0.5);
-  EXPECT_FALSE(Take(allowance, 2, 1, kNow));
+  EXPECT_FALSE(Take(budget, 2, 1, kNow));
   EXPECT_EQ(missing, 1.5);
 }
 
-// What the platform allows: in a window, a part of the requests in it, in the
-// one before it, or half way between, whichever has most.
+// The platform's bound: in a window, a fraction of the requests in it, in the
+// window before, or half way between, whichever has most.
 class Bound {
  public:
   explicit Bound(const SharedRetryBudgetOptions& options) : options_(options) {}
@@ -205,8 +205,8 @@
   std::vector<base::Time> extra_;
 };
 
-// Instances that take, hold and lend in any order; questions and loans between
-// them come late, twice or not at all.
+// Instances that take, reserve and lend in random order; loan requests and
+// loans may be late, or the loan lost.
 class LendingFleet {
  public:
   LendingFleet(int instances,
@@ -220,7 +220,7 @@
 
   void Step() {
     now_ += milliseconds(base::UniformBelow(random_, 60));
-    const int at = Any(static_cast<int>(fleet_.size()));
+    const int at = Random(static_cast<int>(fleet_.size()));
     const auto act = base::UniformBelow(random_, 7);
     if (act == 0) {
       fleet_[at]->OnRequest(kService, now_);
@@ -228,24 +228,24 @@
     } else if (act == 1) {
       Retry(at);
     } else if (act == 2) {
-      Hold(at);
+      Reserve(at);
     } else if (act == 3) {
-      Settle();
+      ChargeRandom();
     } else {
       Lend(at);
     }
     Deliver();
   }
-  // All that is held counts: each of its targets may reject it.
-  bool KeepsToItsBound() const { return bound_.Holds(now_); }
+  // Reservations count as extra arrivals, as each of them may be rejected.
+  bool KeepsToBound() const { return bound_.Holds(now_); }
   std::size_t extra() const { return extra_; }
 
  private:
-  struct Held {
+  struct Reservation {
     int instance = 0;
     ReservedArrivals arrival;
   };
-  struct OnItsWay {
+  struct LoanInTransit {
     base::Time arrives{};
     base::Time asked_at{};
     int to = 0;
@@ -253,7 +253,7 @@
   };
 
   int Size() const { return static_cast<int>(fleet_.size()); }
-  int Any(int n) const {
+  int Random(int n) const {
     return static_cast<int>(
         base::UniformBelow(random_, static_cast<std::uint64_t>(n)));
   }
@@ -266,38 +266,39 @@
       CountExtra();
     }
   }
-  void Hold(int at) {
-    if (const auto held = HoldReading(*fleet_[at], Size(), now_)) {
+  void Reserve(int at) {
+    if (const auto reserved = ReservePrefill(*fleet_[at], Size(), now_)) {
       CountExtra();
-      held_.push_back({at, *held});
+      reservations_.push_back({at, *reserved});
     }
   }
-  // One that was held is rejected, at any time after it was sent.
-  void Settle() {
-    if (held_.empty()) {
+  // A reserved arrival is rejected, at any time after it was sent.
+  void ChargeRandom() {
+    if (reservations_.empty()) {
       return;
     }
-    const int i = Any(static_cast<int>(held_.size()));
-    fleet_[held_[i].instance]->Charge(kService, held_[i].arrival);
-    held_.erase(held_.begin() + i);
+    const int i = Random(static_cast<int>(reservations_.size()));
+    fleet_[reservations_[i].instance]->Charge(kService,
+                                              reservations_[i].arrival);
+    reservations_.erase(reservations_.begin() + i);
   }
-  // A question of up to three seconds ago reaches a lender now.
+  // A loan request sent up to three seconds ago reaches a lender.
   void Lend(int to) {
-    const int from = Any(Size());
+    const int from = Random(Size());
     if (from == to) {
       return;
     }
-    const base::Time asked_at = now_ - milliseconds(Any(3000));
+    const base::Time asked_at = now_ - milliseconds(Random(3000));
     const double lent = fleet_[from]->Lend(kService, 3, Size(), now_);
-    const int copies_lost = Any(3);
+    const int copies_lost = Random(3);
     if (lent > 0 && copies_lost > 0) {
-      loans_.push_back({now_ + milliseconds(Any(8000)), asked_at, to, lent});
+      loans_.push_back({now_ + milliseconds(Random(8000)), asked_at, to, lent});
     }
   }
   void Deliver() {
     const auto due = std::ranges::partition(
-        loans_, [this](const OnItsWay& it) { return it.arrives > now_; });
-    for (const OnItsWay& it : due) {
+        loans_, [this](const LoanInTransit& it) { return it.arrives > now_; });
+    for (const LoanInTransit& it : due) {
       fleet_[it.to]->Borrow(kService, it.arrivals, it.asked_at);
     }
     loans_.erase(due.begin(), due.end());
@@ -308,29 +309,28 @@
   base::Time now_ = kNow;
   Bound bound_;
   std::vector<std::unique_ptr<SharedRetryBudget>> fleet_;
-  std::vector<Held> held_;
-  std::vector<OnItsWay> loans_;
+  std::vector<Reservation> reservations_;
+  std::vector<LoanInTransit> loans_;
   std::size_t extra_ = 0;
 };
 
-// The load this answers: engines that restart in series and reject what they
-// are to read, at all instances at once. In no window do the instances together
-// exceed the fleet's bound, whatever the order of requests, retries, readings
-// and loans, and if every reading under way is rejected.
-RC_GTEST_PROP(SharedRetryBudget, TheFleetKeepsToItsBoundInEveryWindow, ()) {
+// Guards against engines that restart in turn and reject prefills of all
+// instances at once: in no window do the instances together exceed the bound,
+// for any order of events and even if every pending prefill is rejected.
+RC_GTEST_PROP(SharedRetryBudget, InstancesTogetherKeepToTheBound, ()) {
   const int instances = *rc::gen::element(1, 2, 7, 40, 300);
   const auto seed = *rc::gen::arbitrary<std::uint64_t>();
   LendingFleet fleet(instances, {.ratio = 0.2, .allowance = 20},
                      base::SeededRandom(seed));
   for (int step = 0; step < 2000; ++step) {
     fleet.Step();
-    RC_ASSERT(fleet.KeepsToItsBound());
+    RC_ASSERT(fleet.KeepsToBound());
   }
 }
 
-// Without what requests earn no margin is needed: the shares add up to the
-// allowance, lent or not.
-RC_GTEST_PROP(SharedRetryBudget, LoansNeverAddToTheAllowance, ()) {
+// Without requests no safety margin is needed: the shares add up to the
+// budget, lent or not.
+RC_GTEST_PROP(SharedRetryBudget, LoansDoNotIncreaseTheAllowance, ()) {
   const int instances = *rc::gen::element(2, 7, 40, 300);
   const auto seed = *rc::gen::arbitrary<std::uint64_t>();
   LendingFleet fleet(instances,
@@ -341,19 +341,16 @@
                      base::SeededRandom(seed));
   for (int step = 0; step < 2000; ++step) {
     fleet.Step();
-    RC_ASSERT(fleet.KeepsToItsBound());
+    RC_ASSERT(fleet.KeepsToBound());
   }
 }
 
-// The load this answers: the platform's balancer sends some instances several
-// times the requests of others, and before caches are warm each has to read
-// apart at once. Of 295 instances and 630 retries, one with its equal share
-// could read two prompts at a time (0.95 x 630 / 295 = 2.0); 20 is what it has
-// under way at ten requests a second and two seconds a reading.
-TEST(SharedRetryBudget, APressedInstanceReadsWithWhatItsZoneCanSpare) {
+// Guards against a loaded instance that is limited to its equal share (0.95 x
+// 630 / 295 = 2 prefills at a time) while others have budget left.
+TEST(SharedRetryBudget, LoadedInstanceBorrowsFromItsZone) {
   constexpr int kInstances = 295;
   constexpr int kZone = 59;
-  constexpr int kReadings = 20;
+  constexpr int kPrefills = 20;
   const SharedRetryBudgetOptions options{.ratio = 0.2, .allowance = 630};
   std::vector<std::unique_ptr<SharedRetryBudget>> others;
   for (int i = 0; i < kZone - 1; ++i) {
@@ -361,18 +358,18 @@
   }
   std::size_t next = 0;
   SharedRetryBudget* self = nullptr;
-  SharedRetryBudget pressed(
+  SharedRetryBudget loaded(
       options, [&](const base::ServiceName& service, double missing) {
         SharedRetryBudget& lender = *others[next++ % others.size()];
         self->Borrow(service, lender.Lend(service, missing, kInstances, kNow),
                      kNow);
       });
-  self = &pressed;
-  int held = 0;
-  for (int i = 0; i < 3 * kReadings && held < kReadings; ++i) {
-    held += HoldReading(pressed, kInstances, kNow) ? 1 : 0;
+  self = &loaded;
+  int reserved = 0;
+  for (int i = 0; i < 3 * kPrefills && reserved < kPrefills; ++i) {
+    reserved += ReservePrefill(loaded, kInstances, kNow) ? 1 : 0;
   }
-  EXPECT_EQ(held, kReadings);
+  EXPECT_EQ(reserved, kPrefills);
 }
 
 }  // namespace
--- a/tests/request/passthrough/zone_health_test.cc
+++ b/tests/request/passthrough/zone_health_test.cc
@@ -18,16 +18,14 @@
 }
 
 // Three different targets of the zone fail.
-void IsUnreachable(ZoneHealth& zones) {
+void FailThreeTargets(ZoneHealth& zones) {
   for (int i = 0; i < 3; ++i) {
     zones.OnUnreachable(kZone, Target(i), kNow);
   }
 }
 
-// The load this answers: one of three zones is cut off for five seconds. Each
-// instance tried 60 engines there one by one, and prompts whose homes they were
-// went to the engines that generate: 3,140 of 7,979 quick requests were late.
-TEST(ZoneHealth, SeveralTargetsInARowSayItForAll) {
+// Guards against each target of a partitioned zone having to fail on its own.
+TEST(ZoneHealth, SeveralTargetsInARowMakeAZoneUnreachable) {
   ZoneHealth zones;
   zones.OnUnreachable(kZone, Target(0), kNow);
   zones.OnUnreachable(kZone, Target(1), kNow);
@@ -37,7 +35,7 @@
   EXPECT_FALSE(zones.IsUnreachable(base::ZoneId("b"), kNow));
 }
 
-TEST(ZoneHealth, OneTargetSaysNothingOfTheOthers) {
+TEST(ZoneHealth, RepeatedFailuresOfOneTargetDoNot) {
   ZoneHealth zones;
   for (int i = 0; i < 10; ++i) {
     zones.OnUnreachable(kZone, Target(0), kNow);
@@ -45,16 +43,16 @@
   EXPECT_FALSE(zones.IsUnreachable(kZone, kNow));
 }
 
-TEST(ZoneHealth, ATargetThatAnswersEndsIt) {
+TEST(ZoneHealth, TargetThatAnswersMakesItsZoneReachable) {
   ZoneHealth zones;
-  IsUnreachable(zones);
+  FailThreeTargets(zones);
   zones.OnReached(kZone);
   EXPECT_FALSE(zones.IsUnreachable(kZone, kNow));
   zones.OnUnreachable(kZone, Target(3), kNow);
   EXPECT_FALSE(zones.IsUnreachable(kZone, kNow));
 }
 
-TEST(ZoneHealth, FailuresLongAgoDoNotCount) {
+TEST(ZoneHealth, OldFailuresDoNotCount) {
   ZoneHealth zones;
   zones.OnUnreachable(kZone, Target(0), kNow);
   zones.OnUnreachable(kZone, Target(1), kNow);
@@ -62,9 +60,9 @@
   EXPECT_FALSE(zones.IsUnreachable(kZone, kNow + milliseconds(2001)));
 }
 
-TEST(ZoneHealth, OneRequestAtATimeTriesTheZone) {
+TEST(ZoneHealth, OneRequestAtATimeProbesTheZone) {
   ZoneHealth zones;
-  IsUnreachable(zones);
+  FailThreeTargets(zones);
   const base::Time later = kNow + milliseconds(500);
   EXPECT_FALSE(zones.IsUnreachable(kZone, later));
   zones.OnTry(kZone, later);
@@ -73,8 +71,8 @@
   EXPECT_FALSE(zones.IsUnreachable(kZone, later + milliseconds(500)));
 }
 
-// Whatever happens, a zone is tried again within the time between tries.
-RC_GTEST_PROP(ZoneHealth, NoZoneIsLeftForEver, ()) {
+// Random events: a zone is probed again within the probe interval.
+RC_GTEST_PROP(ZoneHealth, UnreachableZoneIsProbedAgain, ()) {
   ZoneHealth zones;
   base::Time now = kNow;
   const int n = *rc::gen::inRange(1, 60);
