--- a/src/process/fleet_watch.h
+++ b/src/process/fleet_watch.h
@@ -2,8 +2,9 @@
 //
 // The instance list names the targets. Each instance polls its slice of the
 // targets in its zone and shares their load reports within the zone. Targets in
-// other zones are known from kTarget facts and from load reports attached to
-// responses. Targets whose role and model are unknown are polled in any case.
+// other zones are known from kTarget facts, published by the order holder of
+// their zone, and from load reports attached to responses. Targets whose role
+// and model are unknown are polled in any case.
 //
 // A few instances of each zone publish the rows of the instance list as facts.
 // Rows newer than the local list are taken from these facts, also when the list
--- a/src/process/membership.cc
+++ b/src/process/membership.cc
@@ -8,8 +8,8 @@
 namespace lynxglade::process {
 
 namespace {
-// Delays dialling into zones that sort before our own, so that the two relays
-// of a pair rarely dial each other at the same time.
+// Delays dialling into zones that sort before the local one, so that the two
+// relays of a pair rarely dial each other at the same time.
 constexpr base::Duration kRelayDialDelay = std::chrono::seconds(2);
 // Consecutive failed attempts after which a peer counts as unreachable.
 constexpr int kUnreachableFailures = 2;
