--- a/fuzz/caller_body.cc
+++ b/fuzz/caller_body.cc
@@ -24,9 +24,9 @@
   request::Request request;
   request.body = call->engine_body;
   request.prefix_hash = call->prefix_hash;
-  request::AttemptOrder order;
-  order.request = &request;
-  const auto engine_body = connection::EngineBody(order);
+  request::AttemptSpec spec;
+  spec.request = &request;
+  const auto engine_body = connection::EngineBody(spec);
   fuzz::Check(engine_body.has_value(), "a body for engines is made");
   const auto sent = nlohmann::json::parse(*engine_body, nullptr,
                                           /*allow_exceptions=*/false);
--- a/src/connection/target_client.cc
+++ b/src/connection/target_client.cc
@@ -135,50 +135,49 @@
 
 TargetClient::~TargetClient() = default;
 
-request::AttemptReport TargetClient::Run(const request::AttemptOrder& order,
+request::AttemptReport TargetClient::Run(const request::AttemptSpec& spec,
                                          const request::TokenSink& sink) {
-  const bool plain = order.role == request::EngineRole::kPlain;
-  if (plain && !IsSendable(*order.request)) {
+  const bool plain = spec.role == request::EngineRole::kPlain;
+  if (plain && !IsSendable(*spec.request)) {
     return Rejected("method, path or content type cannot be sent");
   }
   std::optional<std::string> body =
-      plain ? order.request->body : EngineBody(order);
+      plain ? spec.request->body : EngineBody(spec);
   if (!body) {
     return Rejected("the body is no JSON object");
   }
   const std::size_t body_size = body->size();
-  TargetExchange exchange(order, sink, std::move(*body), details_->clock,
+  TargetExchange exchange(spec, sink, std::move(*body), details_->clock,
                           details_->options.max_plain_body);
-  auto client = details_->pool.Take(order.address, order.port,
-                                    order.request->non_idempotent);
-  const base::Duration silence =
-      order.idle_timeout > base::Duration::zero()
-          ? std::min(order.idle_timeout, order.timeout)
-          : order.timeout;
+  auto client = details_->pool.Take(spec.address, spec.port,
+                                    spec.request->non_idempotent);
+  const base::Duration silence = spec.idle_timeout > base::Duration::zero()
+                                     ? std::min(spec.idle_timeout, spec.timeout)
+                                     : spec.timeout;
   // A request without a body comes under watch with the answer's head only;
   // until then the silence is bounded here. Otherwise the watch is sooner.
   client->set_read_timeout(body_size == 0 ? silence : silence + kWatchSlack);
   client->set_connection_timeout(
-      std::min(order.timeout, details_->options.connect_timeout));
+      std::min(spec.timeout, details_->options.connect_timeout));
   const auto watched =
-      details_->watch.Add({.deadline = details_->clock() + order.timeout,
+      details_->watch.Add({.deadline = details_->clock() + spec.timeout,
                            .silence = silence,
                            .cancelled = sink.cancelled,
                            .stop = [&client] { client->stop(); }});
   request::AttemptReport report = exchange.Perform(*client, *watched);
   details_->watch.Remove(watched);
   if (exchange.connection_clean()) {
-    details_->pool.Keep(order.address, order.port, std::move(client));
+    details_->pool.Keep(spec.address, spec.port, std::move(client));
   }
   return report;
 }
 
-void TargetClient::Cancel(const request::AttemptOrder& order) {
-  if (order.role == request::EngineRole::kPlain) {
+void TargetClient::Cancel(const request::AttemptSpec& spec) {
+  if (spec.role == request::EngineRole::kPlain) {
     return;
   }
   details_->cancels.Add(
-      {.address = order.address, .port = order.port, .attempt = order.id});
+      {.address = spec.address, .port = spec.port, .attempt = spec.id});
 }
 
 }  // namespace lynxglade::connection
--- a/src/connection/target_client.h
+++ b/src/connection/target_client.h
@@ -46,13 +46,13 @@
   TargetClient(const TargetClient&) = delete;
   TargetClient& operator=(const TargetClient&) = delete;
 
-  // Blocks until the attempt ended, at most about order.timeout.
-  request::AttemptReport Run(const request::AttemptOrder& order,
+  // Blocks until the attempt ended, at most about spec.timeout.
+  request::AttemptReport Run(const request::AttemptSpec& spec,
                              const request::TokenSink& sink);
 
-  // Queues POST /v1/cancel to the order's engine and returns at once. Plain
+  // Queues POST /v1/cancel to the attempt's engine and returns at once. Plain
   // services know no cancel.
-  void Cancel(const request::AttemptOrder& order);
+  void Cancel(const request::AttemptSpec& spec);
 
  private:
   struct Details;
--- a/src/connection/target_client_exchange.cc
+++ b/src/connection/target_client_exchange.cc
@@ -67,8 +67,8 @@
 
 }  // namespace
 
-std::optional<std::string> EngineBody(const request::AttemptOrder& order) {
-  const request::Request& request = *order.request;
+std::optional<std::string> EngineBody(const request::AttemptSpec& spec) {
+  const request::Request& request = *spec.request;
   std::optional<json> parsed = base::ParseBoundedJson(request.body);
   if (!parsed || !parsed->is_object()) {
     return std::nullopt;
@@ -77,18 +77,18 @@
   body["stream"] = true;
   body["stream_options"] = {{"include_usage", true}};
   body["priority"] = request.priority.value();
-  if (order.resume_from.value() > 0) {
-    body["resume_from"] = order.resume_from.value();
+  if (spec.resume_from.value() > 0) {
+    body["resume_from"] = spec.resume_from.value();
   }
   if (request.prefix_hash != 0) {
     body["prefix_hint"] = base::ToHex(request.prefix_hash);
   }
-  if (order.kind == AttemptKind::kPrefill) {
+  if (spec.kind == AttemptKind::kPrefill) {
     body["max_tokens"] = 1;
     body["kv_transfer_params"] = {{"do_remote_decode", true}};
-  } else if (!order.kv_transfer_params.empty()) {
+  } else if (!spec.kv_transfer_params.empty()) {
     body["kv_transfer_params"] =
-        json::parse(order.kv_transfer_params, nullptr, false);
+        json::parse(spec.kv_transfer_params, nullptr, false);
   }
   return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
@@ -103,17 +103,17 @@
          });
 }
 
-TargetExchange::TargetExchange(const request::AttemptOrder& order,
+TargetExchange::TargetExchange(const request::AttemptSpec& spec,
                                const request::TokenSink& sink,
                                std::string body,
                                const base::Clock& clock,
                                std::size_t max_plain_body)
-    : order_(order),
+    : spec_(spec),
       body_(std::move(body)),
       clock_(clock),
       started_(clock()),
       max_plain_body_(max_plain_body),
-      stream_(order.id, order.resume_from, counted_sink_) {
+      stream_(spec.id, spec.resume_from, counted_sink_) {
   counted_sink_.on_token = [this, &sink](const request::TokenChunk& chunk) {
     if (!report_.first_token) {
       report_.first_token = clock_() - started_;
@@ -142,12 +142,12 @@
 }
 
 httplib::Request TargetExchange::MakeRequest(WatchedAttempt& watch) {
-  const request::Request& from = *order_.request;
+  const request::Request& from = *spec_.request;
   httplib::Request request;
   request.method = IsPlain() ? from.method : "POST";
   request.path = IsPlain() ? from.path : kChatPath;
   request.set_header("X-Request-Id", from.id.str());
-  request.set_header("X-Attempt-Id", order_.id.str());
+  request.set_header("X-Attempt-Id", spec_.id.str());
   const std::string type = IsPlain() ? from.content_type : "application/json";
   if (!type.empty()) {
     request.set_header("Content-Type", type);
@@ -176,10 +176,10 @@
                                WatchedAttempt& watch) {
   if (phase_ == Phase::kConnecting) {
     const base::Time now = clock_();
-    // The process may have been paused since the order was made.
-    const base::Duration limit = order_.start_timeout > base::Duration::zero()
-                                     ? order_.start_timeout
-                                     : order_.timeout;
+    // The process may have been paused since the spec was made.
+    const base::Duration limit = spec_.start_timeout > base::Duration::zero()
+                                     ? spec_.start_timeout
+                                     : spec_.timeout;
     overdue_ = now - started_ >= limit;
     if (overdue_) {
       return false;
@@ -209,7 +209,7 @@
   length_known_ = head.has_header("Content-Length") || HasNoBody(status_) ||
                   head.get_header_value("Transfer-Encoding") == "chunked";
   const std::string echo = head.get_header_value("X-Attempt-Id");
-  crossed_ = !echo.empty() && echo != order_.id.str();
+  crossed_ = !echo.empty() && echo != spec_.id.str();
   return !crossed_;
 }
 
@@ -232,7 +232,7 @@
 }
 
 bool TargetExchange::IsPlain() const noexcept {
-  return order_.role == request::EngineRole::kPlain;
+  return spec_.role == request::EngineRole::kPlain;
 }
 
 bool TargetExchange::IsStreaming() const noexcept {
@@ -283,10 +283,9 @@
     return;
   }
   // Without a body the head was the whole request.
-  const base::Duration limit =
-      order_.idle_timeout > base::Duration::zero()
-          ? std::min(order_.timeout, order_.idle_timeout)
-          : order_.timeout;
+  const base::Duration limit = spec_.idle_timeout > base::Duration::zero()
+                                   ? std::min(spec_.timeout, spec_.idle_timeout)
+                                   : spec_.timeout;
   const bool timed_out = clock_() - started_ >= limit;
   End(timed_out ? AttemptEnd::kTimeout : AttemptEnd::kReset, Outcome::kUnknown);
 }
--- a/src/connection/target_client_exchange.h
+++ b/src/connection/target_client_exchange.h
@@ -19,7 +19,7 @@
 
 // The body that an engine gets: the request's own with the fields of the
 // attempt. Nothing when the request's body is no JSON object.
-std::optional<std::string> EngineBody(const request::AttemptOrder& order);
+std::optional<std::string> EngineBody(const request::AttemptSpec& spec);
 
 // Whether method and path can stand in a request line as they are.
 bool IsSendable(const request::Request& request) noexcept;
@@ -28,7 +28,7 @@
 class TargetExchange {
  public:
   // All but `body` outlive this object.
-  TargetExchange(const request::AttemptOrder& order,
+  TargetExchange(const request::AttemptSpec& spec,
                  const request::TokenSink& sink,
                  std::string body,
                  const base::Clock& clock,
@@ -67,7 +67,7 @@
   bool TakeRefusal();
   void End(request::AttemptEnd end, base::Outcome outcome);
 
-  const request::AttemptOrder& order_;
+  const request::AttemptSpec& spec_;
   const std::string body_;
   const base::Clock& clock_;
   const base::Time started_;
--- a/src/main/daemon_hooks.cc
+++ b/src/main/daemon_hooks.cc
@@ -141,12 +141,12 @@
   process::ServingHooks hooks;
   hooks.clock = base::BootClock::now;
   hooks.random = random;
-  hooks.run = [this](const request::AttemptOrder& order,
+  hooks.run = [this](const request::AttemptSpec& spec,
                      const request::TokenSink& sink) {
-    return target_client.Run(order, sink);
+    return target_client.Run(spec, sink);
   };
-  hooks.cancel = [this](const request::AttemptOrder& order) {
-    target_client.Cancel(order);
+  hooks.cancel = [this](const request::AttemptSpec& spec) {
+    target_client.Cancel(spec);
   };
   hooks.claim_begin = [this](const request::Request& request) {
     return claims.Begin(request);
--- a/src/process/serving_plane.cc
+++ b/src/process/serving_plane.cc
@@ -142,8 +142,8 @@
 request::RelayHooks ServingPlane::MakeRelayHooks(const ServingHooks& hooks) {
   request::RelayHooks out;
   out.pick = [this](const request::PickQuery& query) { return Pick(query); };
-  out.run = [this](const request::AttemptOrder& order,
-                   const request::TokenSink& sink) { return Run(order, sink); };
+  out.run = [this](const request::AttemptSpec& spec,
+                   const request::TokenSink& sink) { return Run(spec, sink); };
   out.now = hooks.clock;
   out.random = hooks.random;
   out.sleep = SleepUnlessCancelled;
@@ -161,13 +161,13 @@
     return CheckQuarantine(request);
   };
   out.on_attempt_start = [this](const Target& target,
-                                const request::AttemptOrder& order) {
-    OnAttemptStart(target, order);
+                                const request::AttemptSpec& spec) {
+    OnAttemptStart(target, spec);
   };
   out.on_attempt_end = [this](const Target& target,
-                              const request::AttemptOrder& order,
+                              const request::AttemptSpec& spec,
                               const AttemptReport& report) {
-    OnAttemptEnd(target, order, report);
+    OnAttemptEnd(target, spec, report);
   };
   out.cancel = hooks.cancel;
   out.wants_split = [this](const Request& request) {
@@ -301,13 +301,13 @@
 
 // --- Attempts ---------------------------------------------------------------
 
-AttemptReport ServingPlane::Run(const request::AttemptOrder& order,
+AttemptReport ServingPlane::Run(const request::AttemptSpec& spec,
                                 const request::TokenSink& sink) {
   request::QuarantineDenial denial{};
   const bool started = quarantine_.TryStart(
-      ContentOf(*order.request), order.target, order.id, clock_(), &denial);
+      ContentOf(*spec.request), spec.target, spec.id, clock_(), &denial);
   if (started) {
-    return run_(order, sink);
+    return run_(spec, sink);
   }
   metrics_
       .GetCounter("lynxglade_quarantine_denials_total",
@@ -327,12 +327,12 @@
 }
 
 void ServingPlane::OnAttemptStart(const Target& target,
-                                  const request::AttemptOrder& order) {
+                                  const request::AttemptSpec& spec) {
   metrics_.GetCounter("lynxglade_attempts_total").Add();
 }
 
 void ServingPlane::OnAttemptEnd(const Target& target,
-                                const request::AttemptOrder& order,
+                                const request::AttemptSpec& spec,
                                 const AttemptReport& report) {
   const base::Time now = clock_();
   metrics_
@@ -340,11 +340,11 @@
                   {{"end", std::string(request::ToString(report.end))}})
       .Add();
   if (report.end == AttemptEnd::kWhole) {
-    quarantine_.OnDelivered(order.id, now);
+    quarantine_.OnDelivered(spec.id, now);
   } else if (IsConnectionLost(report.end)) {
-    quarantine_.OnLost(order.id, now);
+    quarantine_.OnLost(spec.id, now);
   } else {
-    quarantine_.OnEnded(order.id, now);
+    quarantine_.OnEnded(spec.id, now);
   }
   if (!report.load_json.empty()) {
     if (const auto load = connection::ParseLoadReport(report.load_json, now)) {
@@ -355,9 +355,9 @@
   RecordRefusal(target, report);
   if (report.end != AttemptEnd::kWhole) {
     base::Log(base::LogLevel::kInfo, "attempt_failed",
-              {{"request", order.request->id.str()},
-               {"attempt", order.id.str()},
-               {"contract", order.request->contract.str()},
+              {{"request", spec.request->id.str()},
+               {"attempt", spec.id.str()},
+               {"contract", spec.request->contract.str()},
                {"target", target.id.str()},
                {"end", request::ToString(report.end)},
                {"refusal", request::ToString(report.refusal)},
--- a/src/process/serving_plane.h
+++ b/src/process/serving_plane.h
@@ -111,12 +111,12 @@
       const request::Request& request);
   request::RetryVerdict AllowRetry(const request::RetryQuery& query);
   bool WantsSplit(const request::Request& request);
-  request::AttemptReport Run(const request::AttemptOrder& order,
+  request::AttemptReport Run(const request::AttemptSpec& spec,
                              const request::TokenSink& sink);
   void OnAttemptStart(const request::Target& target,
-                      const request::AttemptOrder& order);
+                      const request::AttemptSpec& spec);
   void OnAttemptEnd(const request::Target& target,
-                    const request::AttemptOrder& order,
+                    const request::AttemptSpec& spec,
                     const request::AttemptReport& report);
   void UpdateTargetHealth(const request::Target& target,
                           const request::AttemptReport& report);
--- a/src/request/attempt.h
+++ b/src/request/attempt.h
@@ -1,6 +1,6 @@
-// An attempt to run a request at one target: its order and its report.
+// An attempt to run a request at one target: its parameters and its report.
 //
-// The relay issues the orders; a connection::TargetClient, or a fake in tests,
+// The relay makes the specs; a connection::TargetClient, or a fake in tests,
 // executes them.
 #ifndef LYNXGLADE_REQUEST_ATTEMPT_H_
 #define LYNXGLADE_REQUEST_ATTEMPT_H_
@@ -74,7 +74,7 @@
 TargetRefusal ParseTargetRefusal(std::string_view code) noexcept;
 
 // The parameters of an attempt. Valid until the call that runs it returns.
-struct AttemptOrder {
+struct AttemptSpec {
   // Not null. Outlives the attempt.
   const Request* request = nullptr;
   base::AttemptId id;
@@ -165,10 +165,10 @@
 
 // Runs an attempt and blocks until it ends. Thread-safe. Never throws.
 using RunAttempt =
-    std::function<AttemptReport(const AttemptOrder&, const TokenSink&)>;
+    std::function<AttemptReport(const AttemptSpec&, const TokenSink&)>;
 
 // Asks a target to stop an attempt. Best effort; must not wait for the target.
-using CancelAttempt = std::function<void(const AttemptOrder&)>;
+using CancelAttempt = std::function<void(const AttemptSpec&)>;
 
 }  // namespace lynxglade::request
 
--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -128,8 +128,8 @@
   // Optional. The target delivered a complete answer.
   std::function<void(const Request&, const base::TargetId&)> on_delivered;
   // Optional. Called before and after every attempt.
-  std::function<void(const Target&, const AttemptOrder&)> on_attempt_start;
-  std::function<void(const Target&, const AttemptOrder&, const AttemptReport&)>
+  std::function<void(const Target&, const AttemptSpec&)> on_attempt_start;
+  std::function<void(const Target&, const AttemptSpec&, const AttemptReport&)>
       on_attempt_end;
   // Optional. Called after an attempt that may still run at the target. Best
   // effort.
@@ -152,7 +152,7 @@
   // Maximum number of retries without allow_retry, after a target refused
   // because it is draining, changing or has not loaded the model.
   int max_free_reroutes = 2;
-  // AttemptOrder::idle_timeout as a fraction of the time to the deadline, and
+  // AttemptSpec::idle_timeout as a fraction of the time to the deadline, and
   // its minimum. Non-idempotent requests, which cannot be retried elsewhere,
   // use the whole time to the deadline.
   double idle_timeout_share = 0.5;
--- a/src/request/relay_run.cc
+++ b/src/request/relay_run.cc
@@ -152,9 +152,9 @@
   if (!target) {
     return;
   }
-  const AttemptOrder order = MakeOrder(*target);
-  AttemptReport report = RunAttemptAt(*target, order);
-  NotifyHooks(*target, order, report);
+  const AttemptSpec spec = MakeSpec(*target);
+  AttemptReport report = RunAttemptAt(*target, spec);
+  NotifyHooks(*target, spec, report);
   HandleReport(*target, std::move(report));
 }
 
@@ -198,40 +198,40 @@
   return std::nullopt;
 }
 
-AttemptOrder RelayRun::MakeOrder(const Target& target) const {
+AttemptSpec RelayRun::MakeSpec(const Target& target) const {
   const base::Time now = hooks_.now();
   const base::Duration to_deadline = request_.deadline - now;
   const auto share = std::chrono::duration_cast<base::Duration>(
       to_deadline * limits_.idle_timeout_share);
-  AttemptOrder order;
-  order.request = &request_;
-  order.id = base::AttemptId(base::RandomHexId(hooks_.random));
-  order.kind = kind_;
-  order.target = target.id;
-  order.address = target.address;
-  order.port = target.port;
-  order.role = target.role;
-  order.resume_from = delivery_.offset();
-  order.timeout = to_deadline + limits_.late_grace;
-  order.idle_timeout = std::max(request_.non_idempotent ? to_deadline : share,
-                                limits_.min_idle_timeout);
+  AttemptSpec spec;
+  spec.request = &request_;
+  spec.id = base::AttemptId(base::RandomHexId(hooks_.random));
+  spec.kind = kind_;
+  spec.target = target.id;
+  spec.address = target.address;
+  spec.port = target.port;
+  spec.role = target.role;
+  spec.resume_from = delivery_.offset();
+  spec.timeout = to_deadline + limits_.late_grace;
+  spec.idle_timeout = std::max(request_.non_idempotent ? to_deadline : share,
+                               limits_.min_idle_timeout);
   if (kind_ == AttemptKind::kDecode) {
-    order.kv_transfer_params = kv_transfer_params_;
+    spec.kv_transfer_params = kv_transfer_params_;
   }
   // Past the deadline only an answer that has started may continue.
-  order.start_timeout = request_.deadline - hooks_.now();
-  return order;
+  spec.start_timeout = request_.deadline - hooks_.now();
+  return spec;
 }
 
 AttemptReport RelayRun::RunAttemptAt(const Target& target,
-                                     const AttemptOrder& order) {
+                                     const AttemptSpec& spec) {
   ++result_.attempts;
   result_.last_target = target.id;
   out_of_sequence_ = false;
-  InFlight in_flight(target, CostOfPart(EstimateCost(), order.kind),
+  InFlight in_flight(target, CostOfPart(EstimateCost(), spec.kind),
                      hooks_.now());
   if (hooks_.on_attempt_start) {
-    hooks_.on_attempt_start(target, order);
+    hooks_.on_attempt_start(target, spec);
   }
   TokenSink sink;
   // A non-idempotent request runs to its end even if its caller disconnects:
@@ -243,7 +243,7 @@
   sink.on_token = [&](const TokenChunk& chunk) {
     in_flight.PrefillDone();
     // The decode engine generates the prefill engine's token again.
-    if (order.kind == AttemptKind::kPrefill) {
+    if (spec.kind == AttemptKind::kPrefill) {
       return true;
     }
     answer_started_ = true;
@@ -251,10 +251,10 @@
     out_of_sequence_ = verdict == RelayDelivery::Verdict::kOutOfSequence;
     return verdict == RelayDelivery::Verdict::kAccepted;
   };
-  return VerifyReport(order, hooks_.run(order, sink));
+  return VerifyReport(spec, hooks_.run(spec, sink));
 }
 
-AttemptReport RelayRun::VerifyReport(const AttemptOrder& order,
+AttemptReport RelayRun::VerifyReport(const AttemptSpec& spec,
                                      AttemptReport report) const {
   if (out_of_sequence_) {
     report.end = AttemptEnd::kBadAnswer;
@@ -269,7 +269,7 @@
     return report;
   }
   const bool counts_tokens = report.end == AttemptEnd::kWhole &&
-                             order.kind != AttemptKind::kPrefill &&
+                             spec.kind != AttemptKind::kPrefill &&
                              !report.plain;
   if (counts_tokens && delivery_.offset() != report.usage.completion) {
     report.end = AttemptEnd::kBadAnswer;
@@ -279,14 +279,14 @@
 }
 
 void RelayRun::NotifyHooks(const Target& target,
-                           const AttemptOrder& order,
+                           const AttemptSpec& spec,
                            const AttemptReport& report) {
   if (hooks_.on_attempt_end) {
-    hooks_.on_attempt_end(target, order, report);
+    hooks_.on_attempt_end(target, spec, report);
   }
   if (hooks_.cancel && MayStillRun(report.end) &&
       report.outcome != Outcome::kNotRun) {
-    hooks_.cancel(order);
+    hooks_.cancel(spec);
   }
   if (hooks_.on_connection_lost && MayBeCrash(report.end)) {
     hooks_.on_connection_lost(request_, target.id);
--- a/src/request/relay_run.h
+++ b/src/request/relay_run.h
@@ -47,13 +47,13 @@
   void RunStep();
   bool StopBeforeAttempt();
   std::optional<Target> Pick();
-  AttemptOrder MakeOrder(const Target& target) const;
-  AttemptReport RunAttemptAt(const Target& target, const AttemptOrder& order);
+  AttemptSpec MakeSpec(const Target& target) const;
+  AttemptReport RunAttemptAt(const Target& target, const AttemptSpec& spec);
   // Corrects a report where it contradicts the delivered tokens.
-  AttemptReport VerifyReport(const AttemptOrder& order,
+  AttemptReport VerifyReport(const AttemptSpec& spec,
                              AttemptReport report) const;
   void NotifyHooks(const Target& target,
-                   const AttemptOrder& order,
+                   const AttemptSpec& spec,
                    const AttemptReport& report);
 
   void HandleReport(const Target& target, AttemptReport report);
--- a/tests/connection/target_client_test.cc
+++ b/tests/connection/target_client_test.cc
@@ -85,27 +85,27 @@
     request_.body = R"({"messages":[]})";
   }
 
-  request::AttemptOrder Order(int port) const {
-    request::AttemptOrder order;
-    order.request = &request_;
-    order.id = base::AttemptId(kAttempt);
-    order.address = "127.0.0.1";
-    order.port = port;
-    order.role = request_.method.empty() ? request::EngineRole::kMixed
-                                         : request::EngineRole::kPlain;
-    order.timeout = seconds(20);
-    order.idle_timeout = seconds(20);
-    return order;
+  request::AttemptSpec Order(int port) const {
+    request::AttemptSpec spec;
+    spec.request = &request_;
+    spec.id = base::AttemptId(kAttempt);
+    spec.address = "127.0.0.1";
+    spec.port = port;
+    spec.role = request_.method.empty() ? request::EngineRole::kMixed
+                                        : request::EngineRole::kPlain;
+    spec.timeout = seconds(20);
+    spec.idle_timeout = seconds(20);
+    return spec;
   }
 
-  AttemptReport Run(const request::AttemptOrder& order) {
+  AttemptReport Run(const request::AttemptSpec& spec) {
     request::TokenSink sink;
     sink.on_token = [this](const request::TokenChunk& chunk) {
       text_ += chunk.text;
       return true;
     };
     sink.cancelled = [this] { return caller_gone_.load(); };
-    return client_.Run(order, sink);
+    return client_.Run(spec, sink);
   }
 
   AttemptReport RunAgainst(Reply reply) {
@@ -176,9 +176,9 @@
 TEST_F(TargetClientTest, OverdueOrderSendsNoBody) {
   ScriptedServer server(
       [](const std::string&) { return Reply{Answered(WholeStream())}; });
-  request::AttemptOrder order = Order(server.port());
-  order.start_timeout = base::Duration(1);
-  const AttemptReport report = Run(order);
+  request::AttemptSpec spec = Order(server.port());
+  spec.start_timeout = base::Duration(1);
+  const AttemptReport report = Run(spec);
   EXPECT_EQ(report.outcome, Outcome::kNotRun);
   EXPECT_TRUE(server.requests().empty());
 }
@@ -258,9 +258,9 @@
     return Reply{StreamHead() + Chunk(Event(kAttempt, "one ", 0, 1)),
                  Then::kHang};
   });
-  request::AttemptOrder order = Order(server.port());
-  order.idle_timeout = milliseconds(50);
-  const AttemptReport report = Run(order);
+  request::AttemptSpec spec = Order(server.port());
+  spec.idle_timeout = milliseconds(50);
+  const AttemptReport report = Run(spec);
   EXPECT_EQ(report.end, AttemptEnd::kTimeout);
   EXPECT_EQ(report.outcome, Outcome::kRan);
 }
@@ -276,9 +276,9 @@
     caller_gone_ = true;
     return Reply{"", Then::kHang};
   });
-  const request::AttemptOrder order = Order(server.port());
-  EXPECT_EQ(Run(order).end, AttemptEnd::kCancelledByCaller);
-  client_.Cancel(order);
+  const request::AttemptSpec spec = Order(server.port());
+  EXPECT_EQ(Run(spec).end, AttemptEnd::kCancelledByCaller);
+  client_.Cancel(spec);
   cancel_came.wait(false);
   EXPECT_TRUE(cancel_came);
 }
--- a/tests/request/claims_test.cc
+++ b/tests/request/claims_test.cc
@@ -70,7 +70,7 @@
       pick.target.emplace();
       return pick;
     };
-    hooks.run = [this](const AttemptOrder&, const TokenSink& sink) {
+    hooks.run = [this](const AttemptSpec&, const TokenSink& sink) {
       return Run(sink);
     };
     hooks.sleep = [](base::Duration, const auto&) { return true; };
--- a/tests/request/relay_engines_test.cc
+++ b/tests/request/relay_engines_test.cc
@@ -123,10 +123,10 @@
       pick.target = TheFleet().TargetOf(query.avoid.size() % kEngines);
       return pick;
     };
-    hooks.run = [this](const AttemptOrder& order, const TokenSink& sink) {
-      return client_.Run(order, sink);
+    hooks.run = [this](const AttemptSpec& spec, const TokenSink& sink) {
+      return client_.Run(spec, sink);
     };
-    hooks.cancel = [this](const AttemptOrder& order) { client_.Cancel(order); };
+    hooks.cancel = [this](const AttemptSpec& spec) { client_.Cancel(spec); };
     hooks.sleep = [](base::Duration, const auto&) { return true; };
     hooks.allow_retry = [](const RetryQuery& query) {
       RetryVerdict verdict;
--- a/tests/request/relay_test.cc
+++ b/tests/request/relay_test.cc
@@ -59,11 +59,11 @@
  public:
   explicit FakeFleet(std::vector<Fault> script) : script_(std::move(script)) {}
 
-  AttemptReport Run(const AttemptOrder& order, const TokenSink& sink) {
+  AttemptReport Run(const AttemptSpec& spec, const TokenSink& sink) {
     const Fault fault =
         next_ < script_.size() ? script_[next_++] : Fault::kNone;
     now_ += milliseconds(10);
-    attempts_.push_back(order.target);
+    attempts_.push_back(spec.target);
     switch (fault) {
       case Fault::kConnectFailed:
         return End(AttemptEnd::kConnectFailed, Outcome::kNotRun);
@@ -83,12 +83,12 @@
       case Fault::kResetAfterRun:
         return End(AttemptEnd::kReset, Outcome::kUnknown);
       case Fault::kTimeout:
-        now_ += order.idle_timeout;
+        now_ += spec.idle_timeout;
         return End(AttemptEnd::kTimeout, Outcome::kUnknown);
       case Fault::kCrossed:
         return End(AttemptEnd::kCrossed, Outcome::kUnknown);
       default:
-        return Stream(order, sink, fault);
+        return Stream(spec, sink, fault);
     }
   }
 
@@ -113,10 +113,10 @@
     return report;
   }
 
-  AttemptReport Stream(const AttemptOrder& order,
+  AttemptReport Stream(const AttemptSpec& spec,
                        const TokenSink& sink,
                        Fault fault) {
-    const int from = static_cast<int>(order.resume_from.value());
+    const int from = static_cast<int>(spec.resume_from.value());
     int first = from;
     if (fault == Fault::kOverlap) {
       first = std::max(0, from - 1);
@@ -184,8 +184,8 @@
     pick.target = target;
     return pick;
   };
-  hooks.run = [&fleet](const AttemptOrder& order, const TokenSink& sink) {
-    return fleet.Run(order, sink);
+  hooks.run = [&fleet](const AttemptSpec& spec, const TokenSink& sink) {
+    return fleet.Run(spec, sink);
   };
   hooks.sleep = [&fleet](base::Duration d, const auto&) {
     fleet.Sleep(d);
@@ -197,7 +197,7 @@
                         .reason = RefusalReason::kRetryBudget,
                         .retry_after = std::nullopt};
   };
-  hooks.cancel = [&fleet](const AttemptOrder&) { fleet.Cancel(); };
+  hooks.cancel = [&fleet](const AttemptSpec&) { fleet.Cancel(); };
   return hooks;
 }
 
@@ -305,10 +305,10 @@
     std::vector<AttemptKind> kinds;
     RelayHooks hooks = HooksFor(fleet);
     hooks.wants_split = [](const Request&) { return true; };
-    hooks.run = [&](const AttemptOrder& order, const TokenSink& sink) {
-      kinds.push_back(order.kind);
+    hooks.run = [&](const AttemptSpec& spec, const TokenSink& sink) {
+      kinds.push_back(spec.kind);
       AttemptReport report;
-      if (order.kind == AttemptKind::kPrefill) {
+      if (spec.kind == AttemptKind::kPrefill) {
         sink.on_token({.text = "t0 ",
                        .offset = base::Tokens(0),
                        .count = base::Tokens(1)});
@@ -317,15 +317,15 @@
         report.kv_transfer_params = "{\"remote_engine\":\"p\"}";
         return report;
       }
-      if (order.kind == AttemptKind::kDecode) {
-        EXPECT_EQ(order.kv_transfer_params, "{\"remote_engine\":\"p\"}");
+      if (spec.kind == AttemptKind::kDecode) {
+        EXPECT_EQ(spec.kv_transfer_params, "{\"remote_engine\":\"p\"}");
         if (decode_fails) {
           report.end = AttemptEnd::kConnectFailed;
           report.outcome = Outcome::kNotRun;
           return report;
         }
       }
-      return fleet.Run(order, sink);
+      return fleet.Run(spec, sink);
     };
     const Relay relay(hooks, RelayLimits{});
 
@@ -382,12 +382,12 @@
 // Delivers `before` tokens, lets the deadline pass, and continues up to four
 // tokens unless it is cancelled.
 RunAttempt RunPastTheDeadline(base::Time* now, int before) {
-  return [now, before](const AttemptOrder& order, const TokenSink& sink) {
+  return [now, before](const AttemptSpec& spec, const TokenSink& sink) {
     AttemptReport report;
     report.outcome = Outcome::kRan;
     for (int i = 0; i < 4; ++i) {
       if (i == before) {
-        *now = order.request->deadline + seconds(1);
+        *now = spec.request->deadline + seconds(1);
       }
       if (sink.cancelled()) {
         report.end = AttemptEnd::kCancelledByCaller;
