--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -27,7 +27,7 @@
 #include "process/order_authority.h"
 #include "process/peer_datagrams.h"
 #include "process/prefix_follower.h"
-#include "process/read_sharing.h"
+#include "process/prefill_sharing.h"
 #include "process/retry_loans.h"
 #include "process/stage_orders.h"
 #include "process/watch_sharing.h"
--- a/src/process/read_sharing.h
+++ b/src/process/prefill_sharing.h
@@ -2,8 +2,8 @@
 //
 // Ten reports a second to each. Where there are many instances only those of
 // one availability zone tell each other; the rest is taken to be like them.
-#ifndef LYNXGLADE_PROCESS_READ_SHARING_H_
-#define LYNXGLADE_PROCESS_READ_SHARING_H_
+#ifndef LYNXGLADE_PROCESS_PREFILL_SHARING_H_
+#define LYNXGLADE_PROCESS_PREFILL_SHARING_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -73,4 +73,4 @@
 
 }  // namespace lynxglade::process
 
-#endif  // LYNXGLADE_PROCESS_READ_SHARING_H_
+#endif  // LYNXGLADE_PROCESS_PREFILL_SHARING_H_
--- a/src/process/retry_loans.h
+++ b/src/process/retry_loans.h
@@ -2,7 +2,7 @@
 // lends its own. shared_retry_budget.h explains why the fleet's bound holds.
 //
 // A request goes to a few randomly chosen peers of those that exchange
-// prefill reports (read_sharing.h). Nothing blocks on the response: without
+// prefill reports (prefill_sharing.h). Nothing blocks on the response: without
 // one an instance has its own share, and a late loan is ignored.
 #ifndef LYNXGLADE_PROCESS_RETRY_LOANS_H_
 #define LYNXGLADE_PROCESS_RETRY_LOANS_H_
--- a/tests/process/read_sharing_test.cc
+++ b/tests/process/prefill_sharing_test.cc
@@ -1,4 +1,4 @@
-#include "process/read_sharing.h"
+#include "process/prefill_sharing.h"
 
 #include <string>
 #include <vector>
