--- a/src/process/instance_presence.cc
+++ b/src/process/instance_presence.cc
@@ -42,7 +42,7 @@
 Awaitable<void> InstancePresence::Renew() {
   StoreFault fault{};
   if (lease_) {
-    const auto renewed = co_await store_.KeepLease(*lease_, &fault);
+    const auto renewed = co_await store_.RenewLease(*lease_, &fault);
     if (!renewed && fault == StoreFault::kNoLease) {
       Log(LogLevel::kWarning, "presence_lapsed", {});
       lease_.reset();
@@ -50,7 +50,7 @@
   }
   const std::string key = options_.prefix + options_.instance.str();
   if (!lease_) {
-    lease_ = co_await store_.OpenLease(options_.lease_ttl, &fault);
+    lease_ = co_await store_.GrantLease(options_.lease_ttl, &fault);
     key_written_ = false;
   }
   // The store may delete a key while its lease is still valid.
@@ -66,7 +66,7 @@
   Stop();
   if (lease_) {
     StoreFault fault{};
-    const auto revoked = co_await store_.EndLease(*lease_, &fault);
+    const auto revoked = co_await store_.RevokeLease(*lease_, &fault);
     if (!revoked) {
       Log(LogLevel::kInfo, "presence_not_ended", {{"fault", ToString(fault)}});
     }
--- a/src/process/store_port.h
+++ b/src/process/store_port.h
@@ -74,10 +74,10 @@
 // The store itself. Calls fail as those of ChangeSource do.
 class StorePort : public ChangeSource {
  public:
-  virtual Result<LeaseId> OpenLease(base::Duration ttl, StoreFault* fault) = 0;
-  virtual Result<LeaseId> KeepLease(LeaseId lease, StoreFault* fault) = 0;
+  virtual Result<LeaseId> GrantLease(base::Duration ttl, StoreFault* fault) = 0;
+  virtual Result<LeaseId> RenewLease(LeaseId lease, StoreFault* fault) = 0;
   // Ends the lease and removes its keys.
-  virtual Result<LeaseId> EndLease(LeaseId lease, StoreFault* fault) = 0;
+  virtual Result<LeaseId> RevokeLease(LeaseId lease, StoreFault* fault) = 0;
   // The key as it is now; an item marked deleted if there is none.
   virtual Result<StoreItem> Get(std::string key, StoreFault* fault) = 0;
   // Writes a key that does not exist yet and goes when the lease ends;
--- a/tests/process/fake_store_port.cc
+++ b/tests/process/fake_store_port.cc
@@ -156,8 +156,8 @@
   }
 }
 
-StorePort::Result<LeaseId> FakeStorePort::OpenLease(base::Duration ttl,
-                                                    StoreFault* fault) {
+StorePort::Result<LeaseId> FakeStorePort::GrantLease(base::Duration ttl,
+                                                     StoreFault* fault) {
   if (Failing(fault)) {
     co_return std::nullopt;
   }
@@ -166,8 +166,8 @@
   co_return lease;
 }
 
-StorePort::Result<LeaseId> FakeStorePort::KeepLease(LeaseId lease,
-                                                    StoreFault* fault) {
+StorePort::Result<LeaseId> FakeStorePort::RenewLease(LeaseId lease,
+                                                     StoreFault* fault) {
   if (Failing(fault)) {
     co_return std::nullopt;
   }
@@ -178,8 +178,8 @@
   co_return lease;
 }
 
-StorePort::Result<LeaseId> FakeStorePort::EndLease(LeaseId lease,
-                                                   StoreFault* fault) {
+StorePort::Result<LeaseId> FakeStorePort::RevokeLease(LeaseId lease,
+                                                      StoreFault* fault) {
   if (Failing(fault)) {
     co_return std::nullopt;
   }
--- a/tests/process/fake_store_port.h
+++ b/tests/process/fake_store_port.h
@@ -57,9 +57,9 @@
                            base::Revision after,
                            base::Duration wait,
                            StoreFault* fault) override;
-  Result<LeaseId> OpenLease(base::Duration ttl, StoreFault* fault) override;
-  Result<LeaseId> KeepLease(LeaseId lease, StoreFault* fault) override;
-  Result<LeaseId> EndLease(LeaseId lease, StoreFault* fault) override;
+  Result<LeaseId> GrantLease(base::Duration ttl, StoreFault* fault) override;
+  Result<LeaseId> RenewLease(LeaseId lease, StoreFault* fault) override;
+  Result<LeaseId> RevokeLease(LeaseId lease, StoreFault* fault) override;
   Result<StoreItem> Get(std::string key, StoreFault* fault) override;
   Result<base::Revision> Create(std::string key,
                                 std::string value,
