--- a/src/process/prefix_follower.cc
+++ b/src/process/prefix_follower.cc
@@ -97,7 +97,7 @@
 Awaitable<bool> PrefixFollower::List() {
   StoreFault fault{};
   const auto listed = co_await source_.List(
-      options_.prefix, heard_ ? Freshness::kCurrent : Freshness::kMayLag,
+      options_.prefix, heard_ ? Freshness::kCurrent : Freshness::kMayBeStale,
       &fault);
   if (!listed) {
     NoteFault("list", fault);
--- a/src/process/store_port.h
+++ b/src/process/store_port.h
@@ -44,7 +44,7 @@
   // It may be seconds old, costs the platform a tenth, and is not held against
   // its rates: for instances that start, hundreds of them at a time. A watch
   // from the revision that it is as of tells what it missed.
-  kMayLag,
+  kMayBeStale,
 };
 
 using LeaseId = base::StrongNumber<struct LeaseIdTag, std::int64_t>;
--- a/tests/platform/store_client_test.cc
+++ b/tests/platform/store_client_test.cc
@@ -84,7 +84,7 @@
 // It may state the store's revision and show an older state.
 TEST_F(StoreClientTest, AListThatMayLagIsAsOfItsNewestItem) {
   const auto listed =
-      List({Page(50, {{"a", 10}, {"b", 40}}, false)}, Freshness::kMayLag);
+      List({Page(50, {{"a", 10}, {"b", 40}}, false)}, Freshness::kMayBeStale);
   ASSERT_TRUE(listed);
   EXPECT_EQ(listed->at, base::Revision(40));
   EXPECT_NE(requests_[0].find("allowStale=1"), std::string::npos);
@@ -95,13 +95,13 @@
 TEST_F(StoreClientTest, PagesThatMayLagAreAsOfTheOldest) {
   const auto listed =
       List({Page(50, {{"a", 48}}, true), Page(50, {{"b", 30}}, false)},
-           Freshness::kMayLag);
+           Freshness::kMayBeStale);
   ASSERT_TRUE(listed);
   EXPECT_EQ(listed->at, base::Revision(30));
 }
 
 TEST_F(StoreClientTest, AnEmptyListThatMayLagIsAsOfNothing) {
-  const auto listed = List({Page(50, {}, false)}, Freshness::kMayLag);
+  const auto listed = List({Page(50, {}, false)}, Freshness::kMayBeStale);
   ASSERT_TRUE(listed);
   EXPECT_EQ(listed->at, base::Revision(0));
 }
--- a/tests/process/fake_store_port.cc
+++ b/tests/process/fake_store_port.cc
@@ -115,7 +115,7 @@
                                                   Freshness freshness,
                                                   StoreFault* fault) {
   ++lists_;
-  lagging_lists_ += freshness == Freshness::kMayLag ? 1 : 0;
+  lagging_lists_ += freshness == Freshness::kMayBeStale ? 1 : 0;
   if (Failing(fault)) {
     co_return std::nullopt;
   }
