--- a/fuzz/change_messages.cc
+++ b/fuzz/change_messages.cc
@@ -16,12 +16,13 @@
     return 0;
   }
   const auto again = process::DecodeChanges(*bytes);
-  fuzz::Check(again && again->at == changes->at &&
+  fuzz::Check(again && again->revision == changes->revision &&
                   again->items.size() == changes->items.size(),
               "the same changes");
   for (std::size_t i = 0; i < changes->items.size(); ++i) {
     const auto& item = changes->items[i];
-    fuzz::Check(item.revision <= changes->at, "no change after the revision");
+    fuzz::Check(item.revision <= changes->revision,
+                "no change after the revision");
     fuzz::Check(item.key == again->items[i].key &&
                     item.value == again->items[i].value &&
                     item.deleted == again->items[i].deleted,
--- a/src/process/change_history.cc
+++ b/src/process/change_history.cc
@@ -21,7 +21,7 @@
       changes_.push_back(item);
     }
   }
-  revision_ = std::max(revision_, changes.at);
+  revision_ = std::max(revision_, changes.revision);
   EvictOldest();
 }
 
@@ -30,7 +30,7 @@
     return std::nullopt;
   }
   StoreItems found;
-  found.at = std::max(revision_, revision);
+  found.revision = std::max(revision_, revision);
   std::ranges::copy_if(
       changes_, std::back_inserter(found.items),
       [revision](const StoreItem& it) { return it.revision > revision; });
--- a/src/process/change_messages.cc
+++ b/src/process/change_messages.cc
@@ -90,7 +90,7 @@
     list.push_back(ChangeOf(item));
   }
   return connection::EncodeCbor(
-      json::array({kVersion, Number(changes.at), std::move(list)}));
+      json::array({kVersion, Number(changes.revision), std::move(list)}));
 }
 
 std::optional<StoreItems> DecodeChanges(std::string_view bytes) {
@@ -103,7 +103,7 @@
     return std::nullopt;
   }
   StoreItems changes;
-  changes.at = *at;
+  changes.revision = *at;
   for (const json& change : (*message)[2]) {
     auto item = ReadChange(change);
     if (!item || item->revision > *at) {
--- a/src/process/prefix_follower.cc
+++ b/src/process/prefix_follower.cc
@@ -110,7 +110,7 @@
   }
   failures_in_a_row_ = 0;
   heard_ = clock_();
-  at_ = listed->at;
+  at_ = listed->revision;
   hooks_.on_list(listed->items);
   co_return true;
 }
@@ -127,7 +127,7 @@
       co_return;
     }
     heard_ = clock_();
-    at_ = std::max(at_, changes->at);
+    at_ = std::max(at_, changes->revision);
     std::ranges::for_each(changes->items, hooks_.on_change);
     if (!changes->items.empty()) {
       co_await SleepFor(loop_, options_.gather());
--- a/src/process/store_items.h
+++ b/src/process/store_items.h
@@ -20,7 +20,7 @@
 // Items and the revision that they are as of.
 struct StoreItems {
   std::vector<StoreItem> items;
-  base::Revision at;
+  base::Revision revision;
 };
 
 }  // namespace lynxglade::process
--- a/src/process/watch_sharing.cc
+++ b/src/process/watch_sharing.cc
@@ -219,8 +219,8 @@
   auto listed = co_await store_.List(std::move(prefix), freshness, fault);
   if (listed && all) {
     StoreItems none;
-    none.at = listed->at;
-    RecordChanges(listed->at, none);
+    none.revision = listed->revision;
+    RecordChanges(listed->revision, none);
   }
   co_return listed;
 }
--- a/tests/platform/store_client_test.cc
+++ b/tests/platform/store_client_test.cc
@@ -75,7 +75,7 @@
       List({Page(50, {{"a", 10}}, true), Page(52, {{"b", 51}}, false)},
            Freshness::kCurrent);
   ASSERT_TRUE(listed);
-  EXPECT_EQ(listed->at, base::Revision(50));
+  EXPECT_EQ(listed->revision, base::Revision(50));
   EXPECT_EQ(listed->items.size(), 2U);
   EXPECT_EQ(requests_[0].find("allowStale"), std::string::npos);
   EXPECT_NE(requests_[1].find("after=a"), std::string::npos);
@@ -86,7 +86,7 @@
   const auto listed =
       List({Page(50, {{"a", 10}, {"b", 40}}, false)}, Freshness::kMayBeStale);
   ASSERT_TRUE(listed);
-  EXPECT_EQ(listed->at, base::Revision(40));
+  EXPECT_EQ(listed->revision, base::Revision(40));
   EXPECT_NE(requests_[0].find("allowStale=1"), std::string::npos);
 }
 
@@ -97,13 +97,13 @@
       List({Page(50, {{"a", 48}}, true), Page(50, {{"b", 30}}, false)},
            Freshness::kMayBeStale);
   ASSERT_TRUE(listed);
-  EXPECT_EQ(listed->at, base::Revision(30));
+  EXPECT_EQ(listed->revision, base::Revision(30));
 }
 
 TEST_F(StoreClientTest, AnEmptyListThatMayLagIsAsOfNothing) {
   const auto listed = List({Page(50, {}, false)}, Freshness::kMayBeStale);
   ASSERT_TRUE(listed);
-  EXPECT_EQ(listed->at, base::Revision(0));
+  EXPECT_EQ(listed->revision, base::Revision(0));
 }
 
 }  // namespace
--- a/tests/process/change_history_test.cc
+++ b/tests/process/change_history_test.cc
@@ -41,7 +41,7 @@
     if (!found) {
       continue;
     }
-    RC_ASSERT(found->at >= base::Revision(from));
+    RC_ASSERT(found->revision >= base::Revision(from));
     std::vector<std::int64_t> revisions;
     std::ranges::transform(
         found->items, std::back_inserter(revisions),
--- a/tests/process/change_messages_test.cc
+++ b/tests/process/change_messages_test.cc
@@ -16,7 +16,7 @@
 
 RC_GTEST_PROP(ChangeMessages, AreReadAsTheyWereWritten, ()) {
   StoreItems changes;
-  changes.at = base::Revision(1'000'000);
+  changes.revision = base::Revision(1'000'000);
   const int n = *rc::gen::inRange(0, 30);
   for (int i = 0; i < n; ++i) {
     StoreItem item = Item(*rc::gen::inRange<std::int64_t>(1, 1'000'000),
@@ -31,7 +31,7 @@
   RC_ASSERT(bytes.has_value());
   const auto read = DecodeChanges(*bytes);
   RC_ASSERT(read.has_value());
-  RC_ASSERT(read->at == changes.at);
+  RC_ASSERT(read->revision == changes.revision);
   RC_ASSERT(read->items.size() == changes.items.size());
   for (std::size_t i = 0; i < changes.items.size(); ++i) {
     RC_ASSERT(read->items[i].key == changes.items[i].key);
@@ -46,8 +46,9 @@
               (std::string bytes)) {
   const auto read = DecodeChanges(bytes);
   const auto in_order = [&read] {
-    return std::ranges::all_of(
-        read->items, [&](const auto& it) { return it.revision <= read->at; });
+    return std::ranges::all_of(read->items, [&](const auto& it) {
+      return it.revision <= read->revision;
+    });
   };
   RC_ASSERT((!read || in_order()));
 }
--- a/tests/process/fake_store_port.cc
+++ b/tests/process/fake_store_port.cc
@@ -102,7 +102,7 @@
 StoreItems FakeStorePort::ChangesAfter(const std::string& prefix,
                                        base::Revision after) const {
   StoreItems changes;
-  changes.at = base::Revision(revision_);
+  changes.revision = base::Revision(revision_);
   for (const StoreItem& item : history_) {
     if (item.revision > after && item.key.starts_with(prefix)) {
       changes.items.push_back(item);
@@ -120,7 +120,7 @@
     co_return std::nullopt;
   }
   StoreItems all;
-  all.at = base::Revision(revision_);
+  all.revision = base::Revision(revision_);
   for (const auto& [key, item] : items_) {
     if (key.starts_with(prefix)) {
       all.items.push_back(item);
--- a/tests/process/made_changes.h
+++ b/tests/process/made_changes.h
@@ -21,7 +21,7 @@
 // One change a revision, `from` to `to`.
 inline StoreItems Changes(std::int64_t from, std::int64_t to) {
   StoreItems changes;
-  changes.at = base::Revision(to);
+  changes.revision = base::Revision(to);
   for (std::int64_t i = from; i <= to; ++i) {
     changes.items.push_back(Item(i));
   }
