--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -26,8 +26,8 @@
 #include "process/instance_presence.h"
 #include "process/order_authority.h"
 #include "process/peer_datagrams.h"
-#include "process/prefix_follower.h"
 #include "process/prefill_sharing.h"
+#include "process/prefix_follower.h"
 #include "process/retry_loans.h"
 #include "process/stage_orders.h"
 #include "process/watch_sharing.h"
@@ -208,7 +208,7 @@
           metrics),
       store_follower(loop,
                      watches,
-                     {.gather =
+                     {.batch_delay =
                           [this] {
                             return watches.IsSharing() ? kGatherShared
                                                        : kGather;
@@ -288,7 +288,7 @@
             presence.OnChange(it);
             authority.OnChange(it);
           },
-      .on_returned = [] {},
+      .on_recovered = [] {},
   };
 }
 
--- a/src/main/entry_views.cc
+++ b/src/main/entry_views.cc
@@ -31,7 +31,7 @@
                 items, [this](const StoreItem& it) { OnConfiguration(it); });
           },
       .on_change = [this](const StoreItem& it) { OnConfiguration(it); },
-      .on_returned = [] {},
+      .on_recovered = [] {},
   };
 }
 
@@ -40,7 +40,7 @@
       .on_list =
           [this](const std::vector<StoreItem>& items) { OnTargetList(items); },
       .on_change = [this](const StoreItem& it) { OnTarget(it); },
-      .on_returned = [this] { engines_.OnStoreReturned(clock_()); },
+      .on_recovered = [this] { engines_.OnStoreReturned(clock_()); },
   };
 }
 
--- a/src/process/prefix_follower.cc
+++ b/src/process/prefix_follower.cc
@@ -39,12 +39,12 @@
   return "malformed";
 }
 
-PrefixFollowerHooks DispatchByPrefix(std::vector<PrefixPart> parts) {
+PrefixFollowerHooks DispatchByPrefix(std::vector<PrefixHandler> parts) {
   const auto all =
-      std::make_shared<const std::vector<PrefixPart>>(std::move(parts));
+      std::make_shared<const std::vector<PrefixHandler>>(std::move(parts));
   PrefixFollowerHooks hooks;
   hooks.on_list = [all](const std::vector<StoreItem>& items) {
-    for (const PrefixPart& part : *all) {
+    for (const PrefixHandler& part : *all) {
       std::vector<StoreItem> own;
       std::ranges::copy_if(items, std::back_inserter(own),
                            [&part](const StoreItem& it) {
@@ -54,15 +54,15 @@
     }
   };
   hooks.on_change = [all](const StoreItem& item) {
-    for (const PrefixPart& part : *all) {
+    for (const PrefixHandler& part : *all) {
       if (item.key.starts_with(part.prefix)) {
         part.hooks.on_change(item);
       }
     }
   };
-  hooks.on_returned = [all] {
-    std::ranges::for_each(*all,
-                          [](const PrefixPart& it) { it.hooks.on_returned(); });
+  hooks.on_recovered = [all] {
+    std::ranges::for_each(
+        *all, [](const PrefixHandler& it) { it.hooks.on_recovered(); });
   };
   return hooks;
 }
@@ -106,7 +106,7 @@
   }
   if (std::exchange(away_, false)) {
     Log(LogLevel::kInfo, "store_returned", {{"prefix", options_.prefix}});
-    hooks_.on_returned();
+    hooks_.on_recovered();
   }
   failures_in_a_row_ = 0;
   heard_ = clock_();
@@ -119,7 +119,7 @@
   while (true) {
     StoreFault fault{};
     const auto changes = co_await source_.Watch(options_.prefix, at_,
-                                                options_.watch_wait, &fault);
+                                                options_.watch_timeout, &fault);
     if (!changes) {
       NoteFault("watch", fault);
       away_ =
@@ -130,7 +130,7 @@
     at_ = std::max(at_, changes->revision);
     std::ranges::for_each(changes->items, hooks_.on_change);
     if (!changes->items.empty()) {
-      co_await SleepFor(loop_, options_.gather());
+      co_await SleepFor(loop_, options_.batch_delay());
     }
   }
 }
@@ -138,8 +138,8 @@
 Awaitable<void> PrefixFollower::Pause() {
   constexpr int kMostDoublings = 6;
   const int doublings = std::min(failures_in_a_row_ - 1, kMostDoublings);
-  const base::Duration least =
-      std::min(options_.first_pause * (1 << doublings), options_.longest_pause);
+  const base::Duration least = std::min(
+      options_.min_retry_delay * (1 << doublings), options_.max_retry_delay);
   const auto pause = std::chrono::duration_cast<base::Duration>(
       least * (1 + base::UniformReal(random_)));
   co_await SleepFor(loop_, pause);
--- a/src/process/prefix_follower.h
+++ b/src/process/prefix_follower.h
@@ -20,17 +20,17 @@
   std::string prefix;
   // A watch that hears nothing returns after this; a silent connection is
   // noticed a little later. Each return is a call that counts.
-  base::Duration watch_wait = std::chrono::milliseconds(3000);
+  base::Duration watch_timeout = std::chrono::milliseconds(3000);
   // After changes, before the next watch: what changes meanwhile comes in one
   // answer. When many targets change at once this is most of what all
   // instances ask of the store. Must be set.
-  std::function<base::Duration()> gather;
+  std::function<base::Duration()> batch_delay;
   // Between tries while the store fails: from the first to the second, with
   // up to as much again at random, so that instances do not return together.
   // An instance that was cut off has to know what changed within three seconds
   // of the cut's end, two of which it waits for entries that lapsed.
-  base::Duration first_pause = std::chrono::milliseconds(100);
-  base::Duration longest_pause = std::chrono::milliseconds(250);
+  base::Duration min_retry_delay = std::chrono::milliseconds(100);
+  base::Duration max_retry_delay = std::chrono::milliseconds(250);
 };
 
 struct PrefixFollowerHooks {
@@ -40,11 +40,11 @@
   std::function<void(const StoreItem&)> on_change;
   // The store answers after it was away (not after a watch that was merely
   // cut); called before on_list.
-  std::function<void()> on_returned;
+  std::function<void()> on_recovered;
 };
 
 // Hooks for a part of the keys that a follower follows.
-struct PrefixPart {
+struct PrefixHandler {
   std::string prefix;
   PrefixFollowerHooks hooks;
 };
@@ -52,7 +52,7 @@
 // Gives each part the keys under its prefix and leaves out all others. One
 // follower for several prefixes makes one call where several would make one
 // each.
-PrefixFollowerHooks DispatchByPrefix(std::vector<PrefixPart> parts);
+PrefixFollowerHooks DispatchByPrefix(std::vector<PrefixHandler> parts);
 
 // Not thread-safe: lives on the event loop.
 class PrefixFollower {
--- a/tests/main/entry_views_test.cc
+++ b/tests/main/entry_views_test.cc
@@ -164,9 +164,9 @@
   PrefixFollower follower_{
       loop_,
       store_,
-      {.gather = [] { return base::Duration(microseconds(50)); },
-       .first_pause = microseconds(50),
-       .longest_pause = microseconds(50)},
+      {.batch_delay = [] { return base::Duration(microseconds(50)); },
+       .min_retry_delay = microseconds(50),
+       .max_retry_delay = microseconds(50)},
       process::DispatchByPrefix({{"op/config", views_.ConfigurationHooks()},
                                  {"servers/", views_.TargetHooks()}}),
       clock_,
--- a/tests/process/prefix_follower_test.cc
+++ b/tests/process/prefix_follower_test.cc
@@ -22,10 +22,10 @@
             loop_,
             store_,
             {.prefix = "servers/",
-             .gather =
+             .batch_delay =
                  [] { return base::Duration(std::chrono::milliseconds(1)); },
-             .first_pause = std::chrono::milliseconds(1),
-             .longest_pause = std::chrono::milliseconds(1)},
+             .min_retry_delay = std::chrono::milliseconds(1),
+             .max_retry_delay = std::chrono::milliseconds(1)},
             {.on_list =
                  [this](const std::vector<StoreItem>& items) {
                    seen_.clear();
@@ -41,7 +41,7 @@
                      seen_[item.key] = item.value;
                    }
                  },
-             .on_returned = [this] { ++returned_; }},
+             .on_recovered = [this] { ++returned_; }},
             base::BootClock::now,
             base::SeededRandom(1),
             metrics_) {}
@@ -116,7 +116,7 @@
   std::vector<std::string> seen;
   int returned = 0;
   const auto part = [&](const std::string& prefix) {
-    return PrefixPart{
+    return PrefixHandler{
         prefix,
         {.on_list =
              [&seen, prefix](const std::vector<StoreItem>& it) {
@@ -126,7 +126,7 @@
              [&seen, prefix](const StoreItem& it) {
                seen.push_back(prefix + "change" + it.key);
              },
-         .on_returned = [&returned] { ++returned; }}};
+         .on_recovered = [&returned] { ++returned; }}};
   };
   const auto hooks = DispatchByPrefix({part("a/"), part("b/")});
   const auto item = [](const std::string& key) {
@@ -137,7 +137,7 @@
   hooks.on_list({item("a/1"), item("c/1"), item("a/2")});
   hooks.on_change(item("b/3"));
   hooks.on_change(item("c/3"));
-  hooks.on_returned();
+  hooks.on_recovered();
   EXPECT_EQ(seen,
             (std::vector<std::string>{"a/list2", "b/list0", "b/changeb/3"}));
   EXPECT_EQ(returned, 2);
--- a/tests/process/watch_sharing_test.cc
+++ b/tests/process/watch_sharing_test.cc
@@ -98,9 +98,9 @@
         follower(
             loop,
             watches,
-            {.gather = [] { return base::Duration(0); },
-             .first_pause = std::chrono::milliseconds(1),
-             .longest_pause = std::chrono::milliseconds(1)},
+            {.batch_delay = [] { return base::Duration(0); },
+             .min_retry_delay = std::chrono::milliseconds(1),
+             .max_retry_delay = std::chrono::milliseconds(1)},
             {.on_list =
                  [this](const std::vector<StoreItem>& items) {
                    seen.clear();
@@ -109,7 +109,7 @@
                    });
                  },
              .on_change = [this](const StoreItem& it) { ApplyChange(it); },
-             .on_returned = [] {}},
+             .on_recovered = [] {}},
             [&now] { return now; },
             base::SeededRandom(1),
             metrics) {}
