--- a/src/process/prefix_follower.cc
+++ b/src/process/prefix_follower.cc
@@ -39,30 +39,30 @@
   return "malformed";
 }
 
-PrefixFollowerHooks DispatchByPrefix(std::vector<PrefixHandler> parts) {
-  const auto all =
-      std::make_shared<const std::vector<PrefixHandler>>(std::move(parts));
+PrefixFollowerHooks DispatchByPrefix(std::vector<PrefixHandler> handlers) {
+  const auto shared =
+      std::make_shared<const std::vector<PrefixHandler>>(std::move(handlers));
   PrefixFollowerHooks hooks;
-  hooks.on_list = [all](const std::vector<StoreItem>& items) {
-    for (const PrefixHandler& part : *all) {
-      std::vector<StoreItem> own;
-      std::ranges::copy_if(items, std::back_inserter(own),
-                           [&part](const StoreItem& it) {
-                             return it.key.starts_with(part.prefix);
+  hooks.on_list = [shared](const std::vector<StoreItem>& items) {
+    for (const PrefixHandler& handler : *shared) {
+      std::vector<StoreItem> matching;
+      std::ranges::copy_if(items, std::back_inserter(matching),
+                           [&handler](const StoreItem& it) {
+                             return it.key.starts_with(handler.prefix);
                            });
-      part.hooks.on_list(own);
+      handler.hooks.on_list(matching);
     }
   };
-  hooks.on_change = [all](const StoreItem& item) {
-    for (const PrefixHandler& part : *all) {
-      if (item.key.starts_with(part.prefix)) {
-        part.hooks.on_change(item);
+  hooks.on_change = [shared](const StoreItem& item) {
+    for (const PrefixHandler& handler : *shared) {
+      if (item.key.starts_with(handler.prefix)) {
+        handler.hooks.on_change(item);
       }
     }
   };
-  hooks.on_recovered = [all] {
+  hooks.on_recovered = [shared] {
     std::ranges::for_each(
-        *all, [](const PrefixHandler& it) { it.hooks.on_recovered(); });
+        *shared, [](const PrefixHandler& it) { it.hooks.on_recovered(); });
   };
   return hooks;
 }
@@ -88,8 +88,8 @@
     if (listed) {
       co_await Watch();
     }
-    if (failures_in_a_row_ > 0) {
-      co_await Pause();
+    if (consecutive_failures_ > 0) {
+      co_await BackOff();
     }
   }
 }
@@ -97,20 +97,20 @@
 Awaitable<bool> PrefixFollower::List() {
   StoreFault fault{};
   const auto listed = co_await source_.List(
-      options_.prefix, heard_ ? Freshness::kCurrent : Freshness::kMayBeStale,
-      &fault);
+      options_.prefix,
+      last_response_ ? Freshness::kCurrent : Freshness::kMayBeStale, &fault);
   if (!listed) {
-    NoteFault("list", fault);
-    away_ = true;
+    RecordFault("list", fault);
+    unavailable_ = true;
     co_return false;
   }
-  if (std::exchange(away_, false)) {
+  if (std::exchange(unavailable_, false)) {
     Log(LogLevel::kInfo, "store_returned", {{"prefix", options_.prefix}});
     hooks_.on_recovered();
   }
-  failures_in_a_row_ = 0;
-  heard_ = clock_();
-  at_ = listed->revision;
+  consecutive_failures_ = 0;
+  last_response_ = clock_();
+  revision_ = listed->revision;
   hooks_.on_list(listed->items);
   co_return true;
 }
@@ -118,16 +118,16 @@
 Awaitable<void> PrefixFollower::Watch() {
   while (true) {
     StoreFault fault{};
-    const auto changes = co_await source_.Watch(options_.prefix, at_,
+    const auto changes = co_await source_.Watch(options_.prefix, revision_,
                                                 options_.watch_timeout, &fault);
     if (!changes) {
-      NoteFault("watch", fault);
-      away_ =
-          away_ || fault == StoreFault::kTimeout || fault == StoreFault::kBusy;
+      RecordFault("watch", fault);
+      unavailable_ = unavailable_ || fault == StoreFault::kTimeout ||
+                     fault == StoreFault::kBusy;
       co_return;
     }
-    heard_ = clock_();
-    at_ = std::max(at_, changes->revision);
+    last_response_ = clock_();
+    revision_ = std::max(revision_, changes->revision);
     std::ranges::for_each(changes->items, hooks_.on_change);
     if (!changes->items.empty()) {
       co_await SleepFor(loop_, options_.batch_delay());
@@ -135,35 +135,35 @@
   }
 }
 
-Awaitable<void> PrefixFollower::Pause() {
-  constexpr int kMostDoublings = 6;
-  const int doublings = std::min(failures_in_a_row_ - 1, kMostDoublings);
-  const base::Duration least = std::min(
+Awaitable<void> PrefixFollower::BackOff() {
+  constexpr int kMaxDoublings = 6;
+  const int doublings = std::min(consecutive_failures_ - 1, kMaxDoublings);
+  const base::Duration min_delay = std::min(
       options_.min_retry_delay * (1 << doublings), options_.max_retry_delay);
-  const auto pause = std::chrono::duration_cast<base::Duration>(
-      least * (1 + base::UniformReal(random_)));
-  co_await SleepFor(loop_, pause);
+  const auto delay = std::chrono::duration_cast<base::Duration>(
+      min_delay * (1 + base::UniformReal(random_)));
+  co_await SleepFor(loop_, delay);
 }
 
-void PrefixFollower::NoteFault(const char* call, StoreFault fault) {
+void PrefixFollower::RecordFault(const char* call, StoreFault fault) {
   metrics_
       .GetCounter("lynxglade_store_faults_total",
                   {{"call", call}, {"fault", std::string(ToString(fault))}})
       .Add();
-  if (failures_in_a_row_++ == 0) {
+  if (consecutive_failures_++ == 0) {
     Log(LogLevel::kWarning, "store_fault",
         {{"prefix", options_.prefix},
          {"call", call},
          {"fault", ToString(fault)},
-         {"revision", at_.value()}});
+         {"revision", revision_.value()}});
   }
 }
 
 std::optional<base::Duration> PrefixFollower::Age() const {
-  if (!heard_) {
+  if (!last_response_) {
     return std::nullopt;
   }
-  return clock_() - *heard_;
+  return clock_() - *last_response_;
 }
 
 }  // namespace lynxglade::process
--- a/src/process/prefix_follower.h
+++ b/src/process/prefix_follower.h
@@ -52,7 +52,7 @@
 // Gives each part the keys under its prefix and leaves out all others. One
 // follower for several prefixes makes one call where several would make one
 // each.
-PrefixFollowerHooks DispatchByPrefix(std::vector<PrefixHandler> parts);
+PrefixFollowerHooks DispatchByPrefix(std::vector<PrefixHandler> handlers);
 
 // Not thread-safe: lives on the event loop.
 class PrefixFollower {
@@ -78,8 +78,8 @@
   connection::event::Awaitable<bool> List();
   // Watches until something breaks.
   connection::event::Awaitable<void> Watch();
-  connection::event::Awaitable<void> Pause();
-  void NoteFault(const char* call, StoreFault fault);
+  connection::event::Awaitable<void> BackOff();
+  void RecordFault(const char* call, StoreFault fault);
 
   connection::event::asio::io_context& loop_;
   ChangeSource& source_;
@@ -89,10 +89,10 @@
   const base::RandomSource random_;
   base::Metrics& metrics_;
   // The store has failed in a way that a cut watch alone does not explain.
-  bool away_ = false;
-  int failures_in_a_row_ = 0;
-  base::Revision at_;
-  std::optional<base::Time> heard_;
+  bool unavailable_ = false;
+  int consecutive_failures_ = 0;
+  base::Revision revision_;
+  std::optional<base::Time> last_response_;
 };
 
 }  // namespace lynxglade::process
