--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -106,7 +106,7 @@
   platform::StoreClient store;
 
   EntryViews views{clock, metrics};
-  request::passthrough::PeerPrefills peer_reads;
+  request::passthrough::PeerPrefills peer_prefills;
   request::passthrough::PeerAvoidance peer_avoidance;
   request::passthrough::ZoneHealth zones;
   request::passthrough::PrefillTimes prefill_times;
@@ -132,7 +132,7 @@
   asio::signal_set signals{loop, SIGTERM, SIGINT, SIGHUP};
   // Only where there is a port for them.
   std::optional<process::PeerDatagrams> datagrams;
-  std::optional<process::ReadSharing> read_sharing;
+  std::optional<process::PrefillSharing> prefill_sharing;
   std::optional<process::AvoidanceSharing> avoidance_sharing;
   std::optional<process::RetryLoans> retry_loans;
   std::optional<process::ChangeRelay> change_relay;
@@ -151,7 +151,7 @@
           [this](const request::passthrough::Engine& engine,
                  int priority,
                  base::Time now) {
-            return peer_reads.PrefillTokens(engine.entry.id, priority, now);
+            return peer_prefills.PrefillTokens(engine.entry.id, priority, now);
           },
           [this](const base::ZoneId& zone, base::Time now) {
             return zones.IsUnreachable(zone, now);
@@ -244,13 +244,13 @@
 }
 
 void EntryDaemon::Details::JoinPeers(const process::Endpoint& endpoint) {
-  const process::ReadSharingOptions sharing{.instance = settings.instance,
-                                            .zone = settings.zone};
+  const process::PrefillSharingOptions sharing{.instance = settings.instance,
+                                               .zone = settings.zone};
   const Tcp::endpoint at = EndpointOf(endpoint);
   datagrams.emplace(loop, presence,
                     asio::ip::udp::endpoint{at.address(), at.port()}, metrics);
-  read_sharing.emplace(views.engines(), presence, peer_reads, *datagrams,
-                       sharing, clock);
+  prefill_sharing.emplace(views.engines(), presence, peer_prefills, *datagrams,
+                          sharing, clock);
   const auto peers = [this, sharing] {
     return process::SharingPeers(presence.Peers(), sharing);
   };
@@ -444,7 +444,7 @@
     return false;
   }
   if (details_->datagrams) {
-    details_->read_sharing->Start();
+    details_->prefill_sharing->Start();
     details_->avoidance_sharing->Start();
     details_->retry_loans->Start();
   }
--- a/src/process/peer_datagrams.h
+++ b/src/process/peer_datagrams.h
@@ -25,7 +25,7 @@
 // Message kind; the first byte of a datagram.
 enum class DatagramKind : std::uint8_t {
   // Prefill work that an instance has at engines (prefill_sharing.h).
-  kReads = 1,
+  kPrefills = 1,
   // Requests and loans of retry budget (retry_loans.h).
   kLoanRequest = 2,
   kLoan = 3,
--- a/src/process/prefill_sharing.cc
+++ b/src/process/prefill_sharing.cc
@@ -20,10 +20,10 @@
 
 constexpr std::uint64_t kReportVersion = 1;
 // Of one report; an instance with more under way tells the first.
-constexpr std::size_t kMaxReads = 200;
+constexpr std::size_t kMaxPrefills = 200;
 constexpr connection::CborLimits kLimits{.max_bytes = 4096,
                                          .max_depth = 2,
-                                         .max_elements = 4 * kMaxReads + 2};
+                                         .max_elements = 4 * kMaxPrefills + 2};
 constexpr std::uint64_t kMaxPriority = 1'000'000;
 constexpr std::uint64_t kMaxTokens = 1'000'000'000;
 
@@ -44,9 +44,9 @@
 
 }  // namespace
 
-std::string EncodeReads(const std::vector<PeerPrefill>& reads) {
+std::string EncodePrefills(const std::vector<PeerPrefill>& reads) {
   json report = json::array({kReportVersion});
-  const std::size_t n = std::min(reads.size(), kMaxReads);
+  const std::size_t n = std::min(reads.size(), kMaxPrefills);
   std::for_each_n(reads.begin(), n, [&report](const PeerPrefill& it) {
     report.push_back({it.engine, static_cast<std::uint64_t>(it.priority),
                       static_cast<std::uint64_t>(it.prefill_tokens)});
@@ -55,10 +55,10 @@
   return {bytes.begin(), bytes.end()};
 }
 
-std::optional<std::vector<PeerPrefill>> DecodeReads(std::string_view bytes) {
+std::optional<std::vector<PeerPrefill>> DecodePrefills(std::string_view bytes) {
   const auto report =
       connection::DecodeVersioned(bytes, kLimits, kReportVersion);
-  if (!report || report->size() > kMaxReads + 1) {
+  if (!report || report->size() > kMaxPrefills + 1) {
     return std::nullopt;
   }
   std::vector<PeerPrefill> reads;
@@ -73,8 +73,8 @@
 }
 
 std::vector<InstancePeer> SharingPeers(const std::vector<InstancePeer>& all,
-                                       const ReadSharingOptions& options) {
-  const bool everywhere = all.size() <= options.most_everywhere;
+                                       const PrefillSharingOptions& options) {
+  const bool everywhere = all.size() <= options.max_cross_zone_instances;
   std::vector<InstancePeer> peers;
   std::ranges::copy_if(all, std::back_inserter(peers),
                        [&](const InstancePeer& it) {
@@ -84,28 +84,30 @@
   return peers;
 }
 
-ReadSharing::ReadSharing(const request::passthrough::EngineTable& engines,
-                         const InstancePresence& presence,
-                         request::passthrough::PeerPrefills& peer_reads,
-                         PeerDatagrams& datagrams,
-                         ReadSharingOptions options,
-                         base::Clock clock)
+PrefillSharing::PrefillSharing(
+    const request::passthrough::EngineTable& engines,
+    const InstancePresence& presence,
+    request::passthrough::PeerPrefills& peer_prefills,
+    PeerDatagrams& datagrams,
+    PrefillSharingOptions options,
+    base::Clock clock)
     : engines_(engines),
       presence_(presence),
-      peer_reads_(peer_reads),
+      peer_prefills_(peer_prefills),
       datagrams_(datagrams),
       options_(std::move(options)),
       clock_(std::move(clock)) {}
 
-void ReadSharing::Start() {
-  datagrams_.SetHandler(DatagramKind::kReads, [this](const InstancePeer& from,
-                                                     std::string_view bytes) {
-    return Take(from, bytes);
-  });
+void PrefillSharing::Start() {
+  datagrams_.SetHandler(
+      DatagramKind::kPrefills,
+      [this](const InstancePeer& from, std::string_view bytes) {
+        return Take(from, bytes);
+      });
   datagrams_.Repeat(options_.period, [this] { TellOnce(); });
 }
 
-void ReadSharing::TellOnce() {
+void PrefillSharing::TellOnce() {
   const auto reads = OwnPrefills(engines_);
   const bool told_any = std::exchange(told_any_, !reads.empty());
   if (reads.empty() && !told_any) {
@@ -113,22 +115,22 @@
   }
   const auto peers = SharingPeers(presence_.Peers(), options_);
   if (!peers.empty()) {
-    peer_reads_.SetScale(
+    peer_prefills_.SetScale(
         std::max(1.0, static_cast<double>(presence_.Count() - 1) /
                           static_cast<double>(peers.size())));
   }
-  const std::string bytes = EncodeReads(reads);
+  const std::string bytes = EncodePrefills(reads);
   for (const InstancePeer& peer : peers) {
-    datagrams_.Send(peer, DatagramKind::kReads, bytes);
+    datagrams_.Send(peer, DatagramKind::kPrefills, bytes);
   }
 }
 
-bool ReadSharing::Take(const InstancePeer& from, std::string_view bytes) {
-  const auto reads = DecodeReads(bytes);
+bool PrefillSharing::Take(const InstancePeer& from, std::string_view bytes) {
+  const auto reads = DecodePrefills(bytes);
   if (!reads) {
     return false;
   }
-  peer_reads_.Put(from.instance, *reads, clock_());
+  peer_prefills_.Put(from.instance, *reads, clock_());
   return true;
 }
 
--- a/src/process/prefill_sharing.h
+++ b/src/process/prefill_sharing.h
@@ -21,38 +21,38 @@
 
 namespace lynxglade::process {
 
-struct ReadSharingOptions {
+struct PrefillSharingOptions {
   base::InstanceId instance;
   base::ZoneId zone;
   base::Duration period = std::chrono::milliseconds(100);
   // With more instances than this, those of other zones are not told: each
   // would hear over 160 reports a second, and bytes between zones are dear.
-  std::size_t most_everywhere = 16;
+  std::size_t max_cross_zone_instances = 16;
 };
 
 // The form of a report: a CBOR array of its version and one [engine, priority,
 // tokens] a read.
-std::string EncodeReads(
+std::string EncodePrefills(
     const std::vector<request::passthrough::PeerPrefill>& reads);
 // Nothing if it is not that.
-std::optional<std::vector<request::passthrough::PeerPrefill>> DecodeReads(
+std::optional<std::vector<request::passthrough::PeerPrefill>> DecodePrefills(
     std::string_view bytes);
 
 // The instances that this one tells and hears.
 std::vector<InstancePeer> SharingPeers(const std::vector<InstancePeer>& all,
-                                       const ReadSharingOptions& options);
+                                       const PrefillSharingOptions& options);
 
 // Not thread-safe: lives on the event loop.
-class ReadSharing {
+class PrefillSharing {
  public:
-  ReadSharing(const request::passthrough::EngineTable& engines,
-              const InstancePresence& presence,
-              request::passthrough::PeerPrefills& peer_reads,
-              PeerDatagrams& datagrams,
-              ReadSharingOptions options,
-              base::Clock clock);
-  ReadSharing(const ReadSharing&) = delete;
-  ReadSharing& operator=(const ReadSharing&) = delete;
+  PrefillSharing(const request::passthrough::EngineTable& engines,
+                 const InstancePresence& presence,
+                 request::passthrough::PeerPrefills& peer_prefills,
+                 PeerDatagrams& datagrams,
+                 PrefillSharingOptions options,
+                 base::Clock clock);
+  PrefillSharing(const PrefillSharing&) = delete;
+  PrefillSharing& operator=(const PrefillSharing&) = delete;
 
   // Tells and hears while the socket is open.
   void Start();
@@ -63,9 +63,9 @@
 
   const request::passthrough::EngineTable& engines_;
   const InstancePresence& presence_;
-  request::passthrough::PeerPrefills& peer_reads_;
+  request::passthrough::PeerPrefills& peer_prefills_;
   PeerDatagrams& datagrams_;
-  const ReadSharingOptions options_;
+  const PrefillSharingOptions options_;
   const base::Clock clock_;
   // Whether the last report named a read; the next then says that none is left.
   bool told_any_ = false;
--- a/tests/process/prefill_sharing_test.cc
+++ b/tests/process/prefill_sharing_test.cc
@@ -21,7 +21,7 @@
 
 const base::TargetId kEngine("e1");
 
-RC_GTEST_PROP(ReadReport, WhatIsWrittenIsRead, ()) {
+RC_GTEST_PROP(PrefillReport, WhatIsWrittenIsRead, ()) {
   std::vector<PeerPrefill> prefills;
   const int n = *rc::gen::inRange(0, 50);
   for (int i = 0; i < n; ++i) {
@@ -29,26 +29,26 @@
                         *rc::gen::inRange(0, 10),
                         *rc::gen::inRange<std::int64_t>(0, 100'000'000)});
   }
-  const auto read = DecodeReads(EncodeReads(prefills));
+  const auto read = DecodePrefills(EncodePrefills(prefills));
   RC_ASSERT(read.has_value());
   RC_ASSERT(*read == prefills);
 }
 
-RC_GTEST_PROP(ReadReport, AnyBytesAreTakenOrRefused, ()) {
-  std::string bytes = EncodeReads({{1, 2, 3}, {4, 5, 6'000'000}});
+RC_GTEST_PROP(PrefillReport, AnyBytesAreTakenOrRefused, ()) {
+  std::string bytes = EncodePrefills({{1, 2, 3}, {4, 5, 6'000'000}});
   const int changes = *rc::gen::inRange(1, 6);
   for (int i = 0; i < changes; ++i) {
     bytes[*rc::gen::inRange<std::size_t>(0, bytes.size())] =
         static_cast<char>(*rc::gen::inRange(0, 256));
   }
-  const auto prefills = DecodeReads(bytes);
+  const auto prefills = DecodePrefills(bytes);
   RC_ASSERT((!prefills || prefills->size() <= 200U));
 }
 
-TEST(ReadReport, OtherVersionsAreRefused) {
-  EXPECT_FALSE(DecodeReads("\x81\x02"));
-  EXPECT_TRUE(DecodeReads("\x81\x01"));
-  EXPECT_FALSE(DecodeReads(""));
+TEST(PrefillReport, OtherVersionsAreRefused) {
+  EXPECT_FALSE(DecodePrefills("\x81\x02"));
+  EXPECT_TRUE(DecodePrefills("\x81\x01"));
+  EXPECT_FALSE(DecodePrefills(""));
 }
 
 InstancePeer Peer(const std::string& name, const std::string& zone) {
@@ -59,8 +59,8 @@
 TEST(SharingPeers, AFewInstancesTellAllOthers) {
   const std::vector<InstancePeer> all{Peer("a1", "a"), Peer("a2", "a"),
                                       Peer("b1", "b")};
-  const ReadSharingOptions options{.instance = base::InstanceId("a1"),
-                                   .zone = base::ZoneId("a")};
+  const PrefillSharingOptions options{.instance = base::InstanceId("a1"),
+                                      .zone = base::ZoneId("a")};
   EXPECT_EQ(SharingPeers(all, options).size(), 2U);
 }
 
@@ -71,15 +71,15 @@
   for (int i = 0; i < 79; ++i) {
     all.push_back(Peer("i" + std::to_string(i), "z" + std::to_string(i % 5)));
   }
-  const ReadSharingOptions options{.instance = base::InstanceId("i0"),
-                                   .zone = base::ZoneId("z0")};
+  const PrefillSharingOptions options{.instance = base::InstanceId("i0"),
+                                      .zone = base::ZoneId("z0")};
   EXPECT_EQ(SharingPeers(all, options).size(), 15U);
 }
 
-class ReadSharingTest : public PeerTest {
+class PrefillSharingTest : public PeerTest {
  protected:
   struct Instance : PeerParts {
-    Instance(ReadSharingTest& test, const std::string& name)
+    Instance(PrefillSharingTest& test, const std::string& name)
         : PeerParts(test, name),
           engines(base::Duration(0)),
           sharing(engines,
@@ -100,11 +100,11 @@
 
     EngineTable engines;
     PeerPrefills peers;
-    ReadSharing sharing;
+    PrefillSharing sharing;
   };
 };
 
-TEST_F(ReadSharingTest, EachKnowsWhatTheOtherHasRead) {
+TEST_F(PrefillSharingTest, EachKnowsWhatTheOtherHasRead) {
   Instance a(*this, "a");
   Instance b(*this, "b");
   StartPeers({&a, &b});
@@ -117,21 +117,22 @@
   RunUntil(loop_, [&] { return b.Heard() == 0; });
 }
 
-TEST_F(ReadSharingTest, WhoIsNotInTheStoreIsNotHeard) {
+TEST_F(PrefillSharingTest, WhoIsNotInTheStoreIsNotHeard) {
   Instance a(*this, "a");
   StartPeers({&a});
   a.sharing.Start();
   Udp::socket stranger(loop_,
                        Udp::endpoint(asio::ip::address_v4::loopback(), 0));
-  stranger.send_to(asio::buffer('\x01' + EncodeReads({{KeyOf(kEngine), 0, 5}})),
-                   a.endpoint);
+  stranger.send_to(
+      asio::buffer('\x01' + EncodePrefills({{KeyOf(kEngine), 0, 5}})),
+      a.endpoint);
   RunUntil(loop_, [&] {
     return a.Counted("lynxglade_peer_datagrams_total", "from_unknown") == 1;
   });
   EXPECT_EQ(a.Heard(), 0);
 }
 
-TEST_F(ReadSharingTest, APortThatIsTakenIsNamed) {
+TEST_F(PrefillSharingTest, APortThatIsTakenIsNamed) {
   Instance a(*this, "a");
   StartPeers({&a});
   PeerDatagrams taken(loop_, a.presence, a.endpoint, a.metrics);
