--- a/src/process/prefill_sharing.cc
+++ b/src/process/prefill_sharing.cc
@@ -27,7 +27,7 @@
 constexpr std::uint64_t kMaxPriority = 1'000'000;
 constexpr std::uint64_t kMaxTokens = 1'000'000'000;
 
-std::optional<PeerPrefill> ReadRow(const json& row) {
+std::optional<PeerPrefill> ParseRow(const json& row) {
   if (!row.is_array() || row.size() != 3) {
     return std::nullopt;
   }
@@ -44,10 +44,10 @@
 
 }  // namespace
 
-std::string EncodePrefills(const std::vector<PeerPrefill>& reads) {
+std::string EncodePrefills(const std::vector<PeerPrefill>& prefills) {
   json report = json::array({kReportVersion});
-  const std::size_t n = std::min(reads.size(), kMaxPrefills);
-  std::for_each_n(reads.begin(), n, [&report](const PeerPrefill& it) {
+  const std::size_t n = std::min(prefills.size(), kMaxPrefills);
+  std::for_each_n(prefills.begin(), n, [&report](const PeerPrefill& it) {
     report.push_back({it.engine, static_cast<std::uint64_t>(it.priority),
                       static_cast<std::uint64_t>(it.prefill_tokens)});
   });
@@ -61,25 +61,25 @@
   if (!report || report->size() > kMaxPrefills + 1) {
     return std::nullopt;
   }
-  std::vector<PeerPrefill> reads;
+  std::vector<PeerPrefill> prefills;
   for (std::size_t i = 1; i < report->size(); ++i) {
-    const auto read = ReadRow((*report)[i]);
+    const auto read = ParseRow((*report)[i]);
     if (!read) {
       return std::nullopt;
     }
-    reads.push_back(*read);
+    prefills.push_back(*read);
   }
-  return reads;
+  return prefills;
 }
 
 std::vector<InstancePeer> SharingPeers(const std::vector<InstancePeer>& all,
                                        const PrefillSharingOptions& options) {
-  const bool everywhere = all.size() <= options.max_cross_zone_instances;
+  const bool cross_zone = all.size() <= options.max_cross_zone_instances;
   std::vector<InstancePeer> peers;
   std::ranges::copy_if(all, std::back_inserter(peers),
                        [&](const InstancePeer& it) {
                          return it.instance != options.instance &&
-                                (everywhere || it.zone == options.zone);
+                                (cross_zone || it.zone == options.zone);
                        });
   return peers;
 }
@@ -102,15 +102,15 @@
   datagrams_.SetHandler(
       DatagramKind::kPrefills,
       [this](const InstancePeer& from, std::string_view bytes) {
-        return Take(from, bytes);
+        return HandleReport(from, bytes);
       });
-  datagrams_.Repeat(options_.period, [this] { TellOnce(); });
+  datagrams_.Repeat(options_.period, [this] { SendReport(); });
 }
 
-void PrefillSharing::TellOnce() {
-  const auto reads = OwnPrefills(engines_);
-  const bool told_any = std::exchange(told_any_, !reads.empty());
-  if (reads.empty() && !told_any) {
+void PrefillSharing::SendReport() {
+  const auto prefills = OwnPrefills(engines_);
+  const bool reported_any = std::exchange(reported_any_, !prefills.empty());
+  if (prefills.empty() && !reported_any) {
     return;
   }
   const auto peers = SharingPeers(presence_.Peers(), options_);
@@ -119,18 +119,19 @@
         std::max(1.0, static_cast<double>(presence_.Count() - 1) /
                           static_cast<double>(peers.size())));
   }
-  const std::string bytes = EncodePrefills(reads);
+  const std::string bytes = EncodePrefills(prefills);
   for (const InstancePeer& peer : peers) {
     datagrams_.Send(peer, DatagramKind::kPrefills, bytes);
   }
 }
 
-bool PrefillSharing::Take(const InstancePeer& from, std::string_view bytes) {
-  const auto reads = DecodePrefills(bytes);
-  if (!reads) {
+bool PrefillSharing::HandleReport(const InstancePeer& from,
+                                  std::string_view bytes) {
+  const auto prefills = DecodePrefills(bytes);
+  if (!prefills) {
     return false;
   }
-  peer_prefills_.Put(from.instance, *reads, clock_());
+  peer_prefills_.Put(from.instance, *prefills, clock_());
   return true;
 }
 
--- a/src/process/prefill_sharing.h
+++ b/src/process/prefill_sharing.h
@@ -33,7 +33,7 @@
 // The form of a report: a CBOR array of its version and one [engine, priority,
 // tokens] a read.
 std::string EncodePrefills(
-    const std::vector<request::passthrough::PeerPrefill>& reads);
+    const std::vector<request::passthrough::PeerPrefill>& prefills);
 // Nothing if it is not that.
 std::optional<std::vector<request::passthrough::PeerPrefill>> DecodePrefills(
     std::string_view bytes);
@@ -58,8 +58,8 @@
   void Start();
 
  private:
-  void TellOnce();
-  bool Take(const InstancePeer& from, std::string_view bytes);
+  void SendReport();
+  bool HandleReport(const InstancePeer& from, std::string_view bytes);
 
   const request::passthrough::EngineTable& engines_;
   const InstancePresence& presence_;
@@ -68,7 +68,7 @@
   const PrefillSharingOptions options_;
   const base::Clock clock_;
   // Whether the last report named a read; the next then says that none is left.
-  bool told_any_ = false;
+  bool reported_any_ = false;
 };
 
 }  // namespace lynxglade::process
