--- a/src/process/avoidance_sharing.cc
+++ b/src/process/avoidance_sharing.cc
@@ -20,18 +20,18 @@
 
 constexpr std::uint64_t kVersion = 1;
 // Of one message; an instance that avoids more tells the first.
-constexpr std::size_t kMostEngines = 200;
-constexpr std::uint64_t kMostMillis = 60'000;
+constexpr std::size_t kMaxEngines = 200;
+constexpr std::uint64_t kMaxMillis = 60'000;
 constexpr connection::CborLimits kLimits{.max_bytes = 4096,
                                          .max_depth = 2,
-                                         .max_elements = 3 * kMostEngines + 2};
+                                         .max_elements = 3 * kMaxEngines + 2};
 
-std::optional<AvoidedEngine> ReadRow(const json& row) {
+std::optional<AvoidedEngine> ParseRow(const json& row) {
   if (!row.is_array() || row.size() != 2) {
     return std::nullopt;
   }
   const auto engine = CborWhole(row[0], std::numeric_limits<EngineKey>::max());
-  const auto ms = CborWhole(row[1], kMostMillis);
+  const auto ms = CborWhole(row[1], kMaxMillis);
   if (!engine || !ms) {
     return std::nullopt;
   }
@@ -43,10 +43,10 @@
 
 std::string EncodeAvoided(const std::vector<AvoidedEngine>& avoided) {
   json message = json::array({kVersion});
-  const std::size_t n = std::min(avoided.size(), kMostEngines);
+  const std::size_t n = std::min(avoided.size(), kMaxEngines);
   std::for_each_n(avoided.begin(), n, [&message](const AvoidedEngine& it) {
     const auto ms = std::clamp<std::int64_t>(base::ToMillis(it.left), 0,
-                                             std::int64_t{kMostMillis});
+                                             std::int64_t{kMaxMillis});
     message.push_back({it.engine, static_cast<std::uint64_t>(ms)});
   });
   return connection::EncodeCbor(message);
@@ -55,12 +55,12 @@
 std::optional<std::vector<AvoidedEngine>> DecodeAvoided(
     std::string_view bytes) {
   const auto message = connection::DecodeVersioned(bytes, kLimits, kVersion);
-  if (!message || message->size() > kMostEngines + 1) {
+  if (!message || message->size() > kMaxEngines + 1) {
     return std::nullopt;
   }
   std::vector<AvoidedEngine> avoided;
   for (std::size_t i = 1; i < message->size(); ++i) {
-    const auto row = ReadRow((*message)[i]);
+    const auto row = ParseRow((*message)[i]);
     if (!row) {
       return std::nullopt;
     }
@@ -86,35 +86,38 @@
 void AvoidanceSharing::Start() {
   datagrams_.SetHandler(DatagramKind::kAvoided, [this](const InstancePeer& from,
                                                        std::string_view bytes) {
-    return Take(from, bytes);
+    return HandleUpdate(from, bytes);
   });
-  datagrams_.Repeat(options_.period, [this] { TellOnce(); });
+  datagrams_.Repeat(options_.period, [this] { SendUpdates(); });
 }
 
-void AvoidanceSharing::TellOnce() {
+void AvoidanceSharing::SendUpdates() {
   const base::Time now = clock_();
-  std::erase_if(told_, [now](const auto& it) { return it.second <= now; });
-  std::vector<AvoidedEngine> news = OwnAvoided(engines_, now);
-  std::erase_if(news, [&](const AvoidedEngine& it) {
-    const auto known = told_.find(it.engine);
-    return known != told_.end() && known->second >= now + it.left;
+  std::erase_if(sent_until_,
+                [now](const auto& it) { return it.second <= now; });
+  std::vector<AvoidedEngine> updates = OwnAvoided(engines_, now);
+  std::erase_if(updates, [&](const AvoidedEngine& it) {
+    const auto sent = sent_until_.find(it.engine);
+    return sent != sent_until_.end() && sent->second >= now + it.left;
   });
-  if (news.empty()) {
+  if (updates.empty()) {
     return;
   }
   const auto peers = peers_();
   if (peers.size() < options_.least_peers) {
     return;
   }
-  std::ranges::for_each(
-      news, [&](const AvoidedEngine& it) { told_[it.engine] = now + it.left; });
-  const std::string bytes = EncodeAvoided(news);
+  std::ranges::for_each(updates, [&](const AvoidedEngine& it) {
+    sent_until_[it.engine] = now + it.left;
+  });
+  const std::string bytes = EncodeAvoided(updates);
   for (const InstancePeer& peer : peers) {
     datagrams_.Send(peer, DatagramKind::kAvoided, bytes);
   }
 }
 
-bool AvoidanceSharing::Take(const InstancePeer& from, std::string_view bytes) {
+bool AvoidanceSharing::HandleUpdate(const InstancePeer& from,
+                                    std::string_view bytes) {
   const auto avoided = DecodeAvoided(bytes);
   if (!avoided) {
     return false;
--- a/src/process/avoidance_sharing.h
+++ b/src/process/avoidance_sharing.h
@@ -54,8 +54,8 @@
   void Start();
 
  private:
-  void TellOnce();
-  bool Take(const InstancePeer& from, std::string_view bytes);
+  void SendUpdates();
+  bool HandleUpdate(const InstancePeer& from, std::string_view bytes);
 
   const request::passthrough::EngineTable& engines_;
   request::passthrough::PeerAvoidance& avoidance_;
@@ -64,7 +64,7 @@
   const AvoidanceSharingOptions options_;
   const base::Clock clock_;
   // Until when the others know each to be avoided.
-  std::map<request::passthrough::EngineKey, base::Time> told_;
+  std::map<request::passthrough::EngineKey, base::Time> sent_until_;
 };
 
 }  // namespace lynxglade::process
