--- a/src/process/avoidance_sharing.cc
+++ b/src/process/avoidance_sharing.cc
@@ -104,7 +104,7 @@
     return;
   }
   const auto peers = peers_();
-  if (peers.size() < options_.least_peers) {
+  if (peers.size() < options_.min_peers) {
     return;
   }
   std::ranges::for_each(updates, [&](const AvoidedEngine& it) {
--- a/src/process/avoidance_sharing.h
+++ b/src/process/avoidance_sharing.h
@@ -27,7 +27,7 @@
   base::Duration period = std::chrono::milliseconds(100);
   // Fewer instances each see a target often enough themselves; and one that
   // fails a part of its requests would be avoided by all, all the time.
-  std::size_t least_peers = 8;
+  std::size_t min_peers = 8;
 };
 
 // An array of the version and [engine, milliseconds] of each.
