--- a/src/process/change_messages.cc
+++ b/src/process/change_messages.cc
@@ -25,7 +25,7 @@
 // Keys, revisions and markers beside the values, and changes in one message.
 constexpr std::size_t kMostChanges = 1000;
 constexpr connection::CborLimits kLimits{
-    .max_bytes = kMostRelayedBytes + kMostChanges * (kMaxKeyBytes + 32),
+    .max_bytes = kMaxRelayedBytes + kMostChanges * (kMaxKeyBytes + 32),
     .max_depth = 4,
     .max_elements = kMostChanges * (kParts + 1) + 8};
 
@@ -82,7 +82,7 @@
   const std::size_t bytes = std::accumulate(
       changes.items.begin(), changes.items.end(), std::size_t{0},
       [](std::size_t n, const StoreItem& it) { return n + it.value.size(); });
-  if (bytes > kMostRelayedBytes || changes.items.size() > kMostChanges) {
+  if (bytes > kMaxRelayedBytes || changes.items.size() > kMostChanges) {
     return std::nullopt;
   }
   json list = json::array();
--- a/src/process/change_messages.h
+++ b/src/process/change_messages.h
@@ -15,7 +15,7 @@
 // Values of one message together. A relay on a link of 20 Mbit/s passes this
 // much to thirty instances in 0.4 s; who needs more asks the store, whose link
 // is fifty times as fast.
-inline constexpr std::size_t kMostRelayedBytes = std::size_t{32} * 1024;
+inline constexpr std::size_t kMaxRelayedBytes = std::size_t{32} * 1024;
 
 // Nothing if the values are larger than a message may hold.
 std::optional<std::string> EncodeChanges(const StoreItems& changes);
--- a/tests/process/watch_sharing_test.cc
+++ b/tests/process/watch_sharing_test.cc
@@ -297,7 +297,7 @@
 
 TEST_F(WatchSharingTest, TooLargeChangesComeFromTheStore) {
   StartZone(10);
-  store_.Write("big", std::string(kMostRelayedBytes + 1, 'x'));
+  store_.Write("big", std::string(kMaxRelayedBytes + 1, 'x'));
   ExpectAllSee();
   store_.Write("small", "y");
   ExpectAllSee();
