--- a/src/process/change_messages.cc
+++ b/src/process/change_messages.cc
@@ -20,51 +20,51 @@
 // value], or [key, revision] for a key that is gone.
 constexpr std::uint64_t kVersion = 1;
 constexpr std::size_t kParts = 3;
-constexpr std::size_t kPartsOfGone = 2;
+constexpr std::size_t kDeletionParts = 2;
 constexpr std::size_t kMaxKeyBytes = 200;
 // Keys, revisions and markers beside the values, and changes in one message.
-constexpr std::size_t kMostChanges = 1000;
+constexpr std::size_t kMaxChanges = 1000;
 constexpr connection::CborLimits kLimits{
-    .max_bytes = kMaxRelayedBytes + kMostChanges * (kMaxKeyBytes + 32),
+    .max_bytes = kMaxRelayedBytes + kMaxChanges * (kMaxKeyBytes + 32),
     .max_depth = 4,
-    .max_elements = kMostChanges * (kParts + 1) + 8};
+    .max_elements = kMaxChanges * (kParts + 1) + 8};
 
-std::optional<base::Revision> ReadRevision(const json& value) {
-  constexpr auto kHighest =
+std::optional<base::Revision> ParseRevision(const json& value) {
+  constexpr auto kMax =
       static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
-  const auto number = connection::CborWhole(value, kHighest);
+  const auto number = connection::CborWhole(value, kMax);
   if (!number) {
     return std::nullopt;
   }
   return base::Revision(static_cast<std::int64_t>(*number));
 }
 
-std::uint64_t Number(base::Revision revision) {
+std::uint64_t ToNumber(base::Revision revision) {
   return static_cast<std::uint64_t>(revision.value());
 }
 
-json ChangeOf(const StoreItem& item) {
+json ToJson(const StoreItem& item) {
   if (item.deleted) {
-    return json::array({item.key, Number(item.revision)});
+    return json::array({item.key, ToNumber(item.revision)});
   }
   const json::binary_t value(
       std::vector<std::uint8_t>(item.value.begin(), item.value.end()));
-  return json::array({item.key, Number(item.revision), value});
+  return json::array({item.key, ToNumber(item.revision), value});
 }
 
-std::optional<StoreItem> ReadChange(const json& change) {
-  if (!change.is_array() || change.size() < kPartsOfGone ||
+std::optional<StoreItem> ParseChange(const json& change) {
+  if (!change.is_array() || change.size() < kDeletionParts ||
       change.size() > kParts || !change[0].is_string()) {
     return std::nullopt;
   }
-  const auto revision = ReadRevision(change[1]);
+  const auto revision = ParseRevision(change[1]);
   if (!revision) {
     return std::nullopt;
   }
   StoreItem item;
   item.key = change[0].get<std::string>();
   item.revision = *revision;
-  item.deleted = change.size() == kPartsOfGone;
+  item.deleted = change.size() == kDeletionParts;
   if (item.deleted) {
     return item;
   }
@@ -82,15 +82,15 @@
   const std::size_t bytes = std::accumulate(
       changes.items.begin(), changes.items.end(), std::size_t{0},
       [](std::size_t n, const StoreItem& it) { return n + it.value.size(); });
-  if (bytes > kMaxRelayedBytes || changes.items.size() > kMostChanges) {
+  if (bytes > kMaxRelayedBytes || changes.items.size() > kMaxChanges) {
     return std::nullopt;
   }
   json list = json::array();
   for (const StoreItem& item : changes.items) {
-    list.push_back(ChangeOf(item));
+    list.push_back(ToJson(item));
   }
   return connection::EncodeCbor(
-      json::array({kVersion, Number(changes.revision), std::move(list)}));
+      json::array({kVersion, ToNumber(changes.revision), std::move(list)}));
 }
 
 std::optional<StoreItems> DecodeChanges(std::string_view bytes) {
@@ -98,14 +98,14 @@
   if (!message || message->size() != kParts || !(*message)[2].is_array()) {
     return std::nullopt;
   }
-  const auto at = ReadRevision((*message)[1]);
+  const auto at = ParseRevision((*message)[1]);
   if (!at) {
     return std::nullopt;
   }
   StoreItems changes;
   changes.revision = *at;
   for (const json& change : (*message)[2]) {
-    auto item = ReadChange(change);
+    auto item = ParseChange(change);
     if (!item || item->revision > *at) {
       return std::nullopt;
     }
