--- a/src/process/entry_settings.cc
+++ b/src/process/entry_settings.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-using Apply = process::Apply<EntrySettings>;
+using OptionParser = process::OptionParser<EntrySettings>;
 using Option = process::Option<EntrySettings>;
 using Allowed = std::optional<std::string>;
 
@@ -23,7 +23,7 @@
 constexpr double kMaxAllowance = 1'000'000;
 
 template <typename Id>
-Apply ReadId(Id EntrySettings::* member) {
+OptionParser ReadId(Id EntrySettings::* member) {
   return [member](EntrySettings& settings, const std::string& text) -> Allowed {
     if (text.size() > kMaxNameLength) {
       return "a name of at most 128 bytes";
@@ -49,7 +49,9 @@
   return "a number from " + std::to_string(low) + " to " + std::to_string(high);
 }
 
-Apply ReadNumber(double EntrySettings::* member, double low, double high) {
+OptionParser ReadNumber(double EntrySettings::* member,
+                        double low,
+                        double high) {
   return [=](EntrySettings& settings, const std::string& text) -> Allowed {
     const auto n = ParseNumber(text, low, high);
     if (!n) {
@@ -61,9 +63,9 @@
 }
 
 // Seconds: platforms state their bounds as whole numbers or as fractions.
-Apply ReadSeconds(base::Duration EntrySettings::* member,
-                  double low,
-                  double high) {
+OptionParser ReadSeconds(base::Duration EntrySettings::* member,
+                         double low,
+                         double high) {
   return [=](EntrySettings& settings, const std::string& text) -> Allowed {
     const auto n = ParseNumber(text, low, high);
     if (!n) {
--- a/src/process/option_table.h
+++ b/src/process/option_table.h
@@ -31,7 +31,8 @@
 
 // Takes the text into the settings; returns what is allowed when it cannot.
 template <typename S>
-using Apply = std::function<std::optional<std::string>(S&, const std::string&)>;
+using OptionParser =
+    std::function<std::optional<std::string>(S&, const std::string&)>;
 
 // One setting: its flag, its default as text, whether it must be given, and
 // how it is read.
@@ -41,7 +42,7 @@
   std::string default_text;
   bool required = false;
   std::string description;
-  Apply<S> apply;
+  OptionParser<S> parse;
 };
 
 // LYNXGLADE_LISTEN for "listen".
@@ -86,7 +87,7 @@
     }
     return;
   }
-  if (const auto allowed = option.apply(settings, text)) {
+  if (const auto allowed = option.parse(settings, text)) {
     fault.lines.push_back(name + ": '" + text + "' is not allowed; give " +
                           *allowed);
   }
@@ -96,7 +97,7 @@
 
 // An IP number and a port, into an Endpoint or an optional one.
 template <typename S, typename T>
-Apply<S> ReadEndpoint(T S::* member) {
+OptionParser<S> ReadEndpoint(T S::* member) {
   return [member](S& settings,
                   const std::string& text) -> std::optional<std::string> {
     const auto endpoint = ParseEndpoint(text);
@@ -110,7 +111,7 @@
 
 // A whole number of `Unit`, into any member that can be made of it.
 template <typename Unit, typename S, typename T>
-Apply<S> ReadWhole(T S::* member, std::int64_t low, std::int64_t high) {
+OptionParser<S> ReadWhole(T S::* member, std::int64_t low, std::int64_t high) {
   return
       [=](S& settings, const std::string& text) -> std::optional<std::string> {
         const auto n = base::ParseWhole(text, low, high);
@@ -125,7 +126,7 @@
 }
 
 template <typename S>
-Apply<S> ReadLogLevel(base::LogLevel S::* member) {
+OptionParser<S> ReadLogLevel(base::LogLevel S::* member) {
   return [member](S& settings,
                   const std::string& text) -> std::optional<std::string> {
     if (!base::ParseLogLevel(text, &(settings.*member))) {
--- a/src/process/settings.cc
+++ b/src/process/settings.cc
@@ -19,12 +19,12 @@
 // What a lease must leave for giving orders.
 constexpr base::Duration kLeastOrderTime = std::chrono::seconds(5);
 
-using Apply = process::Apply<Settings>;
+using OptionParser = process::OptionParser<Settings>;
 using Option = process::Option<Settings>;
 
 // --- Readers ----------------------------------------------------------------
 
-Apply ReadName(std::function<void(Settings&, std::string)> set) {
+OptionParser ReadName(std::function<void(Settings&, std::string)> set) {
   return [set](Settings& settings,
                const std::string& text) -> std::optional<std::string> {
     const bool good =
@@ -40,7 +40,7 @@
   };
 }
 
-Apply ReadText(std::string Settings::* member) {
+OptionParser ReadText(std::string Settings::* member) {
   return [member](Settings& settings,
                   const std::string& text) -> std::optional<std::string> {
     settings.*member = text;
@@ -65,7 +65,7 @@
   return std::nullopt;
 }
 
-Apply ReadUrl(std::string Settings::* member) {
+OptionParser ReadUrl(std::string Settings::* member) {
   return [member](Settings& settings,
                   const std::string& text) -> std::optional<std::string> {
     if (!text.starts_with(kUrlScheme) ||
