--- a/src/process/option_table.h
+++ b/src/process/option_table.h
@@ -97,7 +97,7 @@
 
 // An IP number and a port, into an Endpoint or an optional one.
 template <typename S, typename T>
-OptionParser<S> ReadEndpoint(T S::* member) {
+OptionParser<S> EndpointParser(T S::* member) {
   return [member](S& settings,
                   const std::string& text) -> std::optional<std::string> {
     const auto endpoint = ParseEndpoint(text);
@@ -111,7 +111,9 @@
 
 // A whole number of `Unit`, into any member that can be made of it.
 template <typename Unit, typename S, typename T>
-OptionParser<S> ReadWhole(T S::* member, std::int64_t low, std::int64_t high) {
+OptionParser<S> IntegerParser(T S::* member,
+                              std::int64_t low,
+                              std::int64_t high) {
   return
       [=](S& settings, const std::string& text) -> std::optional<std::string> {
         const auto n = base::ParseWhole(text, low, high);
@@ -126,7 +128,7 @@
 }
 
 template <typename S>
-OptionParser<S> ReadLogLevel(base::LogLevel S::* member) {
+OptionParser<S> LogLevelParser(base::LogLevel S::* member) {
   return [member](S& settings,
                   const std::string& text) -> std::optional<std::string> {
     if (!base::ParseLogLevel(text, &(settings.*member))) {
