--- a/src/process/entry_settings.cc
+++ b/src/process/entry_settings.cc
@@ -125,13 +125,13 @@
 
 std::optional<EntrySettings> ParseEntrySettings(int argc,
                                                 const char* const* argv,
-                                                SettingsFault* last_reason) {
+                                                SettingsFault* fault) {
   const auto settings = ParseOptions<EntrySettings>(
       "One entry instance of lynxglade on a platform whose store holds the "
       "targets and the configuration. Each flag can be given by the "
       "environment variable named in parentheses; the flag goes first.",
-      AllOptions(), argc, argv, last_reason);
-  if (!settings || !last_reason->lines.empty()) {
+      AllOptions(), argc, argv, fault);
+  if (!settings || !fault->lines.empty()) {
     return std::nullopt;
   }
   return settings;
--- a/src/process/entry_settings.h
+++ b/src/process/entry_settings.h
@@ -42,7 +42,7 @@
 
 std::optional<EntrySettings> ParseEntrySettings(int argc,
                                                 const char* const* argv,
-                                                SettingsFault* last_reason);
+                                                SettingsFault* fault);
 
 }  // namespace lynxglade::process
 
--- a/src/process/option_table.h
+++ b/src/process/option_table.h
@@ -164,7 +164,7 @@
                               const std::vector<Option<S>>& options,
                               int argc,
                               const char* const* argv,
-                              SettingsFault* last_reason) {
+                              SettingsFault* fault) {
   TCLAP::CmdLine command(title, ' ', "0.1.0");
   command.setExceptionHandling(false);
   // The library keeps pointers to the arguments and prints them in reverse.
@@ -177,16 +177,15 @@
     std::vector<std::string> words = SplitAtEquals(argc, argv);
     command.parse(words);
   } catch (const TCLAP::ExitException&) {
-    last_reason->handled = true;
+    fault->handled = true;
     return std::nullopt;
   } catch (const TCLAP::ArgException& e) {
-    last_reason->lines.push_back(e.argId() + ": " + e.error());
+    fault->lines.push_back(e.argId() + ": " + e.error());
     return std::nullopt;
   }
   S settings;
   for (std::size_t i = 0; i < options.size(); ++i) {
-    ApplyOption(options[i], TextOf(options[i], args[i]), settings,
-                *last_reason);
+    ApplyOption(options[i], TextOf(options[i], args[i]), settings, *fault);
   }
   return settings;
 }
--- a/src/process/settings.cc
+++ b/src/process/settings.cc
@@ -193,16 +193,16 @@
 
 std::optional<Settings> ParseSettings(int argc,
                                       const char* const* argv,
-                                      SettingsFault* last_reason) {
+                                      SettingsFault* fault) {
   const auto settings = ParseOptions<Settings>(
       "One entry instance of lynxglade. Each flag can be given by the "
       "environment variable named in parentheses; the flag goes first.",
-      AllOptions(), argc, argv, last_reason);
+      AllOptions(), argc, argv, fault);
   if (!settings) {
     return std::nullopt;
   }
-  CheckContradictions(*settings, *last_reason);
-  if (!last_reason->lines.empty()) {
+  CheckContradictions(*settings, *fault);
+  if (!fault->lines.empty()) {
     return std::nullopt;
   }
   return settings;
--- a/src/process/settings.h
+++ b/src/process/settings.h
@@ -47,7 +47,7 @@
 // a flag goes before its variable.
 std::optional<Settings> ParseSettings(int argc,
                                       const char* const* argv,
-                                      SettingsFault* last_reason);
+                                      SettingsFault* fault);
 
 }  // namespace lynxglade::process
 
