--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -186,7 +186,7 @@
           metrics),
       authority(store,
                 presence,
-                {.takeover_delay = s.order_quiet},
+                {.takeover_delay = s.order_takeover_delay},
                 clock,
                 random),
       stage_orders(
--- a/src/process/entry_settings.cc
+++ b/src/process/entry_settings.cc
@@ -105,8 +105,8 @@
       {"order-quiet-ms", "4500", false,
        "milliseconds from taking authority over the engines to the first "
        "order; more than the platform's bound on turns between holders",
-       IntegerParser<std::chrono::milliseconds>(&EntrySettings::order_quiet, 1,
-                                                600'000)},
+       IntegerParser<std::chrono::milliseconds>(
+           &EntrySettings::order_takeover_delay, 1, 600'000)},
       {"retry-ratio", "0.2", false,
        "arrivals at targets beyond the first of each request, for each "
        "request, that all instances together may make",
--- a/src/process/entry_settings.h
+++ b/src/process/entry_settings.h
@@ -30,7 +30,7 @@
   // From SIGTERM to the end, at most.
   base::Duration stop_grace = std::chrono::seconds(8);
   // From taking authority over the engines to the first order.
-  base::Duration order_quiet = std::chrono::milliseconds(4500);
+  base::Duration order_takeover_delay = std::chrono::milliseconds(4500);
   // The part of a service's engines that generate; the others read prompts.
   double decode_share = 0.25;
   // What the fleet of instances may send beyond the first arrival of each
