--- a/src/process/entry_settings.cc
+++ b/src/process/entry_settings.cc
@@ -14,48 +14,51 @@
 
 using OptionParser = process::OptionParser<EntrySettings>;
 using Option = process::Option<EntrySettings>;
-using Allowed = std::optional<std::string>;
+using ParseError = std::optional<std::string>;
 
 constexpr std::size_t kMaxNameLength = 128;
 constexpr std::int64_t kMaxConnections = 20'000;
-constexpr double kLeastSeconds = 0.1;
+constexpr double kMinSeconds = 0.1;
 constexpr double kMaxSeconds = 3600;
 constexpr double kMaxAllowance = 1'000'000;
 
 template <typename Id>
-OptionParser ReadId(Id EntrySettings::* member) {
-  return [member](EntrySettings& settings, const std::string& text) -> Allowed {
-    if (text.size() > kMaxNameLength) {
-      return "a name of at most 128 bytes";
-    }
-    settings.*member = Id(text);
-    return std::nullopt;
-  };
+OptionParser IdParser(Id EntrySettings::* member) {
+  return
+      [member](EntrySettings& settings, const std::string& text) -> ParseError {
+        if (text.size() > kMaxNameLength) {
+          return "a name of at most 128 bytes";
+        }
+        settings.*member = Id(text);
+        return std::nullopt;
+      };
 }
 
 // A whole number or a fraction, in any form of the C library.
 std::optional<double> ParseNumber(const std::string& text,
-                                  double low,
-                                  double high) {
+                                  double min_value,
+                                  double max_value) {
   char* end = nullptr;
   const double n = std::strtod(text.c_str(), &end);
-  if (end != text.c_str() + text.size() || !(n >= low && n <= high)) {
+  if (end != text.c_str() + text.size() ||
+      !(n >= min_value && n <= max_value)) {
     return std::nullopt;
   }
   return n;
 }
 
-std::string NumberFrom(double low, double high) {
-  return "a number from " + std::to_string(low) + " to " + std::to_string(high);
+std::string NumberRange(double min_value, double max_value) {
+  return "a number from " + std::to_string(min_value) + " to " +
+         std::to_string(max_value);
 }
 
-OptionParser ReadNumber(double EntrySettings::* member,
-                        double low,
-                        double high) {
-  return [=](EntrySettings& settings, const std::string& text) -> Allowed {
-    const auto n = ParseNumber(text, low, high);
+OptionParser NumberParser(double EntrySettings::* member,
+                          double min_value,
+                          double max_value) {
+  return [=](EntrySettings& settings, const std::string& text) -> ParseError {
+    const auto n = ParseNumber(text, min_value, max_value);
     if (!n) {
-      return NumberFrom(low, high);
+      return NumberRange(min_value, max_value);
     }
     settings.*member = *n;
     return std::nullopt;
@@ -63,13 +66,13 @@
 }
 
 // Seconds: platforms state their bounds as whole numbers or as fractions.
-OptionParser ReadSeconds(base::Duration EntrySettings::* member,
-                         double low,
-                         double high) {
-  return [=](EntrySettings& settings, const std::string& text) -> Allowed {
-    const auto n = ParseNumber(text, low, high);
+OptionParser SecondsParser(base::Duration EntrySettings::* member,
+                           double min_value,
+                           double max_value) {
+  return [=](EntrySettings& settings, const std::string& text) -> ParseError {
+    const auto n = ParseNumber(text, min_value, max_value);
     if (!n) {
-      return NumberFrom(low, high) + " of seconds";
+      return NumberRange(min_value, max_value) + " of seconds";
     }
     settings.*member = std::chrono::duration_cast<base::Duration>(
         std::chrono::duration<double>(*n));
@@ -80,9 +83,9 @@
 std::vector<Option> AllOptions() {
   return {
       {"instance-id", "", true, "name of this instance",
-       ReadId(&EntrySettings::instance)},
+       IdParser(&EntrySettings::instance)},
       {"zone", "", true, "availability zone of this instance",
-       ReadId(&EntrySettings::zone)},
+       IdParser(&EntrySettings::zone)},
       {"listen", "", true, "where callers connect",
        EndpointParser(&EntrySettings::listen)},
       {"health-listen", "", true,
@@ -101,7 +104,7 @@
        IntegerParser<std::int64_t>(&EntrySettings::max_connections, 1,
                                    kMaxConnections)},
       {"stop-grace", "8", false, "seconds from SIGTERM to the end, at most",
-       ReadSeconds(&EntrySettings::stop_grace, kLeastSeconds, kMaxSeconds)},
+       SecondsParser(&EntrySettings::stop_grace, kMinSeconds, kMaxSeconds)},
       {"order-quiet-ms", "4500", false,
        "milliseconds from taking authority over the engines to the first "
        "order; more than the platform's bound on turns between holders",
@@ -110,14 +113,14 @@
       {"retry-ratio", "0.2", false,
        "arrivals at targets beyond the first of each request, for each "
        "request, that all instances together may make",
-       ReadNumber(&EntrySettings::retry_ratio, 0, 10)},
+       NumberParser(&EntrySettings::retry_ratio, 0, 10)},
       {"decode-share", "0.25", false,
        "part of a service's engines that generate; the others read prompts",
-       ReadNumber(&EntrySettings::decode_share, 0, 1)},
+       NumberParser(&EntrySettings::decode_share, 0, 1)},
       {"retry-allowance", "50", false, "and so many more",
-       ReadNumber(&EntrySettings::retry_allowance, 0, kMaxAllowance)},
+       NumberParser(&EntrySettings::retry_allowance, 0, kMaxAllowance)},
       {"retry-window", "10", false, "in so many seconds",
-       ReadSeconds(&EntrySettings::retry_window, kLeastSeconds, kMaxSeconds)},
+       SecondsParser(&EntrySettings::retry_window, kMinSeconds, kMaxSeconds)},
   };
 }
 
