--- a/src/process/settings.cc
+++ b/src/process/settings.cc
@@ -17,22 +17,22 @@
 constexpr std::string_view kUrlScheme = "http://";
 constexpr std::size_t kMaxSeedPeers = 32;
 // What a lease must leave for giving orders.
-constexpr base::Duration kLeastOrderTime = std::chrono::seconds(5);
+constexpr base::Duration kMinOrderTime = std::chrono::seconds(5);
 
 using OptionParser = process::OptionParser<Settings>;
 using Option = process::Option<Settings>;
 
 // --- Readers ----------------------------------------------------------------
 
-OptionParser ReadName(std::function<void(Settings&, std::string)> set) {
+OptionParser NameParser(std::function<void(Settings&, std::string)> set) {
   return [set](Settings& settings,
                const std::string& text) -> std::optional<std::string> {
-    const bool good =
+    const bool valid =
         !text.empty() && text.size() <= 64 &&
         std::ranges::all_of(text, [](unsigned char c) {
           return std::isalnum(c) || c == '-' || c == '_' || c == '.';
         });
-    if (!good) {
+    if (!valid) {
       return "1 to 64 letters, digits, '-', '_' or '.'";
     }
     set(settings, text);
@@ -40,7 +40,7 @@
   };
 }
 
-OptionParser ReadText(std::string Settings::* member) {
+OptionParser TextParser(std::string Settings::* member) {
   return [member](Settings& settings,
                   const std::string& text) -> std::optional<std::string> {
     settings.*member = text;
@@ -48,8 +48,8 @@
   };
 }
 
-std::optional<std::string> ReadSeedPeers(Settings& settings,
-                                         const std::string& text) {
+std::optional<std::string> ParseSeedPeers(Settings& settings,
+                                          const std::string& text) {
   std::istringstream parts(text);
   std::vector<Endpoint> peers;
   for (std::string part; std::getline(parts, part, ',');) {
@@ -65,7 +65,7 @@
   return std::nullopt;
 }
 
-OptionParser ReadUrl(std::string Settings::* member) {
+OptionParser UrlParser(std::string Settings::* member) {
   return [member](Settings& settings,
                   const std::string& text) -> std::optional<std::string> {
     if (!text.starts_with(kUrlScheme) ||
@@ -78,8 +78,8 @@
   };
 }
 
-std::optional<std::string> ReadRoutingPolicy(Settings& settings,
-                                             const std::string& text) {
+std::optional<std::string> ParseRoutingPolicy(Settings& settings,
+                                              const std::string& text) {
   // Names in the code have underscores, flags have hyphens.
   std::string name = text;
   std::ranges::replace(name, '-', '_');
@@ -94,15 +94,15 @@
 std::vector<Option> AllOptions() {
   return {
       {"instance-id", "", true, "name of this instance, new at each start",
-       ReadName([](Settings& s, std::string v) {
+       NameParser([](Settings& s, std::string v) {
          s.instance = base::InstanceId(std::move(v));
        })},
       {"region", "default", false, "region of this instance",
-       ReadName([](Settings& s, std::string v) {
+       NameParser([](Settings& s, std::string v) {
          s.region = base::RegionId(std::move(v));
        })},
       {"zone", "", true, "availability zone of this instance",
-       ReadName([](Settings& s, std::string v) {
+       NameParser([](Settings& s, std::string v) {
          s.zone = base::ZoneId(std::move(v));
        })},
       {"listen", "", true, "where callers connect",
@@ -114,22 +114,22 @@
       {"seed-peers", "", false,
        "where other instances of the zone listen for peers; tried while the "
        "instance list names none",
-       ReadSeedPeers},
+       ParseSeedPeers},
       {"kv-url", "", true, "the platform's key-value service",
-       ReadUrl(&Settings::kv_url)},
+       UrlParser(&Settings::kv_url)},
       {"instance-list-url", "", true, "the platform's instance list",
-       ReadUrl(&Settings::instance_list_url)},
+       UrlParser(&Settings::instance_list_url)},
       {"weight-store-url", "", true, "the platform's weight store",
-       ReadUrl(&Settings::weight_store_url)},
+       UrlParser(&Settings::weight_store_url)},
       {"bootstrap-operator-key", "", false,
        "operator key accepted while the configuration names no operator",
-       ReadText(&Settings::bootstrap_operator_key)},
+       TextParser(&Settings::bootstrap_operator_key)},
       {"log-level", "info", false, "debug, info, warning or error",
        LogLevelParser(&Settings::log_level)},
       {"routing-policy", "default", false,
        "default; the others (random, round-robin, least-reported, "
        "no-affinity) are for comparison",
-       ReadRoutingPolicy},
+       ParseRoutingPolicy},
       {"max-connections", "1200", false,
        "caller connections served at a time; further ones are refused",
        IntegerParser<std::int64_t>(&Settings::max_connections, 1, 20'000)},
@@ -150,16 +150,16 @@
        IntegerParser<std::chrono::seconds>(&Settings::role_change_time, 1,
                                            600)},
       {"tls-certificate", "", false, "PEM certificate chain; needs --tls-key",
-       ReadText(&Settings::tls_certificate)},
+       TextParser(&Settings::tls_certificate)},
       {"tls-key", "", false, "PEM private key; needs --tls-certificate",
-       ReadText(&Settings::tls_key)},
+       TextParser(&Settings::tls_key)},
       {"peer-ca", "", false,
        "PEM authority that signs peers' certificates; needs --tls-certificate",
-       ReadText(&Settings::peer_ca)},
+       TextParser(&Settings::peer_ca)},
   };
 }
 
-void CheckContradictions(const Settings& settings, SettingsFault& fault) {
+void CheckConsistency(const Settings& settings, SettingsFault& fault) {
   if (settings.tls_certificate.empty() != settings.tls_key.empty()) {
     fault.lines.emplace_back(
         "--tls-certificate and --tls-key must be given together");
@@ -167,7 +167,7 @@
   if (!settings.peer_ca.empty() && settings.tls_certificate.empty()) {
     fault.lines.emplace_back("--peer-ca needs --tls-certificate and --tls-key");
   }
-  if (settings.lease_ttl < settings.engine_idle_timeout + kLeastOrderTime) {
+  if (settings.lease_ttl < settings.engine_idle_timeout + kMinOrderTime) {
     fault.lines.emplace_back(
         "--lease-ttl must exceed --engine-idle-timeout by at least 5 seconds: "
         "no order is given in the part of a lease in which an earlier one may "
@@ -201,7 +201,7 @@
   if (!settings) {
     return std::nullopt;
   }
-  CheckContradictions(*settings, *fault);
+  CheckConsistency(*settings, *fault);
   if (!fault->lines.empty()) {
     return std::nullopt;
   }
