--- a/src/process/option_table.h
+++ b/src/process/option_table.h
@@ -65,8 +65,8 @@
 
 // The flag's text, else the variable's, else the default.
 template <typename S>
-std::string TextOf(const Option<S>& option,
-                   const TCLAP::ValueArg<std::string>& arg) {
+std::string ResolveText(const Option<S>& option,
+                        const TCLAP::ValueArg<std::string>& arg) {
   if (arg.isSet()) {
     return arg.getValue();
   }
@@ -87,9 +87,9 @@
     }
     return;
   }
-  if (const auto allowed = option.parse(settings, text)) {
+  if (const auto expected = option.parse(settings, text)) {
     fault.lines.push_back(name + ": '" + text + "' is not allowed; give " +
-                          *allowed);
+                          *expected);
   }
 }
 
@@ -112,15 +112,16 @@
 // A whole number of `Unit`, into any member that can be made of it.
 template <typename Unit, typename S, typename T>
 OptionParser<S> IntegerParser(T S::* member,
-                              std::int64_t low,
-                              std::int64_t high) {
+                              std::int64_t min_value,
+                              std::int64_t max_value) {
   return
       [=](S& settings, const std::string& text) -> std::optional<std::string> {
-        const auto n = base::ParseWhole(text, low, high);
+        const auto n = base::ParseWhole(text, min_value, max_value);
         if (!n) {
           constexpr bool kSeconds = std::is_same_v<Unit, std::chrono::seconds>;
           return std::string(kSeconds ? "whole seconds" : "a whole number") +
-                 " from " + std::to_string(low) + " to " + std::to_string(high);
+                 " from " + std::to_string(min_value) + " to " +
+                 std::to_string(max_value);
         }
         settings.*member = static_cast<T>(Unit(*n));
         return std::nullopt;
@@ -141,8 +142,8 @@
 // --- Reading a command line --------------------------------------------------
 
 // "--flag=value" as the two words that the library takes.
-inline std::vector<std::string> SplitAtEquals(int argc,
-                                              const char* const* argv) {
+inline std::vector<std::string> SplitAssignments(int argc,
+                                                 const char* const* argv) {
   std::vector<std::string> words;
   for (const std::string_view word :
        std::vector<std::string_view>(argv, argv + argc)) {
@@ -174,7 +175,7 @@
                        command);
   }
   try {
-    std::vector<std::string> words = SplitAtEquals(argc, argv);
+    std::vector<std::string> words = SplitAssignments(argc, argv);
     command.parse(words);
   } catch (const TCLAP::ExitException&) {
     fault->handled = true;
@@ -185,7 +186,7 @@
   }
   S settings;
   for (std::size_t i = 0; i < options.size(); ++i) {
-    ApplyOption(options[i], TextOf(options[i], args[i]), settings, *fault);
+    ApplyOption(options[i], ResolveText(options[i], args[i]), settings, *fault);
   }
   return settings;
 }
