--- a/src/request/relay_delivery.cc
+++ b/src/request/relay_delivery.cc
@@ -13,23 +13,23 @@
       now_(now),
       max_recorded_bytes_(max_recorded_bytes) {}
 
-RelayDelivery::Verdict RelayDelivery::Accept(const TokenChunk& chunk) {
+RelayDelivery::AcceptResult RelayDelivery::Accept(const TokenChunk& chunk) {
   const base::Tokens end = chunk.offset + chunk.count;
   if (chunk.count.value() > 0 && end <= offset_) {
-    return Verdict::kAccepted;
+    return AcceptResult::kAccepted;
   }
   if (chunk.offset != offset_ || chunk.count.value() < 0) {
-    return Verdict::kOutOfSequence;
+    return AcceptResult::kOutOfSequence;
   }
   if (!first_token_ && chunk.count.value() > 0) {
     first_token_ = now_() - request_.arrived;
   }
   AppendText(chunk.text);
   if (!Stream(chunk) && !request_.non_idempotent) {
-    return Verdict::kCallerDisconnected;
+    return AcceptResult::kCallerDisconnected;
   }
   offset_ = end;
-  return Verdict::kAccepted;
+  return AcceptResult::kAccepted;
 }
 
 bool RelayDelivery::Stream(const TokenChunk& chunk) {
--- a/src/request/relay_delivery.h
+++ b/src/request/relay_delivery.h
@@ -21,7 +21,7 @@
 class RelayDelivery {
  public:
   // Result of Accept().
-  enum class Verdict {
+  enum class AcceptResult {
     kAccepted,
     // The chunk leaves a gap or partially overlaps what was delivered.
     kOutOfSequence,
@@ -38,7 +38,7 @@
 
   // Delivers a chunk, or drops it if all of it was delivered before. Returns
   // kCallerDisconnected for idempotent requests only; others run to their end.
-  Verdict Accept(const TokenChunk& chunk);
+  AcceptResult Accept(const TokenChunk& chunk);
 
   // Whether the caller rejected a chunk or its connection closed.
   bool CallerDisconnected() const;
--- a/src/request/relay_run.cc
+++ b/src/request/relay_run.cc
@@ -247,9 +247,9 @@
       return true;
     }
     answer_started_ = true;
-    const RelayDelivery::Verdict verdict = delivery_.Accept(chunk);
-    out_of_sequence_ = verdict == RelayDelivery::Verdict::kOutOfSequence;
-    return verdict == RelayDelivery::Verdict::kAccepted;
+    const RelayDelivery::AcceptResult result = delivery_.Accept(chunk);
+    out_of_sequence_ = result == RelayDelivery::AcceptResult::kOutOfSequence;
+    return result == RelayDelivery::AcceptResult::kAccepted;
   };
   return VerifyReport(spec, hooks_.run(spec, sink));
 }
