--- a/bench/claim_rate.cc
+++ b/bench/claim_rate.cc
@@ -87,13 +87,13 @@
       const base::Time start = base::BootClock::now();
       request.idempotency_key = base::IdempotencyKey(base::RandomHexId(random));
       request.deadline = start + std::chrono::seconds(30);
-      const request::ClaimVerdict verdict = claims_.Begin(request);
-      if (!verdict.claim) {
+      const request::ClaimDecision decision = claims_.Begin(request);
+      if (!decision.claim) {
         ++tally.refused;
         continue;
       }
       tally.wait_ms.push_back(MillisSince(start));
-      claims_.Finish(*verdict.claim, base::Outcome::kRan, nullptr);
+      claims_.Finish(*decision.claim, base::Outcome::kRan, nullptr);
       ++tally.claimed;
     }
     return tally;
--- a/src/process/serving_plane.cc
+++ b/src/process/serving_plane.cc
@@ -252,24 +252,24 @@
   return choice && choice->decode != nullptr;
 }
 
-request::AdmissionVerdict ServingPlane::Admit(
+request::AdmissionDecision ServingPlane::Admit(
     const Request& request,
     const std::function<bool()>& caller_gone) {
   const request::Cost cost = costs_.Estimate(request);
   RecordDemand(request, cost);
-  request::AdmissionVerdict verdict;
+  request::AdmissionDecision decision;
   Refusal refusal;
   auto ticket = admission_.Admit(request, cost, &refusal, caller_gone);
   if (!ticket) {
-    verdict.refusal = refusal;
-    return verdict;
+    decision.refusal = refusal;
+    return decision;
   }
   // std::function requires a copyable callable, and the ticket is move-only.
   auto shared =
       std::make_shared<std::optional<request::Ticket>>(std::move(*ticket));
   const bool is_model_request = !request.model.empty();
-  verdict.release = [this, shared, is_model_request,
-                     &request](const request::Usage& usage) {
+  decision.release = [this, shared, is_model_request,
+                      &request](const request::Usage& usage) {
     const request::Cost actual{usage.prompt, usage.completion};
     if (is_model_request && usage.completion.value() > 0) {
       (*shared)->SetActual(actual);
@@ -277,7 +277,7 @@
     }
     shared->reset();
   };
-  return verdict;
+  return decision;
 }
 
 void ServingPlane::RecordDemand(const Request& request,
@@ -405,10 +405,10 @@
   }
 }
 
-request::RetryVerdict ServingPlane::AllowRetry(
+request::RetryDecision ServingPlane::AllowRetry(
     const request::RetryQuery& query) {
   const base::Time now = clock_();
-  request::RetryVerdict verdict;
+  request::RetryDecision decision;
   request::RetryDenial denial{};
   const auto delay = retry_policy_.NextDelay(query.attempts, now,
                                              query.request->deadline, &denial);
@@ -423,22 +423,22 @@
         .GetCounter("lynxglade_retry_denials_total",
                     {{"reason", std::string(request::ToString(denial))}})
         .Add();
-    verdict.reason = ToRefusalReason(denial);
-    verdict.retry_after =
+    decision.reason = ToRefusalReason(denial);
+    decision.retry_after =
         query.report->retry_after.value_or(kDefaultRetryAfter);
-    return verdict;
+    return decision;
   }
   metrics_
       .GetCounter(
           "lynxglade_retries_total",
           {{"after", std::string(request::ToString(query.report->end))}})
       .Add();
-  verdict.allowed = true;
+  decision.allowed = true;
   // An overloaded target rejects cheaply, so another one is tried at once.
-  verdict.backoff = query.report->refusal == TargetRefusal::kOverloaded
-                        ? base::Duration::zero()
-                        : *delay;
-  return verdict;
+  decision.backoff = query.report->refusal == TargetRefusal::kOverloaded
+                         ? base::Duration::zero()
+                         : *delay;
+  return decision;
 }
 
 // --- Updates ----------------------------------------------------------------
--- a/src/process/serving_plane.h
+++ b/src/process/serving_plane.h
@@ -48,7 +48,7 @@
   base::RandomSource random;
   request::RunAttempt run;
   request::CancelAttempt cancel;
-  std::function<request::ClaimVerdict(const request::Request&)> claim_begin;
+  std::function<request::ClaimDecision(const request::Request&)> claim_begin;
   std::function<
       void(const request::Claim&, base::Outcome, const request::Answer*)>
       claim_finish;
@@ -105,11 +105,11 @@
 
   request::RelayHooks MakeRelayHooks(const ServingHooks& hooks);
   request::PickResult Pick(const request::PickQuery& query);
-  request::AdmissionVerdict Admit(const request::Request& request,
-                                  const std::function<bool()>& caller_gone);
+  request::AdmissionDecision Admit(const request::Request& request,
+                                   const std::function<bool()>& caller_gone);
   std::optional<request::Refusal> CheckQuarantine(
       const request::Request& request);
-  request::RetryVerdict AllowRetry(const request::RetryQuery& query);
+  request::RetryDecision AllowRetry(const request::RetryQuery& query);
   bool WantsSplit(const request::Request& request);
   request::AttemptReport Run(const request::AttemptSpec& spec,
                              const request::TokenSink& sink);
--- a/src/request/claims.cc
+++ b/src/request/claims.cc
@@ -13,16 +13,16 @@
 using base::Outcome;
 using Status = ClaimWriteResult::Status;
 
-ClaimVerdict RefusedVerdict(RefusalReason reason,
-                            Outcome outcome,
-                            std::string message,
-                            std::optional<base::Duration> retry_after) {
-  ClaimVerdict verdict;
-  verdict.refusal = Refusal{.reason = reason,
-                            .outcome = outcome,
-                            .message = std::move(message),
-                            .retry_after = retry_after};
-  return verdict;
+ClaimDecision RefusedDecision(RefusalReason reason,
+                              Outcome outcome,
+                              std::string message,
+                              std::optional<base::Duration> retry_after) {
+  ClaimDecision decision;
+  decision.refusal = Refusal{.reason = reason,
+                             .outcome = outcome,
+                             .message = std::move(message),
+                             .retry_after = retry_after};
+  return decision;
 }
 
 }  // namespace
@@ -44,9 +44,9 @@
               metrics,
               options.writer) {}
 
-ClaimVerdict Claims::Begin(const Request& request) {
+ClaimDecision Claims::Begin(const Request& request) {
   if (request.idempotency_key.empty()) {
-    return RefusedVerdict(
+    return RefusedDecision(
         RefusalReason::kBadHeader, Outcome::kNotRun,
         "a non-idempotent request requires an Idempotency-Key", std::nullopt);
   }
@@ -68,46 +68,47 @@
   if (written.status == Status::kWritten) {
     Count("claimed");
     claim.mod_revision = written.revision.value();
-    ClaimVerdict verdict;
-    verdict.claim = std::move(claim);
-    return verdict;
+    ClaimDecision decision;
+    decision.claim = std::move(claim);
+    return decision;
   }
   if (written.status == Status::kConflict && written.found) {
     Count("repeat");
-    return VerdictFromExisting(request, *written.found);
+    return DecideFromExisting(request, *written.found);
   }
   // The outcome is not-run even if the write takes effect later: the request is
   // not sent under this claim.
   Count("unavailable");
-  return RefusedVerdict(RefusalReason::kClaimUnavailable, Outcome::kNotRun,
-                        "the claim could not be written", options_.retry_after);
+  return RefusedDecision(RefusalReason::kClaimUnavailable, Outcome::kNotRun,
+                         "the claim could not be written",
+                         options_.retry_after);
 }
 
-ClaimVerdict Claims::VerdictFromExisting(
+ClaimDecision Claims::DecideFromExisting(
     const Request& request,
     const connection::KvEntry& entry) const {
   std::optional<ClaimRecord> existing = DecodeClaimRecord(entry.value);
   if (!existing) {
-    return RefusedVerdict(
+    return RefusedDecision(
         RefusalReason::kAlreadyClaimed, Outcome::kUnknown,
         "the key is claimed, but its record cannot be decoded", std::nullopt);
   }
   if (existing->content_hash != request.content_hash) {
-    return RefusedVerdict(
+    return RefusedDecision(
         RefusalReason::kAlreadyClaimed, Outcome::kNotRun,
         "the Idempotency-Key was used for a different request", std::nullopt);
   }
   if (!existing->done) {
-    return RefusedVerdict(RefusalReason::kAlreadyClaimed, Outcome::kUnknown,
-                          "the request is in flight, or its instance failed",
-                          options_.retry_after);
+    return RefusedDecision(RefusalReason::kAlreadyClaimed, Outcome::kUnknown,
+                           "the request is in flight, or its instance failed",
+                           options_.retry_after);
   }
   if (existing->answer) {
-    ClaimVerdict verdict;
-    verdict.recorded = std::move(existing->answer);
-    return verdict;
+    ClaimDecision decision;
+    decision.recorded = std::move(existing->answer);
+    return decision;
   }
-  return RefusedVerdict(
+  return RefusedDecision(
       RefusalReason::kAlreadyClaimed, existing->outcome,
       "the request was already run; its answer was not recorded", std::nullopt);
 }
--- a/src/request/claims.h
+++ b/src/request/claims.h
@@ -49,12 +49,12 @@
   Claims& operator=(const Claims&) = delete;
 
   // RelayHooks::claim_begin.
-  ClaimVerdict Begin(const Request& request);
+  ClaimDecision Begin(const Request& request);
   // RelayHooks::claim_finish.
   void Finish(const Claim& claim, base::Outcome outcome, const Answer* answer);
 
  private:
-  ClaimVerdict VerdictFromExisting(const Request& request,
+  ClaimDecision DecideFromExisting(const Request& request,
                                    const connection::KvEntry& entry) const;
   void Count(const char* result);
 
--- a/src/request/relay.h
+++ b/src/request/relay.h
@@ -43,7 +43,7 @@
 };
 
 // Result of admission.
-struct AdmissionVerdict {
+struct AdmissionDecision {
   // Set if not admitted.
   std::optional<Refusal> refusal;
   // Returns the capacity. Called once, with the actual usage. May be empty.
@@ -61,7 +61,7 @@
   // started.
   base::Time deadline{};
 };
-struct RetryVerdict {
+struct RetryDecision {
   bool allowed = false;
   // Time to wait before the next attempt.
   base::Duration backoff{};
@@ -92,7 +92,7 @@
   std::string record;
 };
 // Whether a non-idempotent request may run. One of the members is set.
-struct ClaimVerdict {
+struct ClaimDecision {
   // Set if it may run here, and nowhere else.
   std::optional<Claim> claim;
   // Set if it must not run. The outcome tells what is known of an earlier run.
@@ -111,15 +111,15 @@
   // Sleeps. Returns early, with false, if `cancelled` returns true.
   std::function<bool(base::Duration, const std::function<bool()>& cancelled)>
       sleep;
-  std::function<RetryVerdict(const RetryQuery&)> allow_retry;
+  std::function<RetryDecision(const RetryQuery&)> allow_retry;
 
   // Optional. Estimates the cost of the request. Without it, the request's
   // prompt_tokens and max_output_tokens are used.
   std::function<Cost(const Request&)> estimate_cost;
   // Optional. Blocks until the request may run or is refused. Refuses it if
   // `caller_gone` returns true.
-  std::function<AdmissionVerdict(const Request&,
-                                 const std::function<bool()>& caller_gone)>
+  std::function<AdmissionDecision(const Request&,
+                                  const std::function<bool()>& caller_gone)>
       admit;
   // Optional. Called before every attempt.
   std::function<std::optional<Refusal>(const Request&)> check_quarantine;
@@ -138,7 +138,7 @@
   std::function<bool(const Request&)> wants_split;
   // Optional, both or neither. Without them non-idempotent requests are
   // refused.
-  std::function<ClaimVerdict(const Request&)> claim_begin;
+  std::function<ClaimDecision(const Request&)> claim_begin;
   // `answer` is null unless the answer is complete and small enough to be
   // recorded.
   std::function<void(const Claim&, base::Outcome, const Answer* answer)>
--- a/src/request/relay_run.cc
+++ b/src/request/relay_run.cc
@@ -119,17 +119,17 @@
     Refuse(RefusalReason::kClaimUnavailable, "no claim store is configured");
     return false;
   }
-  ClaimVerdict verdict = hooks_.claim_begin(request_);
-  if (verdict.claim) {
-    claim_ = std::move(verdict.claim);
+  ClaimDecision decision = hooks_.claim_begin(request_);
+  if (decision.claim) {
+    claim_ = std::move(decision.claim);
     return true;
   }
-  if (verdict.recorded) {
-    result_.answer = std::move(*verdict.recorded);
+  if (decision.recorded) {
+    result_.answer = std::move(*decision.recorded);
     result_.replayed = true;
     return false;
   }
-  result_.refusal = verdict.refusal.value_or(
+  result_.refusal = decision.refusal.value_or(
       Refusal{.reason = RefusalReason::kClaimUnavailable,
               .outcome = Outcome::kUnknown,
               .message = "the claim store returned no verdict",
@@ -354,23 +354,23 @@
   if (TryFreeReroute(report)) {
     return;
   }
-  const RetryVerdict verdict =
+  const RetryDecision decision =
       hooks_.allow_retry(RetryQuery{.request = &request_,
                                     .failed_target = target.id,
                                     .report = &report,
                                     .attempts = result_.attempts,
                                     .deadline = EffectiveDeadline()});
-  if (!verdict.allowed) {
-    Refuse(verdict.reason, DescribeFailure(report), verdict.retry_after);
+  if (!decision.allowed) {
+    Refuse(decision.reason, DescribeFailure(report), decision.retry_after);
     return;
   }
   // Refuse now if the backoff would end after the deadline.
-  if (hooks_.now() + verdict.backoff >= EffectiveDeadline()) {
+  if (hooks_.now() + decision.backoff >= EffectiveDeadline()) {
     Refuse(RefusalReason::kDeadlinePassed, DescribeFailure(report));
     return;
   }
-  if (verdict.backoff > base::Duration::zero()) {
-    hooks_.sleep(verdict.backoff, [this] { return CallerDisconnected(); });
+  if (decision.backoff > base::Duration::zero()) {
+    hooks_.sleep(decision.backoff, [this] { return CallerDisconnected(); });
   }
 }
 
--- a/src/request/relay_run.h
+++ b/src/request/relay_run.h
@@ -83,7 +83,7 @@
   // polls TokenSink::cancelled.
   std::atomic<bool> answer_started_{false};
   bool answer_complete_ = false;
-  AdmissionVerdict admission_;
+  AdmissionDecision admission_;
   std::optional<Claim> claim_;
   base::Outcome outcome_ = base::Outcome::kNotRun;
   AttemptKind kind_ = AttemptKind::kWhole;
--- a/tests/request/claims_test.cc
+++ b/tests/request/claims_test.cc
@@ -76,9 +76,9 @@
     hooks.sleep = [](base::Duration, const auto&) { return true; };
     // Retries are always allowed, so that only the relay prevents a second run.
     hooks.allow_retry = [](const RetryQuery&) {
-      RetryVerdict verdict;
-      verdict.allowed = true;
-      return verdict;
+      RetryDecision decision;
+      decision.allowed = true;
+      return decision;
     };
     hooks.claim_begin = [this](const Request& request) {
       return claims_.Begin(request);
@@ -239,9 +239,9 @@
   other.idempotency_key = base::IdempotencyKey("k");
   other.content_hash = 99;
   other.deadline = base::BootClock::now() + seconds(30);
-  const ClaimVerdict verdict = service.instances[0]->claims().Begin(other);
-  ASSERT_TRUE(verdict.refusal);
-  EXPECT_EQ(verdict.refusal->outcome, Outcome::kNotRun);
+  const ClaimDecision decision = service.instances[0]->claims().Begin(other);
+  ASSERT_TRUE(decision.refusal);
+  EXPECT_EQ(decision.refusal->outcome, Outcome::kNotRun);
 }
 
 // Many concurrent callers, some with the same key, with a low rate limit on the
--- a/tests/request/relay_engines_test.cc
+++ b/tests/request/relay_engines_test.cc
@@ -129,14 +129,14 @@
     hooks.cancel = [this](const AttemptSpec& spec) { client_.Cancel(spec); };
     hooks.sleep = [](base::Duration, const auto&) { return true; };
     hooks.allow_retry = [](const RetryQuery& query) {
-      RetryVerdict verdict;
-      verdict.allowed = query.attempts < kEngines;
-      return verdict;
+      RetryDecision decision;
+      decision.allowed = query.attempts < kEngines;
+      return decision;
     };
     hooks.claim_begin = [](const Request&) {
-      ClaimVerdict verdict;
-      verdict.claim.emplace();
-      return verdict;
+      ClaimDecision decision;
+      decision.claim.emplace();
+      return decision;
     };
     hooks.claim_finish = [](const Claim&, Outcome, const Answer*) {};
     hooks.wants_split = [this](const Request&) { return split_; };
--- a/tests/request/relay_test.cc
+++ b/tests/request/relay_test.cc
@@ -192,10 +192,10 @@
     return true;
   };
   hooks.allow_retry = [](const RetryQuery&) {
-    return RetryVerdict{.allowed = true,
-                        .backoff = milliseconds(5),
-                        .reason = RefusalReason::kRetryBudget,
-                        .retry_after = std::nullopt};
+    return RetryDecision{.allowed = true,
+                         .backoff = milliseconds(5),
+                         .reason = RefusalReason::kRetryBudget,
+                         .retry_after = std::nullopt};
   };
   hooks.cancel = [&fleet](const AttemptSpec&) { fleet.Cancel(); };
   return hooks;
@@ -276,9 +276,9 @@
   std::string recorded;
   RelayHooks hooks = HooksFor(fleet);
   hooks.claim_begin = [](const Request&) {
-    ClaimVerdict verdict;
-    verdict.claim.emplace();
-    return verdict;
+    ClaimDecision decision;
+    decision.claim.emplace();
+    return decision;
   };
   hooks.claim_finish = [&](const Claim&, Outcome, const Answer* answer) {
     recorded = answer ? answer->text : "";
@@ -368,7 +368,7 @@
       {Fault::kDraining, Fault::kDraining, Fault::kDraining, Fault::kDraining});
   FakeCaller caller;
   RelayHooks hooks = HooksFor(fleet);
-  hooks.allow_retry = [](const RetryQuery&) { return RetryVerdict{}; };
+  hooks.allow_retry = [](const RetryQuery&) { return RetryDecision{}; };
   const Relay relay(hooks, RelayLimits{});
 
   const RelayResult result = relay.Serve(MakeRequest(fleet), caller.Sink());
@@ -435,10 +435,10 @@
   FakeCaller caller;
   RelayHooks hooks = HooksFor(fleet);
   hooks.allow_retry = [](const RetryQuery&) {
-    RetryVerdict verdict;
-    verdict.allowed = true;
-    verdict.backoff = seconds(61);
-    return verdict;
+    RetryDecision decision;
+    decision.allowed = true;
+    decision.backoff = seconds(61);
+    return decision;
   };
   const Request request = MakeRequest(fleet);
   const Relay relay(hooks, RelayLimits{});
