--- a/src/request/relay_run.cc
+++ b/src/request/relay_run.cc
@@ -132,7 +132,7 @@
   result_.refusal = decision.refusal.value_or(
       Refusal{.reason = RefusalReason::kClaimUnavailable,
               .outcome = Outcome::kUnknown,
-              .message = "the claim store returned no verdict",
+              .message = "the claim store returned no decision",
               .retry_after = std::nullopt});
   return false;
 }
