--- a/src/request/passthrough/answer_admission.cc
+++ b/src/request/passthrough/answer_admission.cc
@@ -15,8 +15,8 @@
   return std::max(engine.entry.slots, 1);
 }
 
-double LogTokens(const RequestedAnswer& asked) noexcept {
-  return std::log(static_cast<double>(asked.expected_tokens));
+double LogTokens(const RequestedAnswer& answer) noexcept {
+  return std::log(static_cast<double>(answer.expected_tokens));
 }
 
 }  // namespace
@@ -27,14 +27,14 @@
 
 bool AnswerAdmission::Admit(const Engine& engine,
                             const std::string& route,
-                            const RequestedAnswer& asked,
+                            const RequestedAnswer& answer,
                             base::Time now) {
-  if (asked.expected_tokens <= 0 && asked.max_tokens <= 0) {
+  if (answer.expected_tokens <= 0 && answer.max_tokens <= 0) {
     return true;
   }
-  RouteSizes& sizes = RecordRequest(engine.entry.service, route, asked, now);
+  RouteSizes& sizes = RecordRequest(engine.entry.service, route, answer, now);
   const double capacity = CapacityFor(engine, sizes);
-  const bool large = IsLarge(sizes, asked);
+  const bool large = IsLarge(sizes, answer);
   const double limit = MayUseFullCapacity(sizes, large)
                            ? capacity
                            : options_.shared_capacity_fraction * capacity;
@@ -50,7 +50,7 @@
 AnswerAdmission::RouteSizes& AnswerAdmission::RecordRequest(
     const base::ServiceName& service,
     const std::string& route,
-    const RequestedAnswer& asked,
+    const RequestedAnswer& answer,
     base::Time now) {
   auto& routes = routes_[service];
   if (!routes.contains(route)) {
@@ -59,14 +59,14 @@
     });
   }
   RouteSizes& sizes = routes[route];
-  sizes.max_tokens = asked.max_tokens;
-  sizes.timeout = asked.timeout;
+  sizes.max_tokens = answer.max_tokens;
+  sizes.timeout = answer.timeout;
   sizes.last_at = now;
-  if (asked.expected_tokens > 0) {
+  if (answer.expected_tokens > 0) {
     sizes.requests += 1;
     const double step =
         std::max(options_.size_learning_rate, 1 / sizes.requests);
-    const double deviation = LogTokens(asked) - sizes.mean_log;
+    const double deviation = LogTokens(answer) - sizes.mean_log;
     sizes.mean_log += step * deviation;
     sizes.variance_log =
         (1 - step) * (sizes.variance_log + step * deviation * deviation);
@@ -75,10 +75,10 @@
 }
 
 bool AnswerAdmission::IsLarge(const RouteSizes& sizes,
-                              const RequestedAnswer& asked) const noexcept {
-  return asked.expected_tokens > 0 &&
-         LogTokens(asked) > sizes.mean_log + options_.larger_deviations *
-                                                 std::sqrt(sizes.variance_log);
+                              const RequestedAnswer& answer) const noexcept {
+  return answer.expected_tokens > 0 &&
+         LogTokens(answer) > sizes.mean_log + options_.larger_deviations *
+                                                  std::sqrt(sizes.variance_log);
 }
 
 bool AnswerAdmission::MayUseFullCapacity(const RouteSizes& sizes,
@@ -118,19 +118,21 @@
   if (sizes.timeout <= base::Duration::zero()) {
     return Slots(engine);
   }
-  const auto within = std::chrono::duration_cast<base::Duration>(
+  const auto time_limit = std::chrono::duration_cast<base::Duration>(
       options_.timeout_fraction * sizes.timeout);
   const std::int64_t large = LargeTokens(sizes);
-  const auto max_requests = times_.MaxRequests(engine, large, within);
-  return max_requests ? *max_requests : DefaultCapacity(engine, large, within);
+  const auto max_requests = times_.MaxRequests(engine, large, time_limit);
+  return max_requests ? *max_requests
+                      : DefaultCapacity(engine, large, time_limit);
 }
 
-double AnswerAdmission::DefaultCapacity(const Engine& engine,
-                                        std::int64_t tokens,
-                                        base::Duration within) const noexcept {
+double AnswerAdmission::DefaultCapacity(
+    const Engine& engine,
+    std::int64_t tokens,
+    base::Duration time_limit) const noexcept {
   const double answer_ms =
       options_.default_ms_per_token * static_cast<double>(tokens);
-  const bool in_time = answer_ms <= base::ToFineMillis(within);
+  const bool in_time = answer_ms <= base::ToFineMillis(time_limit);
   return (in_time ? 1 : options_.default_capacity_fraction) * Slots(engine);
 }
 
--- a/src/request/passthrough/answer_admission.h
+++ b/src/request/passthrough/answer_admission.h
@@ -74,7 +74,7 @@
   // a request in the route's statistics.
   bool Admit(const Engine& engine,
              const std::string& route,
-             const RequestedAnswer& asked,
+             const RequestedAnswer& answer,
              base::Time now);
 
   // Requests that the engine should have at most, for all recently used routes.
@@ -102,18 +102,18 @@
 
   RouteSizes& RecordRequest(const base::ServiceName& service,
                             const std::string& route,
-                            const RequestedAnswer& asked,
+                            const RequestedAnswer& answer,
                             base::Time now);
   // Whether it is one of the larger answers of its route.
   bool IsLarge(const RouteSizes& sizes,
-               const RequestedAnswer& asked) const noexcept;
+               const RequestedAnswer& answer) const noexcept;
   // Whether the group (larger or smaller answers) may use the whole capacity.
   bool MayUseFullCapacity(const RouteSizes& sizes, bool large) const noexcept;
   std::int64_t LargeTokens(const RouteSizes& sizes) const noexcept;
   double CapacityFor(const Engine& engine, const RouteSizes& sizes) const;
   double DefaultCapacity(const Engine& engine,
                          std::int64_t tokens,
-                         base::Duration within) const noexcept;
+                         base::Duration time_limit) const noexcept;
 
   const GenerationTimes& times_;
   const AnswerAdmissionOptions options_;
--- a/src/request/passthrough/engine_picker.cc
+++ b/src/request/passthrough/engine_picker.cc
@@ -71,9 +71,10 @@
          pick.prefill_tokens > options_.max_decode_prefill_tokens;
 }
 
-EngineHandle EnginePicker::PickDecoder(const std::vector<EngineHandle>& engines,
-                                       const Engine& prefill_engine,
-                                       const EnginePickQuery& query) const {
+EngineHandle EnginePicker::PickDecodeEngine(
+    const std::vector<EngineHandle>& engines,
+    const Engine& prefill_engine,
+    const EnginePickQuery& query) const {
   std::vector<EngineHandle> near;
   std::vector<EngineHandle> all;
   for (const EngineHandle& engine : UsableEngines(engines, query)) {
@@ -100,10 +101,10 @@
                                        const std::vector<EngineHandle>& usable,
                                        const EnginePickQuery& query) const {
   const base::Time now = query.now;
-  std::vector<EngineHandle> decoders;
-  std::ranges::copy_if(usable, std::back_inserter(decoders),
+  std::vector<EngineHandle> decode_engines;
+  std::ranges::copy_if(usable, std::back_inserter(decode_engines),
                        [](const EngineHandle& it) { return !IsPrefill(*it); });
-  const EngineHandle least_loaded = LeastLoaded(decoders, now);
+  const EngineHandle least_loaded = LeastLoaded(decode_engines, now);
   if (!least_loaded) {
     return {};
   }
@@ -112,15 +113,15 @@
   std::vector<EngineHandle> prefill_engines;
   std::ranges::copy_if(usable, std::back_inserter(prefill_engines),
                        [](const EngineHandle& it) { return IsPrefill(*it); });
-  const PrefixPlacement placement =
-      FindPrefixPlacement(prefill_engines.empty() ? decoders : prefill_engines,
-                          engines, query.prompt, options_.settle_time, now);
+  const PrefixPlacement placement = FindPrefixPlacement(
+      prefill_engines.empty() ? decode_engines : prefill_engines, engines,
+      query.prompt, options_.settle_time, now);
   if (!query.allow_separate_prefill) {
     prefill_engines.clear();
   }
   EnginePick best;
   best.expected = base::Duration::max();
-  for (const EngineHandle& engine : decoders) {
+  for (const EngineHandle& engine : decode_engines) {
     EnginePick pick = EstimatePrefill(
         engine, prefill_engines.empty() ? placement : PrefixPlacement(), query);
     pick.expected += TieBreakJitter();
@@ -184,15 +185,16 @@
     }
     const double overdue =
         queue.due.empty() ? 0 : ToFineMillis(now - *queue.due.begin());
-    const double met = ToFineMillis(queue.last_wait) *
-                       std::exp(-ToFineMillis(now - queue.last_wait_at) /
-                                ToFineMillis(options_.observed_wait_decay));
-    longest = std::max({longest, overdue, met});
+    const double decayed_wait =
+        ToFineMillis(queue.last_wait) *
+        std::exp(-ToFineMillis(now - queue.last_wait_at) /
+                 ToFineMillis(options_.observed_wait_decay));
+    longest = std::max({longest, overdue, decayed_wait});
   }
   const double current =
       std::min(static_cast<double>(ahead.less_urgent),
                prefill_times_.MeanRemainingTokens(engine.entry.service));
-  const double tokens = static_cast<double>(ahead.before) + current;
+  const double tokens = static_cast<double>(ahead.as_urgent) + current;
   return std::max(longest, tokens / prefill_times_.TokensPerMs(engine) *
                                StageFactor(engine));
 }
@@ -203,11 +205,11 @@
   PrefillsAhead ahead;
   if (peer_tokens_) {
     constexpr int kAll = std::numeric_limits<int>::max();
-    ahead.before = peer_tokens_(engine, priority, now);
-    ahead.less_urgent = peer_tokens_(engine, kAll, now) - ahead.before;
+    ahead.as_urgent = peer_tokens_(engine, priority, now);
+    ahead.less_urgent = peer_tokens_(engine, kAll, now) - ahead.as_urgent;
   }
   for (const auto& [other, queue] : engine.prefills) {
-    (other > priority ? ahead.less_urgent : ahead.before) +=
+    (other > priority ? ahead.less_urgent : ahead.as_urgent) +=
         queue.prefill_tokens;
   }
   return ahead;
--- a/src/request/passthrough/engine_picker.h
+++ b/src/request/passthrough/engine_picker.h
@@ -135,9 +135,9 @@
 
   // The engine to run a request whose KV cache is held by `prefill_engine`;
   // null if there is none.
-  EngineHandle PickDecoder(const std::vector<EngineHandle>& engines,
-                           const Engine& prefill_engine,
-                           const EnginePickQuery& query) const;
+  EngineHandle PickDecodeEngine(const std::vector<EngineHandle>& engines,
+                                const Engine& prefill_engine,
+                                const EnginePickQuery& query) const;
 
  private:
   EnginePick PickPlain(const std::vector<EngineHandle>& usable,
@@ -159,10 +159,10 @@
   // peers.
   struct PrefillsAhead {
     // At the request's priority or more urgent.
-    std::int64_t before = 0;
+    std::int64_t as_urgent = 0;
     std::int64_t less_urgent = 0;
 
-    std::int64_t total() const noexcept { return before + less_urgent; }
+    std::int64_t total() const noexcept { return as_urgent + less_urgent; }
   };
   PrefillsAhead CountPrefills(const Engine& engine,
                               int priority,
--- a/src/request/passthrough/relay.cc
+++ b/src/request/passthrough/relay.cc
@@ -6,13 +6,13 @@
 
 namespace lynxglade::request::passthrough {
 
-Relay::Relay(RelayDependencies parts, RelayOptions options)
-    : parts_(std::move(parts)), options_(options) {}
+Relay::Relay(RelayDependencies deps, RelayOptions options)
+    : deps_(std::move(deps)), options_(options) {}
 
 connection::event::Awaitable<void> Relay::Serve(
     std::shared_ptr<connection::event::CallerRequest> request,
     connection::event::CallerReply& reply) {
-  RelayRun run(parts_, options_, std::move(request), reply);
+  RelayRun run(deps_, options_, std::move(request), reply);
   co_await run.Run();
 }
 
--- a/src/request/passthrough/relay.h
+++ b/src/request/passthrough/relay.h
@@ -91,7 +91,7 @@
 // Not thread-safe: used on the event loop only.
 class Relay {
  public:
-  explicit Relay(RelayDependencies parts, RelayOptions options = {});
+  explicit Relay(RelayDependencies deps, RelayOptions options = {});
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
@@ -101,7 +101,7 @@
       connection::event::CallerReply& reply);
 
  private:
-  RelayDependencies parts_;
+  RelayDependencies deps_;
   const RelayOptions options_;
 };
 
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -30,7 +30,7 @@
 constexpr unsigned kFirstFailure = 400;
 constexpr unsigned kFirstServerFailure = 500;
 // Limit for answers that are not forwarded.
-constexpr std::size_t kMaxSideAnswerBytes = std::size_t{64} * 1024;
+constexpr std::size_t kMaxInternalAnswerBytes = std::size_t{64} * 1024;
 constexpr base::Duration kReleaseTimeout = std::chrono::milliseconds(500);
 
 AnswerHead HeadForCaller(const ResponseHead& head) {
@@ -58,8 +58,8 @@
   }
   ++failed_prefills_;
   tried_.push_back(source_->engine->entry.id);
-  source_->engine->health.OnFailure(parts_.clock());
-  parts_.metrics.GetCounter("lynxglade_kv_fetches_rejected_total").Add();
+  source_->engine->health.OnFailure(deps_.clock());
+  deps_.metrics.GetCounter("lynxglade_kv_fetches_rejected_total").Add();
   co_await ReleaseKvSource();
 }
 
@@ -73,34 +73,34 @@
   }
   const auto reserved = std::make_shared<std::optional<ReservedArrivals>>();
   const std::function<bool(base::Time)> reserve = [&](base::Time now) {
-    *reserved = parts_.retry_budget.TryReserve(
-        service_, 1, ArrivalPurpose::kFirstPrefill, parts_.instances(), now);
+    *reserved = deps_.retry_budget.TryReserve(
+        service_, 1, ArrivalPurpose::kFirstPrefill, deps_.instances(), now);
     return reserved->has_value();
   };
   const bool paid = co_await WaitForBudget(reserve);
   if (!paid) {
     prefill_denied_ = true;
-    parts_.metrics
+    deps_.metrics
         .GetCounter("lynxglade_retry_denials_total",
                     {{"reason", "first_reading"}})
         .Add();
     co_return false;
   }
-  connection::event::asio::steady_timer timer(parts_.loop,
+  connection::event::asio::steady_timer timer(deps_.loop,
                                               options_.rejection_window);
   timer.async_wait([this, reserved, alive = alive_](const ErrorCode& ec) {
     if (!ec && *alive && *reserved) {
-      parts_.retry_budget.Release(service_, **reserved, parts_.clock());
+      deps_.retry_budget.Release(service_, **reserved, deps_.clock());
       reserved->reset();
     }
   });
   const bool prefilled = co_await SendPrefill(pick, &may_count);
   if (*reserved && may_count) {
-    parts_.retry_budget.Charge(service_, **reserved);
+    deps_.retry_budget.Charge(service_, **reserved);
   } else if (*reserved) {
-    parts_.retry_budget.Release(service_, **reserved, parts_.clock());
+    deps_.retry_budget.Release(service_, **reserved, deps_.clock());
   } else if (may_count) {
-    parts_.retry_budget.ChargeLate(service_, parts_.clock());
+    deps_.retry_budget.ChargeLate(service_, deps_.clock());
   }
   reserved->reset();
   co_return prefilled;
@@ -112,9 +112,9 @@
     ++failed_prefills_;
     co_return false;
   }
-  const base::Time begun = parts_.clock();
-  InFlightRequest use(pick.prefill_engine, Priority(), pick.prefill_tokens,
-                      pick.prefill_time, begun);
+  const base::Time started_at = deps_.clock();
+  InFlightRequest in_flight(pick.prefill_engine, Priority(),
+                            pick.prefill_tokens, pick.prefill_time, started_at);
   SendTerms terms;
   terms.target = pick.prefill_engine;
   terms.time_left = TimeLeft();
@@ -123,23 +123,22 @@
   terms.fetch_from = pick.fetch_from;
   RecordAttempt(*pick.prefill_engine);
   const int entry_changes = pick.prefill_engine->entry_changes;
-  Exchange exchange(parts_.channels);
+  Exchange exchange(deps_.channels);
   current_ = &exchange;
   const ExchangeState state = co_await exchange.Start(
       *endpoint, Message(terms), AnswerFilter(), /*careful=*/false);
   RecordReach(*pick.prefill_engine, exchange);
   bool rejected = false;
   if (state == ExchangeState::kHead || state == ExchangeState::kWhole) {
-    const AnswerInfo facts = parts_.protocol.parse_answer(exchange.head());
-    RecordLoad(*pick.prefill_engine, facts);
-    if (facts.misdirected) {
-      MarkMisdirected(*pick.prefill_engine, entry_changes, parts_.clock());
+    const AnswerInfo info = deps_.protocol.parse_answer(exchange.head());
+    RecordLoad(*pick.prefill_engine, info);
+    if (info.misdirected) {
+      MarkMisdirected(*pick.prefill_engine, entry_changes, deps_.clock());
     }
-    const std::string body = co_await exchange.Rest(kMaxSideAnswerBytes);
+    const std::string body = co_await exchange.Rest(kMaxInternalAnswerBytes);
     const bool good = exchange.state() == ExchangeState::kWhole &&
                       exchange.head().result() == http::status::ok;
-    const auto handle =
-        good ? parts_.protocol.parse_handle(body) : std::nullopt;
+    const auto handle = good ? deps_.protocol.parse_handle(body) : std::nullopt;
     if (handle) {
       source_ = KvSource{pick.prefill_engine, *handle};
     }
@@ -147,8 +146,8 @@
   }
   current_ = nullptr;
   if (source_) {
-    use.OnPrefillDone(parts_.clock());
-    RecordPrefill(pick, parts_.clock() - begun);
+    in_flight.OnPrefillDone(deps_.clock());
+    RecordPrefill(pick, deps_.clock() - started_at);
     pick.prefill_engine->health.OnAccepted();
     ++accepted_prefills_;
     prefilled_at_ = Elapsed();
@@ -157,8 +156,8 @@
   // An unreachable engine did no work and counts in unreachable_ instead.
   failed_prefills_ += state == ExchangeState::kNotSent ? 0 : 1;
   if (!Stopped()) {
-    pick.prefill_engine->health.OnFailure(parts_.clock());
-    parts_.metrics.GetCounter("lynxglade_prompt_reads_failed_total").Add();
+    pick.prefill_engine->health.OnFailure(deps_.clock());
+    deps_.metrics.GetCounter("lynxglade_prompt_reads_failed_total").Add();
   }
   *may_count = rejected || (exchange.sent() && !exchange.unacknowledged());
   base::Log(base::LogLevel::kInfo, "reading_failed",
@@ -170,7 +169,7 @@
                        : std::int64_t{0}},
              {"counts", *may_count},
              {"stopped", Stopped()},
-             {"ms", base::ToMillis(parts_.clock() - begun)}});
+             {"ms", base::ToMillis(deps_.clock() - started_at)}});
   co_return false;
 }
 
@@ -179,11 +178,11 @@
     return;
   }
   if (pick.fetch_from) {
-    parts_.prefill_times.RecordPrefillAfterFetch(*pick.prefill_engine,
-                                                 pick.prefill_tokens, took);
+    deps_.prefill_times.RecordPrefillAfterFetch(*pick.prefill_engine,
+                                                pick.prefill_tokens, took);
   } else {
-    parts_.prefill_times.RecordPrefill(*pick.prefill_engine,
-                                       pick.prefill_tokens, took);
+    deps_.prefill_times.RecordPrefill(*pick.prefill_engine, pick.prefill_tokens,
+                                      took);
   }
 }
 
@@ -198,8 +197,8 @@
     co_return;
   }
   // If this fails, the cache expires at its engine.
-  co_await Call(parts_.loop, parts_.channels, *endpoint,
-                parts_.protocol.free_handle(source),
+  co_await Call(deps_.loop, deps_.channels, *endpoint,
+                deps_.protocol.free_handle(source),
                 {.timeout = kReleaseTimeout}, nullptr);
 }
 
@@ -211,8 +210,9 @@
     co_return AttemptEnd::kNotRun;
   }
   const bool prefills = !source_;
-  InFlightRequest use(target, Priority(), prefills ? pick.prefill_tokens : 0,
-                      pick.prefill_time, parts_.clock());
+  InFlightRequest in_flight(target, Priority(),
+                            prefills ? pick.prefill_tokens : 0,
+                            pick.prefill_time, deps_.clock());
   SendTerms terms;
   terms.target = target;
   terms.time_left = TimeLeft();
@@ -223,12 +223,12 @@
       events_.last_id().empty() ? terms_.last_event_id : events_.last_id();
   RecordAttempt(*target);
   const int entry_changes = target->entry_changes;
-  Exchange exchange(parts_.channels);
+  Exchange exchange(deps_.channels);
   current_ = &exchange;
   const ExchangeState state = co_await exchange.Start(
       *endpoint, Message(terms), AnswerFilter(), !route_->CanRetry());
   RecordReach(*target, exchange);
-  use.OnPrefillDone(parts_.clock());
+  in_flight.OnPrefillDone(deps_.clock());
   AttemptEnd end = AttemptEnd::kNotRun;
   if (state == ExchangeState::kHead || state == ExchangeState::kWhole) {
     end = co_await HandleAnswer(exchange, target, entry_changes);
@@ -243,22 +243,22 @@
 Awaitable<AttemptEnd> RelayRun::HandleAnswer(Exchange& exchange,
                                              const EngineHandle& target,
                                              int entry_changes) {
-  const AnswerInfo facts = parts_.protocol.parse_answer(exchange.head());
-  RecordLoad(*target, facts);
-  if (facts.misdirected) {
-    MarkMisdirected(*target, entry_changes, parts_.clock());
+  const AnswerInfo info = deps_.protocol.parse_answer(exchange.head());
+  RecordLoad(*target, info);
+  if (info.misdirected) {
+    MarkMisdirected(*target, entry_changes, deps_.clock());
   }
   const unsigned status = exchange.head().result_int();
-  if (facts.outcome == base::Outcome::kNotRun) {
-    RecordRejection(*target, facts);
-    co_await exchange.Rest(kMaxSideAnswerBytes);
+  if (info.outcome == base::Outcome::kNotRun) {
+    RecordRejection(*target, info);
+    co_await exchange.Rest(kMaxInternalAnswerBytes);
     co_return Stopped() ? AttemptEnd::kStopped : AttemptEnd::kNotRun;
   }
   ++runs_;
-  if (facts.authenticated) {
+  if (info.authenticated) {
     target->health.OnAccepted();
   }
-  if (status < kFirstFailure && !facts.authenticated) {
+  if (status < kFirstFailure && !info.authenticated) {
     exchange.Cancel();
     co_return EndAfterFailure(exchange, target);
   }
@@ -330,8 +330,8 @@
   }
   status_ = exchange.head().result_int();
   if (runs_ == 1 && terms_.last_event_id.empty()) {
-    parts_.generation_times.RecordAnswerSize(service_, terms_.expected_tokens,
-                                             events_.events());
+    deps_.generation_times.RecordAnswerSize(service_, terms_.expected_tokens,
+                                            events_.events());
   }
   co_await reply_.End();
   co_return AttemptEnd::kFinished;
@@ -345,7 +345,7 @@
   if (!reply_.begun()) {
     first_bytes_at_ = now;
     if (prefilled_at_) {
-      parts_.prefill_times.RecordHandover(service_, now - *prefilled_at_);
+      deps_.prefill_times.RecordHandover(service_, now - *prefilled_at_);
     }
     reply_.Begin(HeadForCaller(exchange.head()));
   } else {
@@ -359,10 +359,10 @@
 // Without a fresh load report the number of requests of other instances is
 // unknown.
 void RelayRun::RecordPace(Engine& target, int events, base::Duration took) {
-  const base::Time now = parts_.clock();
+  const base::Time now = deps_.clock();
   if (events > 0 && HasFreshReport(target, now)) {
-    parts_.generation_times.RecordEvent(target, KnownLoad(target, now),
-                                        took / events);
+    deps_.generation_times.RecordEvent(target, KnownLoad(target, now),
+                                       took / events);
   }
 }
 
@@ -375,7 +375,7 @@
   if (Stopped()) {
     return AttemptEnd::kStopped;
   }
-  target->health.OnFailure(parts_.clock());
+  target->health.OnFailure(deps_.clock());
   if (!sent) {
     return AttemptEnd::kNotRun;
   }
@@ -383,17 +383,17 @@
 }
 
 void RelayRun::RecordAttempt(Engine& engine) {
-  engine.health.OnTry(parts_.clock());
-  parts_.zones.OnTry(engine.entry.zone, parts_.clock());
+  engine.health.OnTry(deps_.clock());
+  deps_.zones.OnTry(engine.entry.zone, deps_.clock());
 }
 
 void RelayRun::RecordReach(const Engine& engine, const Exchange& exchange) {
   const ExchangeState state = exchange.state();
   if (state == ExchangeState::kHead || state == ExchangeState::kWhole) {
-    parts_.zones.OnReached(engine.entry.zone);
+    deps_.zones.OnReached(engine.entry.zone);
   } else if (state == ExchangeState::kNotSent) {
-    parts_.zones.OnUnreachable(engine.entry.zone, engine.entry.id,
-                               parts_.clock());
+    deps_.zones.OnUnreachable(engine.entry.zone, engine.entry.id,
+                              deps_.clock());
     ++unreachable_;
   }
   if (exchange.sent() && !exchange.unacknowledged()) {
@@ -401,26 +401,26 @@
   }
 }
 
-void RelayRun::RecordRejection(Engine& runner, const AnswerInfo& facts) {
+void RelayRun::RecordRejection(Engine& runner, const AnswerInfo& info) {
   ++rejections_;
-  if (facts.misdirected) {
-    runner.health.OnFailure(parts_.clock());
+  if (info.misdirected) {
+    runner.health.OnFailure(deps_.clock());
   } else if (!IsFull(runner)) {
-    runner.health.OnRejection(source_.has_value(), parts_.clock());
+    runner.health.OnRejection(source_.has_value(), deps_.clock());
   }
 }
 
-void RelayRun::RecordLoad(Engine& engine, const AnswerInfo& facts) {
-  if (facts.load) {
-    engine.reported = *facts.load;
-    engine.reported_at = parts_.clock();
+void RelayRun::RecordLoad(Engine& engine, const AnswerInfo& info) {
+  if (info.load) {
+    engine.reported = *info.load;
+    engine.reported_at = deps_.clock();
   }
 }
 
 OutgoingRequest RelayRun::Message(const SendTerms& terms) const {
   connection::event::RequestHead head = request_->head;
   connection::event::EraseHopHeaders(head);
-  parts_.protocol.rewrite_head(head, terms);
+  deps_.protocol.rewrite_head(head, terms);
   OutgoingRequest message(std::move(head), request_->body);
   message.version(kHttp11);
   message.keep_alive(true);
@@ -432,7 +432,7 @@
 
 connection::event::AnswerFilter RelayRun::AnswerFilter() const {
   return [this](const ResponseHead& head, bool fresh) {
-    return parts_.protocol.is_answer_to(head, terms_.request_id, fresh);
+    return deps_.protocol.is_answer_to(head, terms_.request_id, fresh);
   };
 }
 
--- a/src/request/passthrough/relay_report.cc
+++ b/src/request/passthrough/relay_report.cc
@@ -115,7 +115,7 @@
       *std::ranges::find(kRefusals, reason, &Refusal::reason);
   ended_by_ = ToString(reason);
   status_ = refusal.status;
-  parts_.metrics
+  deps_.metrics
       .GetCounter("lynxglade_refusals_total",
                   {{"reason", std::string(ToString(reason))}})
       .Add();
@@ -130,14 +130,14 @@
             .count();
     head.fields.set(
         http::field::retry_after,
-        SecondsText(min_seconds * (1 + base::UniformReal(parts_.random))));
+        SecondsText(min_seconds * (1 + base::UniformReal(deps_.random))));
   }
   co_await reply_.SendWhole(std::move(head), {});
 }
 
 void RelayRun::LogNotAttempted(const EnginePick& pick, EndReason reason) const {
   const Engine& runner = *pick.runner;
-  const base::Time now = parts_.clock();
+  const base::Time now = deps_.clock();
   Log(LogLevel::kInfo, "not_attempted",
       {{"request", terms_.request_id},
        {"reason", ToString(reason)},
@@ -145,8 +145,7 @@
        {"load", KnownLoad(runner, now)},
        {"load_age_ms", base::ToMillis(now - runner.reported_at)},
        {"slots", runner.entry.slots},
-       {"room",
-        static_cast<std::int64_t>(parts_.answers.Capacity(runner, now))},
+       {"room", static_cast<std::int64_t>(deps_.answers.Capacity(runner, now))},
        {"wait_ms", base::ToMillis(pick.wait)},
        {"expected_ms", base::ToMillis(pick.expected)},
        {"expected_tokens", terms_.expected_tokens},
@@ -154,7 +153,7 @@
 }
 
 void RelayRun::LogAttempt(const EnginePick& pick, AttemptEnd end) const {
-  parts_.metrics
+  deps_.metrics
       .GetCounter("lynxglade_attempt_ends_total",
                   {{"end", std::string(ToString(end))}})
       .Add();
@@ -175,7 +174,7 @@
        {"read_ms", base::ToMillis(pick.prefill_time)},
        {"expected_ms", base::ToMillis(pick.expected)},
        {"in_flight", runner.in_flight},
-       {"targets_age_ms", base::ToMillis(parts_.view_age())},
+       {"targets_age_ms", base::ToMillis(deps_.view_age())},
        {"configuration", table_->version()},
        {"end", ToString(end)},
        {"prompt_read_ms", MillisOrNone(prefilled_at_)},
@@ -185,9 +184,9 @@
 }
 
 void RelayRun::LogEnd() const {
-  parts_.metrics.GetLatency("lynxglade_answer_seconds").Record(Elapsed());
+  deps_.metrics.GetLatency("lynxglade_answer_seconds").Record(Elapsed());
   if (first_bytes_at_) {
-    parts_.metrics.GetLatency("lynxglade_first_bytes_seconds")
+    deps_.metrics.GetLatency("lynxglade_first_bytes_seconds")
         .Record(*first_bytes_at_);
   }
   Log(LogLevel::kInfo, "request_end",
--- a/src/request/passthrough/relay_run.cc
+++ b/src/request/passthrough/relay_run.cc
@@ -30,15 +30,15 @@
 
 }  // namespace
 
-RelayRun::RelayRun(RelayDependencies& parts,
+RelayRun::RelayRun(RelayDependencies& deps,
                    const RelayOptions& options,
                    std::shared_ptr<connection::event::CallerRequest> request,
                    connection::event::CallerReply& reply)
-    : parts_(parts),
+    : deps_(deps),
       options_(options),
       request_(std::move(request)),
       reply_(reply),
-      timer_(parts.loop) {}
+      timer_(deps.loop) {}
 
 RelayRun::~RelayRun() {
   *alive_ = false;
@@ -51,7 +51,7 @@
     LogEnd();
     co_return;
   }
-  parts_.retry_budget.OnRequest(service_, parts_.clock());
+  deps_.retry_budget.OnRequest(service_, deps_.clock());
   StartTimer();
   reply_.OnGone([this] {
     if (current_) {
@@ -63,10 +63,10 @@
 }
 
 std::optional<EndReason> RelayRun::Admit() {
-  if (!parts_.accepts()) {
+  if (!deps_.accepts()) {
     return EndReason::kStopping;
   }
-  table_ = parts_.routes();
+  table_ = deps_.routes();
   if (!table_) {
     return EndReason::kNoConfiguration;
   }
@@ -77,7 +77,7 @@
     return EndReason::kNoRoute;
   }
   std::string reason;
-  auto terms = parts_.protocol.parse_terms(head, &reason);
+  auto terms = deps_.protocol.parse_terms(head, &reason);
   if (!terms) {
     Log(LogLevel::kWarning, "request_malformed", {{"reason", reason}});
     return EndReason::kMalformedTerms;
@@ -123,7 +123,7 @@
       break;
     }
     if (prefill_denied_ && runs_ == 0 &&
-        parts_.picker.PrefillStallsDecode(pick)) {
+        deps_.picker.PrefillStallsDecode(pick)) {
       // Prefilled by its runner, the prompt would stall other requests'
       // streams.
       co_await Refuse(EndReason::kRetryBudget);
@@ -141,9 +141,9 @@
     const int arrivals_before = arrivals_;
     end = co_await Attempt(pick);
     if (arrivals_ > arrivals_before) {
-      parts_.retry_budget.Charge(service_, *paid);
+      deps_.retry_budget.Charge(service_, *paid);
     } else {
-      parts_.retry_budget.Release(service_, *paid, parts_.clock());
+      deps_.retry_budget.Release(service_, *paid, deps_.clock());
     }
     LogAttempt(pick, end);
     if (end == AttemptEnd::kFinished || !MayRetry(end)) {
@@ -164,7 +164,7 @@
     return pick;
   }
   late_ = true;
-  parts_.metrics.GetCounter("lynxglade_late_requests_total").Add();
+  deps_.metrics.GetCounter("lynxglade_late_requests_total").Add();
   return Pick();
 }
 
@@ -177,8 +177,7 @@
   const RequestedAnswer answer{.expected_tokens = terms_.expected_tokens,
                                .max_tokens = terms_.max_tokens,
                                .timeout = route_->timeout};
-  if (!parts_.answers.Admit(*pick.runner, route_->name, answer,
-                            parts_.clock())) {
+  if (!deps_.answers.Admit(*pick.runner, route_->name, answer, deps_.clock())) {
     return EndReason::kNoCapacity;
   }
   return std::nullopt;
@@ -197,7 +196,7 @@
 
 // A KV cache that is already held by an engine is kept for the next runner.
 EnginePick RelayRun::Pick() {
-  const auto& engines = parts_.engines.OfService(service_);
+  const auto& engines = deps_.engines.OfService(service_);
   const EnginePickQuery query{
       .prompt = terms_.prompt,
       .priority = Priority(),
@@ -205,25 +204,25 @@
       .max_in_flight = MaxInFlight(),
       .allow_separate_prefill = failed_prefills_ <= kMaxFailedPrefills &&
                                 runs_ == 0 && !prefill_denied_,
-      .now = parts_.clock()};
+      .now = deps_.clock()};
   if (!source_) {
-    return parts_.picker.Pick(engines, query);
+    return deps_.picker.Pick(engines, query);
   }
   EnginePick pick;
-  pick.runner = parts_.picker.PickDecoder(engines, *source_->engine, query);
+  pick.runner = deps_.picker.PickDecodeEngine(engines, *source_->engine, query);
   pick.prefill_engine = source_->engine;
   return pick;
 }
 
 int RelayRun::MaxInFlight() const {
   // Idle connections count at the target too, and instance counts lag behind.
-  constexpr int kMin = 4;
+  constexpr int kMinInFlight = 4;
   const ServiceTerms* service = table_->FindService(service_);
   if (!service || service->max_connections == 0) {
     return std::numeric_limits<int>::max();
   }
-  return std::max(service->max_connections / std::max(parts_.instances(), 1),
-                  kMin);
+  return std::max(service->max_connections / std::max(deps_.instances(), 1),
+                  kMinInFlight);
 }
 
 Awaitable<std::optional<ReservedArrivals>> RelayRun::ReserveRetry(
@@ -233,18 +232,17 @@
   const int arrivals = (runs_ + rejections_ > 0 ? 1 : 0) +
                        (prefills && accepted_prefills_ > 0 ? 1 : 0);
   if (arrivals == 0) {
-    co_return parts_.retry_budget.TryReserve(
-        service_, 0, ArrivalPurpose::kRetry, parts_.instances(),
-        parts_.clock());
+    co_return deps_.retry_budget.TryReserve(service_, 0, ArrivalPurpose::kRetry,
+                                            deps_.instances(), deps_.clock());
   }
   std::optional<ReservedArrivals> reserved;
   const std::function<bool(base::Time)> reserve = [&](base::Time now) {
-    reserved = parts_.retry_budget.TryReserve(
-        service_, arrivals, ArrivalPurpose::kRetry, parts_.instances(), now);
+    reserved = deps_.retry_budget.TryReserve(
+        service_, arrivals, ArrivalPurpose::kRetry, deps_.instances(), now);
     return reserved.has_value();
   };
   const bool paid = co_await WaitForBudget(reserve);
-  parts_.metrics
+  deps_.metrics
       .GetCounter(
           paid ? "lynxglade_retries_total" : "lynxglade_retry_denials_total",
           {{paid ? "after" : "reason",
@@ -255,22 +253,22 @@
        {"service", service_.str()},
        {"after", ToString(after)},
        {"arrivals", arrivals},
-       {"instances", parts_.instances()}});
+       {"instances", deps_.instances()}});
   co_return reserved;
 }
 
 Awaitable<bool> RelayRun::WaitForBudget(
-    const std::function<bool(base::Time now)>& pay) {
-  const base::Time last = parts_.clock() + options_.budget_timeout;
+    const std::function<bool(base::Time now)>& reserve) {
+  const base::Time wait_until = deps_.clock() + options_.budget_timeout;
   while (!Stopped()) {
-    const base::Time now = parts_.clock();
-    if (pay(now)) {
+    const base::Time now = deps_.clock();
+    if (reserve(now)) {
       co_return true;
     }
-    if (now >= last) {
+    if (now >= wait_until) {
       break;
     }
-    co_await SleepFor(parts_.loop, options_.budget_poll_interval);
+    co_await SleepFor(deps_.loop, options_.budget_poll_interval);
   }
   co_return false;
 }
@@ -341,11 +339,11 @@
 }
 
 base::Duration RelayRun::Elapsed() const {
-  return parts_.clock() - request_->arrived;
+  return deps_.clock() - request_->arrived;
 }
 
 base::Duration RelayRun::TimeLeft() const {
-  return deadline_ - parts_.clock();
+  return deadline_ - deps_.clock();
 }
 
 bool RelayRun::Stopped() const noexcept {
--- a/src/request/passthrough/relay_run.h
+++ b/src/request/passthrough/relay_run.h
@@ -54,7 +54,7 @@
 
 class RelayRun {
  public:
-  RelayRun(RelayDependencies& parts,
+  RelayRun(RelayDependencies& deps,
            const RelayOptions& options,
            std::shared_ptr<connection::event::CallerRequest> request,
            connection::event::CallerReply& reply);
@@ -97,9 +97,10 @@
   // Sends the prompt to its prefill engine and sets source_; false on failure.
   // Charges the shared retry budget if the arrival counts.
   Awaitable<bool> PrefillPrompt(const EnginePick& pick);
-  // Calls `pay` until it succeeds; false after RelayOptions::budget_timeout or
-  // once the request is stopped.
-  Awaitable<bool> WaitForBudget(const std::function<bool(base::Time now)>& pay);
+  // Calls `reserve` until it succeeds; false after RelayOptions::budget_timeout
+  // or once the request is stopped.
+  Awaitable<bool> WaitForBudget(
+      const std::function<bool(base::Time now)>& reserve);
   // Sends the prefill for PrefillPrompt(); sets `may_count` if it reached its
   // engine and was not accepted.
   Awaitable<bool> SendPrefill(const EnginePick& pick, bool* may_count);
@@ -137,8 +138,8 @@
   // How far the request got at the engine.
   void RecordReach(const Engine& engine, const Exchange& exchange);
   // `runner` did not run the request.
-  void RecordRejection(Engine& runner, const AnswerInfo& facts);
-  void RecordLoad(Engine& engine, const AnswerInfo& facts);
+  void RecordRejection(Engine& runner, const AnswerInfo& info);
+  void RecordLoad(Engine& engine, const AnswerInfo& info);
   connection::event::OutgoingRequest Message(const SendTerms& terms) const;
   connection::event::AnswerFilter AnswerFilter() const;
   base::Duration Elapsed() const;
@@ -149,7 +150,7 @@
   void LogAttempt(const EnginePick& pick, AttemptEnd end) const;
   void LogEnd() const;
 
-  RelayDependencies& parts_;
+  RelayDependencies& deps_;
   const RelayOptions& options_;
   std::shared_ptr<connection::event::CallerRequest> request_;
   connection::event::CallerReply& reply_;
--- a/tests/request/passthrough/engine_picker_test.cc
+++ b/tests/request/passthrough/engine_picker_test.cc
@@ -365,8 +365,8 @@
                               const std::vector<EngineHandle>& fleet,
                               const std::vector<base::TargetId>& tried) {
   const Prompt prompt = Album("x");
-  return picker.PickDecoder(fleet, *fleet[0],
-                            {.prompt = prompt, .tried = tried, .now = kNow});
+  return picker.PickDecodeEngine(
+      fleet, *fleet[0], {.prompt = prompt, .tried = tried, .now = kNow});
 }
 
 // A target accepts a limited number of connections from all instances and
