--- a/src/version/config_delta.cc
+++ b/src/version/config_delta.cc
@@ -73,7 +73,7 @@
   return object;
 }
 
-// Reads one side of an edit, when it is there.
+// Decodes one side of an edit, if present.
 template <typename Part>
 bool ReadSide(const json* value,
               const std::string& where,
--- a/src/version/config_delta.h
+++ b/src/version/config_delta.h
@@ -1,8 +1,7 @@
-// The difference between two configurations that follow one another.
+// The difference between two consecutive configurations.
 //
-// A delta names each part that differs with its value before and after, so it
-// applies only to exactly the state it was made on, can be undone, and is a
-// few kilobytes where the whole configuration is megabytes.
+// A delta holds each changed part with its value before and after. It therefore
+// applies only to the exact state it was made from, and it can be undone.
 #ifndef LYNXGLADE_VERSION_CONFIG_DELTA_H_
 #define LYNXGLADE_VERSION_CONFIG_DELTA_H_
 
@@ -18,11 +17,11 @@
 
 namespace lynxglade::version {
 
-// Largest delta as text; it has to fit one value of the key-value service
-// beside the head and the audit record of the same transaction.
+// Size limit of an encoded delta. The delta must fit into one transaction of
+// the key-value service together with the head and the audit record.
 inline constexpr std::size_t kMaxDeltaBytes = 700u << 10;
 
-// A part before and after; nothing where it does not exist.
+// A part before and after a change; nullopt where it does not exist.
 template <typename Part>
 struct Edit {
   std::optional<Part> before;
@@ -32,7 +31,7 @@
 };
 
 struct ConfigDelta {
-  // The revision this leads to; it applies to the one before.
+  // Revision after the delta; it applies to the preceding revision.
   base::Revision revision{0};
   std::map<base::ServiceName, Edit<ServiceSpec>> services;
   std::map<base::ContractId, Edit<Contract>> contracts;
@@ -44,14 +43,15 @@
   bool operator==(const ConfigDelta&) const = default;
 };
 
-// What leads from `from` to `to`, as the revision after `from`.
+// Computes the delta from `from` to `to`, with the revision after `from`.
 ConfigDelta MakeDelta(const Configuration& from, const Configuration& to);
 
-// Applies a delta in place. Returns false, leaving the configuration as it
-// was, when revision or parts are not those that the delta was made on.
+// Applies a delta in place. Returns false and leaves the configuration
+// unchanged when its revision or parts differ from those the delta was made
+// from.
 bool ApplyDelta(const ConfigDelta& delta, Configuration* configuration);
 
-// Takes a delta back in place: the reverse of ApplyDelta().
+// Reverts a delta in place; the inverse of ApplyDelta().
 bool UndoDelta(const ConfigDelta& delta, Configuration* configuration);
 
 // Canonical JSON text.
@@ -59,9 +59,9 @@
 std::optional<ConfigDelta> DecodeDelta(std::string_view text,
                                        CodecFault* fault);
 
-// Digest of the history up to and with a delta: SHA-256 over the digest before
-// and the delta's text. Equal digests mean equal histories. The digest of the
-// empty configuration at revision 0 is the empty string.
+// Digest of the history up to and including a delta: SHA-256 of the previous
+// digest and the delta's text. Equal digests mean equal histories. The digest
+// at revision 0 is the empty string.
 std::string ChainDigest(std::string_view previous, std::string_view delta_text);
 
 }  // namespace lynxglade::version
--- a/src/version/config_gossip.cc
+++ b/src/version/config_gossip.cc
@@ -15,13 +15,13 @@
 
 constexpr std::string_view kHeadKey = "head";
 constexpr std::string_view kWholePrefix = "whole/";
-// Bounds what a peer can make this instance hold.
+// Bounds the memory that a peer can make this instance use.
 constexpr std::size_t kMaxParts = kMaxConfigurationBytes / kPublishedPartBytes;
 constexpr std::size_t kMaxBodyBytes = 4 * kPublishedPartBytes;
-// Facts of what an instance holds expire; said again in time.
+// Refreshes this instance's revision fact before it expires.
 constexpr base::Duration kTellAgain = std::chrono::minutes(5);
-// Each member tells of itself at most this often, times the members there
-// are: at 340 members once in 68 s, five such facts a second for all.
+// Minimum interval between revision facts of an instance, per known member; it
+// limits all instances together to five facts per second.
 constexpr base::Duration kTellPeriodPerMember = std::chrono::milliseconds(200);
 
 std::string HeadBody(base::Revision revision, const std::string& digest) {
@@ -85,7 +85,7 @@
             HeadBody(revision, delta.digest));
     return;
   }
-  // Too large for one fact: peers take the whole instead.
+  // Too large for one fact: publish a snapshot instead.
   metrics_.GetCounter("lynxglade_config_large_deltas_total").Add();
   TellWhole(tracker_.Held());
 }
--- a/src/version/config_gossip.h
+++ b/src/version/config_gossip.h
@@ -1,8 +1,9 @@
-// The configuration as facts that instances tell each other.
+// Distributes the configuration between instances by gossip.
 //
-// Whoever takes a delta passes it on, so one watcher a zone is enough. The
-// last kPublishedDeltas and the newest snapshot stay in the views: a fresh
-// instance takes them from any peer while the key-value service is down.
+// Each instance publishes the deltas that it applies, so one watcher per zone
+// is enough. The last kPublishedDeltas deltas and the newest snapshot stay in
+// the views, so that a new instance can load them from any peer while the
+// key-value service is unavailable.
 #ifndef LYNXGLADE_VERSION_CONFIG_GOSSIP_H_
 #define LYNXGLADE_VERSION_CONFIG_GOSSIP_H_
 
@@ -24,13 +25,13 @@
 
 namespace lynxglade::version {
 
-// Bytes of a whole in one fact, and of the largest delta that is passed on as
-// such; both fit one fact of a peer message, also when half of a part has to
-// be escaped. After a greater delta the whole goes out.
+// Size of a snapshot part and size limit of a published delta. Both fit into
+// one fact of a peer message even if half of a part has to be escaped. For a
+// larger delta a snapshot is published instead.
 inline constexpr std::size_t kPublishedPartBytes = 24u << 10;
 inline constexpr std::size_t kPublishedDeltaBytes = 60u << 10;
 
-// What an instance says it holds.
+// Configuration revision published by an instance.
 struct InstanceRevision {
   base::InstanceId instance;
   base::Revision revision{0};
@@ -42,11 +43,11 @@
   base::Clock clock;
   // ViewService::Publish.
   std::function<void(process::ViewItem)> publish;
-  // Members known, this one included; spaces out what each says of itself.
+  // Number of known members including this one; scales the publish interval.
   std::function<std::size_t()> member_count;
 };
 
-// Thread-safe. Nothing here blocks.
+// Thread-safe; does not block.
 class ConfigGossip {
  public:
   // `tracker` and `metrics` must outlive this object.
@@ -57,24 +58,24 @@
   ConfigGossip(const ConfigGossip&) = delete;
   ConfigGossip& operator=(const ConfigGossip&) = delete;
 
-  // Outwards: hooks of the tracker and of the plan service.
+  // Publish to peers; called from hooks of the tracker and the plan service.
   void TellDelta(base::Revision revision, const ChainedDelta& delta);
   void TellWhole(const HeldConfiguration& whole);
 
-  // Inwards: facts of the kinds kConfigHead and kConfigDelta.
+  // Handles facts of the kinds kConfigHead and kConfigDelta from peers.
   void Hear(const process::ViewItem& item);
 
-  // Call about once a second: says what this instance holds, when that changed
-  // or was last said long ago, and not more often than the number of members
-  // allows.
+  // Call about once a second. Publishes this instance's revision when it
+  // changed or before the last published fact expires, at a rate limited by the
+  // number of members.
   void Tick();
 
-  // Reads facts of the kind kConfigInForce.
+  // Decodes a fact of the kind kConfigInForce; nullopt when malformed.
   static std::optional<InstanceRevision> ReadInForce(
       const process::ViewItem& item);
 
  private:
-  // Parts of a whole that are not all there yet.
+  // Received parts of an incomplete snapshot.
   struct Assembly {
     base::Revision revision{0};
     std::size_t count = 0;
@@ -82,7 +83,7 @@
   };
 
   void HearPart(const process::ViewItem& item);
-  // All parts in order, once they are there.
+  // Adds a part; returns the snapshot bytes once all parts were received.
   std::optional<std::string> Add(base::Revision revision,
                                  std::size_t index,
                                  std::size_t count,
--- a/src/version/config_head.cc
+++ b/src/version/config_head.cc
@@ -15,7 +15,7 @@
 constexpr std::size_t kMaxDigestBytes = 64;
 constexpr std::int64_t kMaxSnapshotParts = 1000;
 
-// A delta inside its chained form is escaped text, at most twice as long.
+// The delta is embedded as escaped text, at most twice as long.
 constexpr std::size_t kMaxChainedBytes = 2 * kMaxDeltaBytes + kMaxHeadBytes;
 
 }  // namespace
--- a/src/version/config_head.h
+++ b/src/version/config_head.h
@@ -1,5 +1,5 @@
-// Names of an accepted configuration: its head, its delta as stored and as
-// passed on between instances, and the whole as held.
+// Head, deltas and snapshots of the accepted configuration, as stored in the
+// key-value service and exchanged between instances.
 #ifndef LYNXGLADE_VERSION_CONFIG_HEAD_H_
 #define LYNXGLADE_VERSION_CONFIG_HEAD_H_
 
@@ -14,35 +14,36 @@
 
 namespace lynxglade::version {
 
-// How many of the last deltas instances keep to pass on to peers: as many as
-// may lie between the newest snapshot and the head.
+// Number of recent deltas that instances keep available to peers; covers the
+// longest distance between the newest snapshot and the head.
 inline constexpr std::int64_t kPublishedDeltas = 1024;
 
-// The newest accepted configuration. The revision is a counter of ours inside
-// the value: a service restored from an old copy cannot make it look new.
+// Refers to the newest accepted configuration. The revision is a counter inside
+// the value rather than the key-value service's own, so that a service restored
+// from an old backup is recognised as older.
 struct ConfigHead {
   base::Revision revision{0};
   // Digest of the history up to the revision; see ChainDigest().
   std::string digest;
-  // Revision of the newest snapshot; 0: the empty configuration.
+  // Revision of the newest snapshot; 0 for the empty configuration.
   base::Revision snapshot{0};
-  // Values that the snapshot is cut into.
+  // Number of values that the snapshot is split into.
   int snapshot_parts = 0;
-  // Unique to the write that put this value.
+  // Random id of the write that stored this head.
   std::string mark;
 
   bool operator==(const ConfigHead&) const = default;
 };
 
-// A delta with the digests that tie it to its history.
+// A delta with the digests that link it to its history.
 struct ChainedDelta {
-  // As EncodeDelta() wrote it; the digests are over these bytes.
+  // EncodeDelta() text; the digests are computed over these bytes.
   std::string text;
   std::string previous_digest;
   std::string digest;
 };
 
-// A configuration with the digest of its history. The digest is empty only
+// A full configuration with the digest of its history. The digest is empty only
 // at revision 0.
 struct HeldConfiguration {
   std::shared_ptr<const Configuration> configuration =
@@ -55,14 +56,14 @@
 std::string EncodeHead(const ConfigHead& head);
 std::optional<ConfigHead> DecodeHead(std::string_view text);
 
-// Makes the chained form of a delta that follows `previous_digest`.
+// Links a delta to the history that ends with `previous_digest`.
 ChainedDelta Chain(const ConfigDelta& delta,
                    const std::string& previous_digest);
 std::string EncodeChained(const ChainedDelta& delta);
-// Nothing when the digest does not match the text.
+// Returns nullopt for malformed text or when the digest does not match.
 std::optional<ChainedDelta> DecodeChained(std::string_view text);
 
-// The whole, as bytes for snapshots and for peers.
+// Encodes a full configuration for storage and for peers.
 std::string EncodeHeld(const HeldConfiguration& held);
 std::optional<HeldConfiguration> DecodeHeld(std::string_view bytes,
                                             CodecFault* fault);
--- a/src/version/config_store.cc
+++ b/src/version/config_store.cc
@@ -24,7 +24,7 @@
 constexpr std::string_view kAuditPrefix = "/lynxglade/audit/";
 constexpr int kPointAttempts = 4;
 
-// Zero-padded, so that keys sort by number.
+// Zero-padded, so that keys sort numerically.
 std::string Padded(std::int64_t n) {
   std::array<char, 16> buf{};
   std::snprintf(buf.data(), buf.size(), "%012lld", static_cast<long long>(n));
@@ -55,7 +55,6 @@
   }
 }
 
-// A reader's error is never ambiguous.
 template <typename T>
 std::optional<T> Corrupt(StoreError* last_error) {
   *last_error = StoreError::kCorrupt;
@@ -150,7 +149,7 @@
       return std::nullopt;
     }
     if (range->entries.empty()) {
-      // Deleted since the head was read: there is a newer one.
+      // Deleted since the head was read; a newer snapshot exists.
       return Corrupt<HeldConfiguration>(last_error);
     }
     bytes += range->entries.front().value;
@@ -175,8 +174,9 @@
     const std::int64_t bucket = next / limits_.snapshot_every;
     const std::int64_t last =
         std::min(to.value(), (bucket + 1) * limits_.snapshot_every - 1);
-    // A listing brings the whole bucket; a few values are read one by one, and
-    // so is a bucket that is too large for one answer.
+    // Listing returns the whole bucket. Read individually when only a few
+    // values are needed, or when the listing fails because the bucket is too
+    // large.
     const bool few = last - next < limits_.few_values;
     const bool read =
         (!few && ReadBucket(prefix, next, last, &values, last_error)) ||
@@ -306,7 +306,7 @@
   std::vector<KvWrite> writes = {{std::string(kHeadKey), EncodeHead(head), {}},
                                  {DeltaKey(revision), stored, {}},
                                  {AuditKey(revision), audit, {}}};
-  // What falls out of the kept history goes in the same call.
+  // Deletes the delta and audit record that leave the retained history.
   const auto expired = [&](std::int64_t kept) {
     return base::Revision(revision.value() - kept);
   };
@@ -335,8 +335,8 @@
 }
 
 bool ConfigStore::NeedsSnapshot(const ConfigHead& head) const noexcept {
-  // Deltas must not be deleted before a snapshot covers them, nor leave the
-  // views of peers.
+  // Deltas must not expire, here or in the peers' views, before a snapshot
+  // covers them.
   return (head.revision - head.snapshot).value() >=
          std::min(2 * limits_.snapshot_every, limits_.deltas_kept);
 }
@@ -348,8 +348,8 @@
   const std::size_t n =
       (bytes.size() + limits_.part_bytes - 1) / limits_.part_bytes;
   *parts = static_cast<int>(n);
-  // Known before the parts are, so that parts of a writer that died can be
-  // found and deleted. Two writers of one revision write the same bytes.
+  // Recorded before the parts, so that the parts of a crashed writer can be
+  // found and deleted. Concurrent writers of a revision write equal bytes.
   KvError ec = KvError::kNone;
   if (!service_.Commit(
           {}, {{CompactionKey(held.revision()), std::to_string(n), {}}}, &ec)) {
@@ -423,7 +423,7 @@
     if (result && result->committed) {
       return true;
     }
-    // Lost to another change, or its answer was lost: the head tells.
+    // Conflict or lost response: read the head again to find out.
     *last_error = result ? StoreError::kConflict : StoreErrorOf(ec);
   }
   return false;
--- a/src/version/config_store.h
+++ b/src/version/config_store.h
@@ -1,15 +1,15 @@
-// The accepted configuration in the key-value service.
+// Stores the accepted configuration in the key-value service.
 //
-//   /lynxglade/config/head                        the newest revision
-//   /lynxglade/config/delta/<bucket>/<revision>   one change each
-//   /lynxglade/config_snapshot/<revision>/<part>  the whole, in parts
-//   /lynxglade/config_compaction/<revision>       a snapshot being written
-//   /lynxglade/audit/<bucket>/<revision>          who confirmed what
+//   /lynxglade/config/head                        newest revision
+//   /lynxglade/config/delta/<bucket>/<revision>   one change
+//   /lynxglade/config_snapshot/<revision>/<part>  part of a full snapshot
+//   /lynxglade/config_compaction/<revision>       snapshot in progress
+//   /lynxglade/audit/<bucket>/<revision>          audit record of a change
 //
-// Snapshots lie outside the prefix that instances watch, so that writing one
-// does not send megabytes to every watcher. A change is accepted by one
-// transaction that compares and swaps the head and creates its delta and its
-// audit record. All methods block.
+// Snapshots are outside the watched prefix, so that writing one does not send
+// it to every watcher. A change is accepted by a single transaction that
+// compares and swaps the head and creates the delta and the audit record. All
+// methods block.
 #ifndef LYNXGLADE_VERSION_CONFIG_STORE_H_
 #define LYNXGLADE_VERSION_CONFIG_STORE_H_
 
@@ -27,46 +27,47 @@
 
 namespace lynxglade::version {
 
-// Everything that a watch on the configuration has to see.
+// Prefix to watch for configuration changes.
 inline constexpr std::string_view kConfigPrefix = "/lynxglade/config/";
 
 enum class StoreError {
   kNone,
-  // Nothing was changed.
+  // Nothing was written.
   kUnavailable,
   kRateLimited,
-  // A write may have taken effect; read the head to find out.
+  // The write may have taken effect; read the head to find out.
   kAmbiguous,
-  // A value in the service does not read as it should, or is missing.
+  // A stored value is malformed or missing.
   kCorrupt,
-  // Somebody else's change came first; nothing was changed.
+  // Another change was committed first; nothing was written.
   kConflict,
-  // The change does not fit one value.
+  // The delta exceeds kMaxDeltaBytes.
   kTooLarge,
 };
 std::string_view ToString(StoreError error) noexcept;
 
-// A head as stored, and the revision of the service to compare against; a
-// head that does not exist has revision 0 in both.
+// A head and the key-value service's revision of it, for compare-and-swap. Both
+// revisions are 0 when no head exists.
 struct StoredHead {
   ConfigHead head;
   base::Revision mod_revision{0};
 };
 
 struct StoreLimits {
-  // Deltas between two snapshots; half of kPublishedDeltas, so that peers hold
-  // all deltas since the newest one.
+  // Deltas between two snapshots. Half of kPublishedDeltas, so that peers
+  // retain all deltas since the newest snapshot.
   std::int64_t snapshot_every = 512;
-  // Deltas kept for rollbacks: about a day of the largest fleet.
+  // Deltas retained for rollbacks.
   std::int64_t deltas_kept = 8'192;
   std::int64_t audits_kept = 50'000;
-  // Bytes of a snapshot part; a value may have a megabyte.
+  // Bytes per snapshot part; the key-value service limits the size of a value.
   std::size_t part_bytes = 700u << 10;
-  // Up to as many deltas or audit records are read one by one.
+  // Up to this many deltas or audit records are read with one call each rather
+  // than by listing their bucket.
   std::int64_t few_values = 8;
 };
 
-// What a watch event or a listing showed.
+// Decoded content of a watch event; at most one member is set.
 struct ConfigEvent {
   std::optional<ConfigHead> head;
   std::optional<ChainedDelta> delta;
@@ -82,46 +83,45 @@
   ConfigStore(const ConfigStore&) = delete;
   ConfigStore& operator=(const ConfigStore&) = delete;
 
-  // One call.
   std::optional<StoredHead> ReadHead(StoreError* last_error) const;
-  // The snapshot of the head: one call a part.
+  // Reads the snapshot that the head refers to, one call per part.
   std::optional<HeldConfiguration> ReadSnapshot(const ConfigHead& head,
                                                 StoreError* last_error) const;
-  // The deltas after `from` up to `to`, in order: one call each for a few, one
-  // call a bucket of `snapshot_every` for more.
+  // Reads the deltas in (from, to], in order. Short ranges take one call per
+  // delta, longer ones one call per bucket of `snapshot_every` deltas.
   std::optional<std::vector<ChainedDelta>> ReadDeltas(
       base::Revision from,
       base::Revision to,
       StoreError* last_error) const;
-  // Audit records after `from` up to `to`, as stored.
+  // Reads the audit records in (from, to], as stored.
   std::optional<std::vector<std::string>> ReadAudits(
       base::Revision from,
       base::Revision to,
       StoreError* last_error) const;
-  // One audit record; an empty string when there is none.
+  // Reads one audit record; an empty string when there is none.
   std::optional<std::string> ReadAudit(base::Revision revision,
                                        StoreError* last_error) const;
 
-  // Accepts a delta on top of `base`: one call. After kAmbiguous, read the
-  // head and the audit record of the delta's revision.
+  // Commits a delta on top of `base` with one call. After kAmbiguous, read the
+  // head and the audit record of `revision` to find out whether it took effect.
   bool Accept(const StoredHead& base,
               base::Revision revision,
               const ChainedDelta& delta,
               const std::string& audit,
               StoreError* last_error) const;
 
-  // Whether the head has gone so far beyond its snapshot that a new one is
-  // due; and so far that no change may be accepted before it is written.
+  // Whether a new snapshot is due, and whether it must be written before
+  // further changes are accepted.
   bool WantsSnapshot(const ConfigHead& head) const noexcept;
   bool NeedsSnapshot(const ConfigHead& head) const noexcept;
-  // Writes a snapshot of `held`, points the head at it and deletes the one
-  // before. Safe to repeat, and to race.
+  // Writes a snapshot of `held`, points the head at it and deletes the previous
+  // snapshot. Idempotent and safe to run concurrently.
   bool WriteSnapshot(const HeldConfiguration& held,
                      StoreError* last_error) const;
 
-  // Puts a configuration that this instance holds back into a service that
-  // lost it: the head becomes `held` with a fresh snapshot. Refused with
-  // kConflict when the stored head is not older.
+  // Writes `held` back to a key-value service that lost it, as the new head
+  // with its own snapshot. Fails with kConflict unless the stored head is
+  // older.
   bool Restore(const HeldConfiguration& held,
                const std::string& audit,
                StoreError* last_error) const;
@@ -133,7 +133,7 @@
   bool PointHeadAt(const HeldConfiguration& held,
                    int parts,
                    StoreError* last_error) const;
-  // Deletes parts that nobody will point at; failure leaves them behind.
+  // Deletes unreferenced snapshot parts; best effort.
   void DropParts(base::Revision snapshot, int parts) const;
   std::string DeltaKey(base::Revision revision) const;
   std::string AuditKey(base::Revision revision) const;
@@ -142,7 +142,7 @@
       base::Revision from,
       base::Revision to,
       StoreError* last_error) const;
-  // Both append the values from `first` to `last`, which lie in one bucket.
+  // Both append the values in [first, last], which must be in one bucket.
   bool ReadBucket(std::string_view prefix,
                   std::int64_t first,
                   std::int64_t last,
@@ -159,11 +159,9 @@
   const StoreLimits limits_;
 };
 
-// Reads what an event of a watch on kConfigPrefix tells; empty for keys that
-// do not matter to a reader.
+// Decodes a watch event on kConfigPrefix; empty for deletions and other keys.
 ConfigEvent ReadConfigEvent(const connection::KvEvent& event);
 
-// Turns an error of the client into one of this layer.
 StoreError StoreErrorOf(connection::KvError error) noexcept;
 
 }  // namespace lynxglade::version
--- a/src/version/config_tracker.cc
+++ b/src/version/config_tracker.cc
@@ -64,7 +64,7 @@
     } else if (held_when_asked && head.revision < *held_when_asked) {
       result = OfferResult::kOlder;
     }
-    // A peer that has not caught up is no fault of the service.
+    // A head from a peer says nothing about the state of the service.
     if (source == ConfigSource::kService && held_when_asked) {
       state_.service_is_behind = result == OfferResult::kOlder;
       state_.forked = result == OfferResult::kForked;
@@ -104,7 +104,7 @@
   Hear(parsed.revision);
   if (parsed.revision > held + kOne) {
     state_.early.insert_or_assign(parsed.revision, delta);
-    // The nearest ones are of use first; a reload covers the rest.
+    // Keep the oldest, which apply first; a reload covers the rest.
     if (state_.early.size() > kPublishedDeltas) {
       state_.early.erase(std::prev(state_.early.end()));
     }
@@ -143,7 +143,7 @@
     const bool applied =
         parsed && ApplyNext(it->second, *parsed) == OfferResult::kTaken;
     if (!applied) {
-      // Of another history; the true one may still come.
+      // Belongs to a different history; the correct delta may still arrive.
       state_.early.erase(it);
       return;
     }
@@ -212,7 +212,7 @@
 
 void ConfigTracker::MarkEmpty() {
   const std::scoped_lock lock(mutex_);
-  // A service that lost its head says the same; what was heard counts more.
+  // A service that lost its data also has no head.
   if (state_.newest_heard.value() == 0) {
     state_.ready = true;
   } else {
@@ -290,7 +290,7 @@
                           {{"what", std::string(what)},
                            {"source", std::string(ToString(source))},
                            {"result", std::string(ToString(result))}});
-  // The first of a kind is always told, repeats now and then.
+  // Logs the first rejection of each kind and then every kLogEvery-th.
   constexpr std::uint64_t kLogEvery = 64;
   const bool loud = result == OfferResult::kOlder ||
                     result == OfferResult::kForked ||
--- a/src/version/config_tracker.h
+++ b/src/version/config_tracker.h
@@ -1,10 +1,10 @@
-// The configuration that this instance holds, and the rule that it only moves
-// forward.
+// Tracks the current configuration of this instance; its revision never
+// decreases.
 //
-// Heads, deltas and whole configurations come in from the key-value service
-// and from peers, in any order, late and twice. The tracker takes what follows
-// what it holds, keeps deltas that come early, and refuses the rest. It does
-// no I/O.
+// Heads, deltas and snapshots arrive from the key-value service and from peers,
+// possibly out of order, late or repeated. The tracker applies those that
+// follow the current configuration, buffers deltas that arrive early, and
+// rejects the rest. It does no I/O.
 #ifndef LYNXGLADE_VERSION_CONFIG_TRACKER_H_
 #define LYNXGLADE_VERSION_CONFIG_TRACKER_H_
 
@@ -27,37 +27,37 @@
 
 namespace lynxglade::version {
 
-// What became of something offered.
+// Result of offering a head, delta or snapshot.
 enum class OfferResult {
-  // In force now.
+  // Applied; it is in force now.
   kTaken,
   // Already in force.
   kKnown,
-  // From an earlier revision than the one in force; refused.
+  // Older than the configuration in force; rejected.
   kOlder,
-  // Ahead of the one in force; deltas in between are missing.
+  // Newer than the configuration in force, with deltas in between missing.
   kAhead,
-  // Another history under the same revision; refused. Somebody wrote to a
-  // service that had lost accepted configurations.
+  // Belongs to a different history; rejected. This happens when a change was
+  // committed to a key-value service that had lost accepted revisions.
   kForked,
-  // Could not be read.
+  // Could not be decoded.
   kMalformed,
 };
 std::string_view ToString(OfferResult result) noexcept;
 
-// Where an offer comes from, for logs and counters.
+// Origin of an offer, for logs and metrics.
 enum class ConfigSource { kService, kPeer, kOwn };
 std::string_view ToString(ConfigSource source) noexcept;
 
 struct ConfigTrackerHooks {
   base::Clock clock;
-  // A configuration came into force. Called without a lock, in order of
-  // revision when offers come from one thread; may be empty.
+  // Called when a configuration came into force, without holding the lock. In
+  // order of revision only when all offers come from one thread. May be empty.
   std::function<void(const HeldConfiguration&)> on_taken;
-  // A delta came into force, to be passed on to peers; may be empty.
+  // Called for each applied delta, to publish it to peers; may be empty.
   std::function<void(base::Revision, const ChainedDelta&)> on_delta;
-  // A whole configuration was taken, before deltas that follow it; may be
-  // empty.
+  // Called when a snapshot was applied, before on_delta for deltas that follow
+  // it; may be empty.
   std::function<void(const HeldConfiguration&)> on_whole;
 };
 
@@ -65,43 +65,44 @@
 class ConfigTracker {
  public:
   // `metrics` must outlive this object. Counters:
-  // lynxglade_config_offers_total{source,result}.
+  // lynxglade_config_offers_total{what,source,result}.
   ConfigTracker(ConfigTrackerHooks hooks, base::Metrics& metrics);
   ConfigTracker(const ConfigTracker&) = delete;
   ConfigTracker& operator=(const ConfigTracker&) = delete;
 
-  // Learns that a head was accepted; takes nothing into force by itself.
-  // `held_when_asked` is the revision that was in force before the head was
-  // read: only a head below that is older for sure, others may be late.
+  // Records that a head was accepted; does not change the configuration.
+  // `held_when_asked` is the revision in force before the head was read. Only a
+  // head below it is reported as older; without it the head may just be stale.
   OfferResult OfferHead(
       const ConfigHead& head,
       ConfigSource source,
       std::optional<base::Revision> held_when_asked = std::nullopt);
-  // Takes a delta, and those kept that follow it.
+  // Applies a delta and the buffered deltas that follow it.
   OfferResult OfferDelta(const ChainedDelta& delta, ConfigSource source);
-  // Takes a whole configuration when it is newer than the one in force.
+  // Applies a snapshot when it is newer than the configuration in force.
   OfferResult OfferWhole(const HeldConfiguration& whole, ConfigSource source);
-  // As OfferWhole(), from bytes of a peer's EncodeHeld().
+  // As OfferWhole(), from a peer's EncodeHeld() bytes.
   OfferResult OfferBytes(std::string_view bytes, ConfigSource source);
 
-  // The configuration in force; never null. Cheap.
+  // The configuration in force; never null. Does not lock the mutex.
   std::shared_ptr<const Configuration> Get() const;
   HeldConfiguration Held() const;
-  // Whether there is one: the newest heard of was taken, or the service said
-  // that nothing was ever accepted (MarkEmpty()). Stays true.
+  // True once the newest known revision was applied or MarkEmpty() confirmed
+  // that none exists. Stays true.
   bool ready() const;
-  // The service answered that it holds no head.
+  // Call when the key-value service has no head. Counts as lost data when a
+  // revision is already known.
   void MarkEmpty();
 
-  // The newest revision heard of from anywhere.
+  // The newest revision known from any source.
   base::Revision newest_heard() const;
-  // Whether a newer revision than the one in force was heard of.
+  // Whether a newer revision than the one in force is known.
   bool behind() const;
-  // Time since then; zero when not behind.
+  // How long behind() has been true; zero when it is false.
   base::Duration BehindFor() const;
-  // The service's last head was older than the configuration in force.
+  // Whether the service's last head was older than the one in force.
   bool service_is_behind() const;
-  // The service's last head or delta was of another history.
+  // Whether the service's last head or delta was of a different history.
   bool forked() const;
 
  private:
@@ -112,7 +113,7 @@
     base::Time behind_since{};
     bool service_is_behind = false;
     bool forked = false;
-    // Deltas that came early, by revision.
+    // Deltas that arrived before their predecessors, by revision.
     std::map<base::Revision, ChainedDelta> early;
   };
   struct Taken {
@@ -120,7 +121,7 @@
     ChainedDelta delta;
   };
 
-  // All with the lock held.
+  // All require the lock.
   OfferResult TakeDelta(const ChainedDelta& delta,
                         const ConfigDelta& parsed,
                         ConfigSource source,
@@ -140,7 +141,7 @@
   base::Metrics& metrics_;
   mutable std::mutex mutex_;
   State state_;
-  // The configuration in force once more, for Get() without the lock.
+  // Copy of the configuration in force, for Get() without the mutex.
   std::atomic<std::shared_ptr<const Configuration>> current_;
 };
 
--- a/src/version/config_watcher.cc
+++ b/src/version/config_watcher.cc
@@ -9,11 +9,11 @@
 using connection::KvError;
 using connection::KvEvent;
 
-// Sleeps vary by this much, so that instances do not read in step.
+// Relative jitter of read intervals, so that instances do not synchronise.
 constexpr double kJitter = 0.25;
 
-// Applies the deltas from what is in force up to the head. False when one did
-// not follow.
+// Reads and applies the deltas up to the head. Returns false when the read
+// fails or a delta does not apply.
 bool TakeDeltas(const ConfigStore& store,
                 const ConfigHead& head,
                 ConfigTracker* tracker,
@@ -132,8 +132,8 @@
 }
 
 void ConfigWatcher::WatchLoop(const std::stop_token& stop) {
-  // 0 lets the service start the watch at its present; what lies before is
-  // the reader's to find.
+  // 0 starts the watch at the service's current revision; the reader thread
+  // covers earlier changes.
   base::Revision next{0};
   while (!stop.stop_requested()) {
     if (!hooks_.should_watch()) {
@@ -141,8 +141,8 @@
       Sleep(stop, options_.watcher_period, false);
       continue;
     }
-    // What was accepted between the last read and the watch's start shows
-    // only in a read made once the watch stands.
+    // A change accepted between the last read and the start of the watch is
+    // found only by a read after the watch is established.
     bool stands = false;
     const auto on_events = [&](const std::vector<KvEvent>& events,
                                base::Revision revision) {
@@ -162,7 +162,7 @@
                     {{"reason", std::string(connection::ToString(ec))}})
         .Add();
     if (ec == KvError::kBadAnswer) {
-      // The start may have been compacted away; begin at the present.
+      // The start revision may have been compacted; use the current one.
       next = base::Revision(0);
     }
     Sleep(stop, options_.rewatch_pause, false);
@@ -170,7 +170,7 @@
 }
 
 bool ConfigWatcher::Take(const std::vector<KvEvent>& events) {
-  // Heads after deltas: then a head that is ahead means a gap.
+  // Offers heads after deltas, so that a head that is ahead means a gap.
   std::vector<ConfigHead> heads;
   for (const KvEvent& it : events) {
     ConfigEvent event = ReadConfigEvent(it);
--- a/src/version/config_watcher.h
+++ b/src/version/config_watcher.h
@@ -1,9 +1,9 @@
-// Brings accepted configurations from the key-value service to the tracker.
+// Delivers accepted configurations from the key-value service to the tracker.
 //
-// Two threads: one reads the head now and then and whenever the tracker has
-// heard of something newer; the other holds a watch open, on the few instances
-// of a zone that `should_watch` picks. The rest hear from peers, and their
-// slower reads catch what was missed.
+// A reader thread reads the head periodically and when triggered. A watcher
+// thread keeps a watch open on the few instances of a zone that `should_watch`
+// selects. The other instances receive changes from peers; their slower
+// periodic reads catch missed ones.
 #ifndef LYNXGLADE_VERSION_CONFIG_WATCHER_H_
 #define LYNXGLADE_VERSION_CONFIG_WATCHER_H_
 
@@ -26,29 +26,28 @@
 namespace lynxglade::version {
 
 struct ConfigWatcherOptions {
-  // Time between two reads of the head by an instance that watches, by one
-  // that does not, and by one that is behind or not ready.
+  // Interval between reads of the head on an instance that watches, on one that
+  // does not, and on one that is behind or not ready. A random jitter is added.
   base::Duration watcher_period = std::chrono::seconds(1);
   base::Duration other_period = std::chrono::seconds(10);
   base::Duration behind_period = std::chrono::milliseconds(200);
-  // Pause before a broken watch is opened again.
+  // Delay before an ended watch is opened again.
   base::Duration rewatch_pause = std::chrono::milliseconds(200);
 };
 
 struct ConfigWatcherHooks {
-  // Whether this instance is one of its zone's watchers now; must not block.
+  // Whether this instance should watch the service now; must not block.
   std::function<bool()> should_watch;
-  // A whole configuration from a peer, as EncodeHeld() bytes; asked for when
-  // the service cannot be read and this instance is not ready or behind. May
-  // block; may be empty.
+  // Fetches a full configuration from a peer as EncodeHeld() bytes. Called when
+  // the service cannot be read while this instance is not ready or is behind.
+  // May block; may be empty.
   std::function<std::optional<std::string>()> fetch_from_peer;
-  // Thread-safe; spreads the reads of many instances.
+  // Thread-safe; source of the jitter of read intervals.
   base::RandomSource random;
 };
 
-// One step of reading; the logic of the reader thread, without the thread.
-// Brings the tracker up to the service's head. Returns whether the service
-// could be read.
+// Reads the service's head and brings the tracker up to it. Returns false when
+// the head, the snapshot or the deltas could not be read or applied.
 bool RefreshConfig(const ConfigStore& store,
                    ConfigTracker* tracker,
                    StoreError* last_error);
@@ -68,8 +67,7 @@
   ConfigWatcher& operator=(const ConfigWatcher&) = delete;
 
   void Start();
-  // Makes the reader read now, such as after a peer told of a newer head.
-  // Thread-safe; does not block.
+  // Triggers an immediate read of the head. Thread-safe; does not block.
   void Nudge();
 
  private:
@@ -78,9 +76,9 @@
   void ReadOnce();
   void AskPeer();
   base::Duration NextPeriod() const;
-  // Hands a watch's events to the tracker; false when a read is needed.
+  // Passes watch events to the tracker; returns false when a read is needed.
   bool Take(const std::vector<connection::KvEvent>& events);
-  // Waits; woken by Nudge() (reader only) and by stop.
+  // Waits for `time` or until stopped; Nudge() ends the wait if `nudgeable`.
   void Sleep(const std::stop_token& stop, base::Duration time, bool nudgeable);
 
   const connection::KeyValue& service_;
@@ -93,7 +91,7 @@
   std::mutex mutex_;
   std::condition_variable_any wake_;
   bool nudged_ = false;
-  // Last, so that they are joined before what they use goes.
+  // Last, so that the threads are joined before other members are destroyed.
   std::jthread reader_;
   std::jthread watcher_;
 };
--- a/src/version/configuration_codec.cc
+++ b/src/version/configuration_codec.cc
@@ -24,13 +24,13 @@
   const auto service = configuration.services.find(intent.service);
   if (service == configuration.services.end()) {
     return Fail(fault, CodecError::kBadReference, Below(where, "service"),
-                "there is no service " + intent.service.str());
+                "unknown service " + intent.service.str());
   }
   if (service->second.engines == intent.model.empty()) {
     return Fail(fault, CodecError::kBadReference, Below(where, "model"),
                 service->second.engines
-                    ? "a service of model engines needs a model"
-                    : "a plain service takes no model");
+                    ? "a model is required for a service of model engines"
+                    : "a plain service must not have a model");
   }
   return true;
 }
--- a/src/version/configuration_codec.h
+++ b/src/version/configuration_codec.h
@@ -1,8 +1,8 @@
-// The configuration as JSON text, read with strict checks.
+// Strict JSON encoding and decoding of the configuration.
 //
-// Reading accepts only what writing produces: unknown members, wrong types,
-// values out of range and references that lead nowhere are refused with a
-// typed reason and the place, as a JSON pointer.
+// Decoding rejects unknown members, wrong types, values out of range and
+// dangling references, and reports an error code with a JSON pointer to the
+// location.
 #ifndef LYNXGLADE_VERSION_CONFIGURATION_CODEC_H_
 #define LYNXGLADE_VERSION_CONFIGURATION_CODEC_H_
 
@@ -15,7 +15,7 @@
 
 namespace lynxglade::version {
 
-// Bounds on what is read; beyond them the text is refused.
+// Limits that decoding enforces.
 inline constexpr std::size_t kMaxConfigurationBytes = 32u << 20;
 inline constexpr std::size_t kMaxIdBytes = 128;
 inline constexpr std::size_t kMaxServices = 1'000;
@@ -28,7 +28,7 @@
 inline constexpr double kMaxRoleChangePrice = 1e9;
 inline constexpr base::Duration kMinDeadline = std::chrono::milliseconds(1);
 inline constexpr base::Duration kMaxDeadline = std::chrono::hours(1);
-// Shares are added as doubles; a sum above 1 by less than this is rounding.
+// Rounding tolerance for sums of shares.
 inline constexpr double kShareSlack = 1e-9;
 
 enum class CodecError {
@@ -39,7 +39,8 @@
   kUnknownMember,
   kWrongType,
   kOutOfRange,
-  // An intent for a service that is not there, or a model where none fits.
+  // A reference to an unknown part, or a model that the service does not take
+  // or lacks.
   kBadReference,
   // Two intents of one contract for the same service and model.
   kDuplicate,
@@ -52,20 +53,20 @@
   CodecError error = CodecError::kNone;
   // JSON pointer, such as "/contracts/archive/intents/0/share".
   std::string where;
-  // What was expected, in words for an operator.
+  // Error message for the operator: what was expected.
   std::string message;
 };
 
 std::string_view ToString(OperatorRole role) noexcept;
 
-// Canonical: the same configuration always gives the same text.
+// Canonical: equal configurations have equal text.
 std::string EncodeConfiguration(const Configuration& configuration);
 
 std::optional<Configuration> DecodeConfiguration(std::string_view text,
                                                  CodecFault* fault);
 
-// Checks what holds between parts: references and sums of shares. Returns
-// false and fills `fault` at the first breach.
+// Checks constraints between parts: references and sums of shares. Returns
+// false and fills `fault` at the first violation.
 bool CheckConfiguration(const Configuration& configuration, CodecFault* fault);
 
 }  // namespace lynxglade::version
--- a/src/version/configuration_plane.cc
+++ b/src/version/configuration_plane.cc
@@ -29,7 +29,7 @@
   OperatorAccess access;
   PlanService plans;
   IntentApi api;
-  // Last: its threads use all of the above.
+  // Last: its threads use the members above.
   ConfigWatcher watcher;
 };
 
--- a/src/version/configuration_plane.h
+++ b/src/version/configuration_plane.h
@@ -1,5 +1,5 @@
-// Everything that holds, spreads and changes the configuration in one
-// instance, put together for the daemon.
+// Combines the components that track, distribute and change the configuration
+// of one instance.
 #ifndef LYNXGLADE_VERSION_CONFIGURATION_PLANE_H_
 #define LYNXGLADE_VERSION_CONFIGURATION_PLANE_H_
 
@@ -27,13 +27,12 @@
 
 struct ConfigurationPlaneOptions {
   base::InstanceId instance;
-  // May be empty: then a first fleet operator can only come with a restored
-  // service.
+  // May be empty; the first fleet operator then has to come from existing data
+  // in the key-value service.
   std::string bootstrap_key;
   StoreLimits store;
   ConfigWatcherOptions watcher;
-  // Behind for longer than this: read the service instead of waiting on for
-  // peers.
+  // Time behind after which the service is read instead of waiting for peers.
   base::Duration peer_patience = std::chrono::milliseconds(300);
 };
 
@@ -42,16 +41,16 @@
   base::Clock clock;
   base::RandomSource random;
   std::function<std::int64_t()> wall_millis;
-  // A configuration came into force. Called from several threads and not
-  // always in order: read Current() for the newest.
+  // Called when a configuration came into force, from several threads and not
+  // necessarily in order; read Current() for the newest.
   std::function<void()> on_change;
-  // ViewService::Publish, and Snapshot of kConfigInForce.
+  // ViewService::Publish, and ViewService::Snapshot of kConfigInForce.
   std::function<void(process::ViewItem)> publish;
   std::function<std::vector<process::ViewItem>()> in_force_facts;
   std::function<std::size_t()> member_count;
-  // Whether this instance is one of the few of its zone that watch.
+  // Whether this instance should watch the key-value service.
   std::function<bool()> should_watch;
-  // The fleet, for the arithmetic of plans.
+  // Fleet state for the share arithmetic of plans.
   std::function<FleetFacts()> fleet;
   // See ConfigWatcherHooks; may be empty.
   std::function<std::optional<std::string>()> fetch_from_peer;
@@ -65,27 +64,27 @@
                      ConfigurationPlaneOptions options,
                      ConfigurationPlaneHooks hooks,
                      base::Metrics& metrics);
-  // Stops the threads; may take as long as one call to the service.
+  // Stops the threads; may block for the duration of one service call.
   ~ConfigurationPlane();
   ConfigurationPlane(const ConfigurationPlane&) = delete;
   ConfigurationPlane& operator=(const ConfigurationPlane&) = delete;
 
-  // Starts reading and watching. Call once, after the hooks work.
+  // Starts reading and watching. Call once, when the hooks are ready.
   void Start();
-  // Facts of the kinds kConfigHead and kConfigDelta; does not block.
+  // Handles facts of the kinds kConfigHead and kConfigDelta; does not block.
   void Hear(const process::ViewItem& item);
   // Call about once a second.
   void Tick();
 
-  // Paths under /v1/admin/plans, /config, /contracts and /audit; recognises
-  // the operator itself. Writing needs at least the role kContract.
+  // Handles paths under /v1/admin/plans, /config, /contracts and /audit.
+  // Authenticates the operator; changes require at least the role kContract.
   connection::ApiAnswer Handle(const connection::ApiCall& call) const;
 
   std::shared_ptr<const Configuration> Current() const;
-  // False until a configuration is held, or none was ever accepted.
+  // See ConfigTracker::ready().
   bool ready() const;
   const OperatorAccess& access() const noexcept;
-  // The whole as bytes, for a peer that asks.
+  // The current configuration encoded for a peer.
   std::string HeldBytes() const;
 
  private:
--- a/src/version/details/configuration_json.cc
+++ b/src/version/details/configuration_json.cc
@@ -30,14 +30,15 @@
   return array;
 }
 
-// The name under which a part stands must be its own.
+// The member key of a part must equal its id.
 template <typename Id>
 bool CheckKey(const std::string& key,
               const Id& id,
               const std::string& where,
               CodecFault* fault) {
-  return key == id.str() || Fail(fault, CodecError::kBadReference, where,
-                                 "stands under another name than its own");
+  return key == id.str() ||
+         Fail(fault, CodecError::kBadReference, where,
+              "the member key must equal the id, " + id.str());
 }
 
 template <typename Map, typename IdOf>
--- a/src/version/details/configuration_json.h
+++ b/src/version/details/configuration_json.h
@@ -1,4 +1,4 @@
-// The parts of a configuration as JSON values; for .cc files of this folder.
+// JSON conversion of the parts of a configuration. Internal to src/version.
 #ifndef LYNXGLADE_VERSION_DETAILS_CONFIGURATION_JSON_H_
 #define LYNXGLADE_VERSION_DETAILS_CONFIGURATION_JSON_H_
 
@@ -11,15 +11,14 @@
 
 namespace lynxglade::version::details {
 
-// Writers. The name of a part is a member of it, too, so that each can stand
-// alone.
+// Each encoded part includes its own id or name.
 nlohmann::json ToJson(const ServiceSpec& service);
 nlohmann::json ToJson(const Intent& intent);
 nlohmann::json ToJson(const Contract& contract);
 nlohmann::json ToJson(const Operator& op);
 nlohmann::json ToJson(const Configuration& configuration);
 
-// Readers; `where` is the place of `value` for faults.
+// `where` is the JSON pointer to `value` for error reports.
 bool FromJson(const nlohmann::json& value,
               const std::string& where,
               ServiceSpec* out,
--- a/src/version/details/json_reader.cc
+++ b/src/version/details/json_reader.cc
@@ -50,12 +50,13 @@
                  CodecFault* fault) {
   if (text.size() > max_bytes) {
     return Fail(fault, CodecError::kTooLarge, "",
-                "at most " + std::to_string(max_bytes) + " bytes");
+                "must be at most " + std::to_string(max_bytes) +
+                    " bytes, got " + std::to_string(text.size()));
   }
   auto parsed = base::ParseBoundedJson(text);
   if (!parsed) {
     return Fail(fault, CodecError::kNotJson, "",
-                "not JSON, or nests too deeply");
+                "must be valid JSON without excessive nesting");
   }
   *value = *std::move(parsed);
   if (!value->is_object()) {
@@ -154,7 +155,7 @@
   *out = value->get<std::string>();
   if (out->size() > max_bytes) {
     Refuse(CodecError::kOutOfRange, name,
-           "at most " + std::to_string(max_bytes) + " bytes");
+           "must be at most " + std::to_string(max_bytes) + " bytes");
   }
 }
 
@@ -214,7 +215,7 @@
   if (value == nullptr) {
     return;
   }
-  // An unsigned number beyond the signed range would wrap.
+  // Unsigned values above INT64_MAX would wrap around.
   const bool fits =
       value->is_number_integer() &&
       !(value->is_number_unsigned() && value->get<std::uint64_t>() > INT64_MAX);
@@ -250,7 +251,7 @@
   Each(name, json::value_t::array, max_count,
        [&](const std::string&, const json& it, const std::string& where) {
          if (!it.is_string() || !IsDigest(it.get_ref<const std::string&>())) {
-           // Says nothing of what stood there: it may be a key by mistake.
+           // Does not repeat the value, which may be a key entered by mistake.
            return Fail(fault_, CodecError::kOutOfRange, where,
                        "must be a SHA-256 digest: 64 lower-case hexadecimal "
                        "digits, not the key itself");
@@ -276,7 +277,8 @@
   }
   if (value->size() > max_count) {
     Refuse(CodecError::kTooLarge, name,
-           "at most " + std::to_string(max_count) + " entries");
+           "must have at most " + std::to_string(max_count) + " entries, got " +
+               std::to_string(value->size()));
     return;
   }
   const std::string where = Below(where_, name);
@@ -302,7 +304,7 @@
   if (it == items.end()) {
     return true;
   }
-  return Refuse(CodecError::kUnknownMember, it.key(), "is not known here");
+  return Refuse(CodecError::kUnknownMember, it.key(), "unknown member");
 }
 
 }  // namespace lynxglade::version::details
--- a/src/version/details/json_reader.h
+++ b/src/version/details/json_reader.h
@@ -1,5 +1,5 @@
-// Strict reading of one JSON object: every member is asked for once, and what
-// was not asked for is an error. For .cc files of this folder only.
+// Strict decoding of JSON objects: members that were not read are errors.
+// Internal to src/version.
 #ifndef LYNXGLADE_VERSION_DETAILS_JSON_READER_H_
 #define LYNXGLADE_VERSION_DETAILS_JSON_READER_H_
 
@@ -17,38 +17,38 @@
 
 using nlohmann::json;
 
-// Text for storage and for digests: members sorted, no spaces, ASCII only, so
-// that it may be cut anywhere; bytes that are no UTF-8 are replaced.
+// Canonical text for storage and digests: sorted members, no spaces, ASCII
+// only, so that it can be split at any byte. Invalid UTF-8 is replaced.
 std::string Canonical(const json& value);
 
-// Parses an object within a bound of bytes.
+// Parses a JSON object of at most `max_bytes`.
 bool ParseObject(std::string_view text,
                  std::size_t max_bytes,
                  json* value,
                  CodecFault* fault);
 
-// Fills `fault` and returns false, for `return Fail(...)`.
+// Fills `fault` and returns false.
 bool Fail(CodecFault* fault,
           CodecError error,
           std::string where,
           std::string message);
 
-// A path with one more step, escaped as a JSON pointer asks.
+// Appends one reference token, escaped as required, to a JSON pointer.
 std::string Below(const std::string& where, std::string_view step);
 
-// Reads the members of one object. The first fault wins; later reads then do
-// nothing, so that callers check ok() once at the end.
+// Reads the members of one object. After the first fault, later reads do
+// nothing, so that callers can check ok() or Done() once at the end.
 class JsonReader {
  public:
   JsonReader(const json& object, std::string where, CodecFault* fault);
   JsonReader(const JsonReader&) = delete;
   JsonReader& operator=(const JsonReader&) = delete;
 
-  // An id: 1 to kMaxIdBytes bytes of letters, digits and ._-:/@+ .
+  // Reads an id of 1 to kMaxIdBytes letters, digits or ._-:/@+ characters.
   void Id(const char* name, std::string* out);
-  // As Id(), but may be absent or empty.
+  // Same as Id(), but the member may be absent or empty.
   void OptionalId(const char* name, std::string* out);
-  // Free text within a bound; may be absent.
+  // Free text; may be absent.
   void OptionalText(const char* name, std::size_t max_bytes, std::string* out);
   void OptionalFlag(const char* name, bool* out);
   // A finite number in [low, high].
@@ -70,8 +70,8 @@
   void OptionalDigests(const char* name,
                        std::size_t max_count,
                        std::vector<std::string>* out);
-  // Calls `read` for each member of an object or element of an array, with
-  // its key (or index) and place; absent is empty.
+  // Calls `read` for each member of an object or element of an array, with its
+  // key (or index), value and JSON pointer. The member may be absent.
   using ReadOne = std::function<bool(const std::string& key,
                                      const json& value,
                                      const std::string& where)>;
@@ -79,12 +79,12 @@
             json::value_t type,
             std::size_t max_count,
             const ReadOne& read);
-  // The member as it is, or nullptr.
+  // Returns the unchecked member, or nullptr when it is absent.
   const json* Any(const char* name);
 
-  // False from the first fault on.
+  // False after the first fault.
   bool ok() const noexcept { return ok_; }
-  // Refuses members that were never asked for; returns ok().
+  // Rejects members that were never read; returns ok().
   bool Done();
 
  private:
@@ -98,7 +98,7 @@
   bool ok_ = true;
 };
 
-// Whether the text may name a thing of the configuration.
+// Whether the text is a valid id.
 bool IsId(std::string_view text) noexcept;
 
 }  // namespace lynxglade::version::details
--- a/src/version/digest.h
+++ b/src/version/digest.h
@@ -1,4 +1,4 @@
-// SHA-256, for digests of plans and configurations and for operators' keys.
+// SHA-256 digests for plans, configurations and keys.
 #ifndef LYNXGLADE_VERSION_DIGEST_H_
 #define LYNXGLADE_VERSION_DIGEST_H_
 
@@ -10,7 +10,7 @@
 // 64 lower-case hexadecimal digits (OpenSSL).
 std::string Sha256Hex(std::string_view bytes);
 
-// Compares in a time that depends on the lengths only.
+// Compares in time that depends only on the lengths.
 bool EqualInConstantTime(std::string_view a, std::string_view b) noexcept;
 
 }  // namespace lynxglade::version
--- a/src/version/intent_api.cc
+++ b/src/version/intent_api.cc
@@ -86,12 +86,12 @@
 json PlanToJson(const Plan& plan) {
   json body = json::parse(plan.text, nullptr, false);
   body["id"] = plan.id.str();
-  // Stored as text for its digest; of no use to a reader, who has "changes".
+  // Internal encoding; clients read "changes" instead.
   body.erase("delta");
   return body;
 }
 
-// A contract's operator sees what touches its contracts and nothing else.
+// Contract operators see only plans limited to their own contracts.
 bool MaySee(const Caller& caller, const ConfigDelta& delta) {
   if (caller.role != OperatorRole::kContract) {
     return true;
@@ -126,14 +126,14 @@
   return shown;
 }
 
-// Digests of keys are shortened: enough to tell which, not enough to try.
+// Shortens key digests: enough to identify a key, not enough to test guesses.
 void ShortenDigests(json* part) {
   for (json& it : (*part)["key_hashes"]) {
     it = it.get<std::string>().substr(0, kShownDigestDigits);
   }
 }
 
-// Leaves out what the caller may not see.
+// Omits parts that the caller may not see.
 json VisibleJson(const Configuration& configuration, const Caller& caller) {
   json body = details::ToJson(configuration);
   std::set<std::string> hidden;
@@ -175,7 +175,9 @@
 }
 
 ApiAnswer BadNumber(const std::string& name) {
-  return ApiError(400, "bad_query", name + " must be a whole number from 0");
+  return ApiError(
+      400, "bad_query",
+      "query parameter " + name + " must be an integer of at least 0");
 }
 
 }  // namespace
@@ -282,7 +284,8 @@
     return Refused(fault);
   }
   if (!MaySee(caller, plan->delta)) {
-    return Refused({PlanError::kUnknownPlan, "", "there is no such plan"});
+    return Refused({PlanError::kUnknownPlan, "",
+                    "no plan " + id.str() + "; it may have expired"});
   }
   return Ok(PlanToJson(*plan));
 }
@@ -371,7 +374,8 @@
 
 ApiAnswer IntentApi::Restore(const Caller& caller) const {
   if (!caller.is_fleet()) {
-    return ApiError(403, "not_permitted", "only a fleet operator may do this");
+    return ApiError(403, "not_permitted",
+                    "only a fleet operator may restore the configuration");
   }
   return Confirmed(plans_.Restore(caller), caller);
 }
--- a/src/version/intent_api.h
+++ b/src/version/intent_api.h
@@ -1,5 +1,5 @@
-// The part of the administration API that states, confirms and shows
-// intents. Its paths are in docs/OPERATIONS.md, "Administration API".
+// Administration API for plans, configuration, contracts and audit records. The
+// paths are documented in docs/OPERATIONS.md, "Administration API".
 #ifndef LYNXGLADE_VERSION_INTENT_API_H_
 #define LYNXGLADE_VERSION_INTENT_API_H_
 
@@ -20,7 +20,7 @@
 
 struct IntentApiHooks {
   base::Clock clock;
-  // What every instance last said it holds.
+  // Last published configuration revision of every instance.
   std::function<std::vector<InstanceRevision>()> instances;
 };
 
@@ -38,7 +38,7 @@
   IntentApi(const IntentApi&) = delete;
   IntentApi& operator=(const IntentApi&) = delete;
 
-  // Recognises the operator itself. Paths below /v1/admin/plans,
+  // Authenticates the operator. Handles paths below /v1/admin/plans,
   // /v1/admin/config, /v1/admin/contracts and /v1/admin/audit.
   connection::ApiAnswer Handle(const connection::ApiCall& call) const;
 
--- a/src/version/operator_access.cc
+++ b/src/version/operator_access.cc
@@ -16,7 +16,7 @@
   });
 }
 
-// Looks at every hash, so that the time tells nothing of which one fits.
+// Compares every hash, so that the time does not reveal which one matches.
 bool OwnsKey(const Operator& op, const std::string& digest) {
   return std::ranges::count_if(op.key_hashes, [&](const std::string& it) {
            return EqualInConstantTime(it, digest);
@@ -61,19 +61,21 @@
                      const Edit<Contract>& edit,
                      std::string* reason) {
   if (!caller.MaySee(id)) {
-    *reason = "contract " + id.str() + " is not one of yours";
+    *reason = "contract " + id.str() + " is not assigned to this operator";
     return false;
   }
   if (!edit.before || !edit.after) {
-    *reason = "only a fleet operator adds or removes a contract";
+    *reason = "only a fleet operator may add or remove a contract";
     return false;
   }
   if (RaisesShare(*edit.before, *edit.after)) {
-    *reason = "only a fleet operator raises a share";
+    *reason =
+        "only a fleet operator may raise the share of contract " + id.str();
     return false;
   }
   if (RaisesUrgency(*edit.before, *edit.after)) {
-    *reason = "only a fleet operator raises a priority";
+    *reason =
+        "only a fleet operator may raise the priority of contract " + id.str();
     return false;
   }
   return true;
@@ -120,11 +122,11 @@
     return true;
   }
   if (caller.role == OperatorRole::kReadOnly) {
-    *reason = "this operator may only read";
+    *reason = "this operator is read-only";
     return false;
   }
   if (!delta.services.empty() || !delta.operators.empty()) {
-    *reason = "only a fleet operator changes services and operators";
+    *reason = "only a fleet operator may change services and operators";
     return false;
   }
   return std::ranges::all_of(delta.contracts, [&](const auto& it) {
--- a/src/version/operator_access.h
+++ b/src/version/operator_access.h
@@ -1,9 +1,9 @@
-// Who may do what over the administration API.
+// Authentication and authorisation of operators on the administration API.
 //
-// Operators are part of the configuration, known by the SHA-256 of their keys.
-// While no fleet operator has a key, the bootstrap key from the settings
-// stands in for one, so that a first configuration can be made. Keys are
-// compared in constant time and appear in no log and no answer.
+// Operators are part of the configuration and are identified by the SHA-256 of
+// their keys. While no fleet operator has a key, the bootstrap key from the
+// settings acts as a fleet operator's, so that the first configuration can be
+// made. Keys are compared in constant time and never logged or returned.
 #ifndef LYNXGLADE_VERSION_OPERATOR_ACCESS_H_
 #define LYNXGLADE_VERSION_OPERATOR_ACCESS_H_
 
@@ -19,19 +19,19 @@
 
 namespace lynxglade::version {
 
-// An operator whose key was recognised.
+// An authenticated operator.
 struct Caller {
   base::OperatorId id;
   OperatorRole role = OperatorRole::kReadOnly;
-  // kContract only.
+  // Contracts of a kContract operator.
   std::vector<base::ContractId> contracts;
 
-  // kContract operators see their own contracts only, the others all.
+  // kContract operators see only their own contracts, others see all.
   bool MaySee(const base::ContractId& contract) const;
   bool is_fleet() const noexcept { return role == OperatorRole::kFleet; }
 };
 
-// Name under which the bootstrap key acts.
+// Operator id of the bootstrap key.
 inline constexpr std::string_view kBootstrapOperator = "bootstrap";
 
 // Thread-safe.
@@ -40,11 +40,11 @@
   using CurrentConfiguration =
       std::function<std::shared_ptr<const Configuration>()>;
 
-  // `bootstrap_key` as in the settings; only its digest is kept. Empty: none.
+  // `bootstrap_key` is empty for none; only its digest is kept.
   OperatorAccess(CurrentConfiguration current,
                  const std::string& bootstrap_key);
 
-  // Nothing when the key is no operator's.
+  // Returns nullopt when no operator has the key.
   std::optional<Caller> Recognise(const std::string& key) const;
 
  private:
@@ -52,15 +52,15 @@
   const std::string bootstrap_digest_;
 };
 
-// Whether the caller may make this change; otherwise `reason` says why not.
-// A fleet operator may make any. A contract's operator may change deadlines,
-// keys, models and versions of its own contracts, and lower shares and
-// urgency, but not raise them: these come out of what others have.
+// Whether the caller may make this change; if not, `reason` says why.
+// Fleet operators may make any change. A contract operator may change the
+// deadlines, keys, models and versions of its own contracts and lower their
+// shares and priorities, but not raise them at the expense of other contracts.
 bool MayChange(const Caller& caller,
                const ConfigDelta& delta,
                std::string* reason);
 
-// Whether the delta leaves no fleet operator with a key where there was one.
+// Whether a change removes the last fleet operator that has a key.
 bool LocksOut(const Configuration& before, const Configuration& after);
 
 }  // namespace lynxglade::version
--- a/src/version/plan.cc
+++ b/src/version/plan.cc
@@ -35,7 +35,7 @@
   return services;
 }
 
-// The services whose arithmetic the delta touches.
+// Services whose shares the delta may affect.
 std::set<base::ServiceName> ServicesTouched(const ConfigDelta& delta) {
   std::set<base::ServiceName> services;
   for (const auto& [name, edit] : delta.services) {
@@ -57,8 +57,8 @@
       std::ranges::count(fleet.targets, service, &TargetFact::service));
 }
 
-// Lines of the contracts that change, and the sum of all others: a plan stays
-// small on a service that a thousand contracts share.
+// Lists the changed contracts and aggregates all others, so that the plan
+// stays small on services shared by many contracts.
 json SharesToJson(const ServiceShares& shares, const ConfigDelta& delta) {
   json lines = json::array();
   int others = 0;
@@ -95,7 +95,7 @@
           {"to", {{"model", it.model.str()}, {"version", it.version.str()}}}};
 }
 
-// The arithmetic of every touched service, and warnings that follow from it.
+// Share arithmetic of all affected services, with warnings.
 struct Arithmetic {
   json shares = json::array();
   json touched = json::array();
@@ -233,8 +233,9 @@
     return Refuse(fault, error, breach.where, breach.message);
   }
   if (LocksOut(*held.configuration, wanted)) {
-    return Refuse(fault, PlanError::kLocksOut, "/operators",
-                  "no fleet operator with a key would be left");
+    return Refuse(
+        fault, PlanError::kLocksOut, "/operators",
+        "the change would remove the last fleet operator that has a key");
   }
   Plan plan;
   plan.base = held.revision();
@@ -242,7 +243,7 @@
   plan.delta = MakeDelta(*held.configuration, wanted);
   if (plan.delta.empty()) {
     return Refuse(fault, PlanError::kNothingChanges, "",
-                  "this is in force already");
+                  "the request does not change the current configuration");
   }
   plan.changes = DescribeDelta(plan.delta);
   plan.stated_by = stated_by;
@@ -251,8 +252,9 @@
   WriteText(wanted, fleet, &plan);
   if (plan.text.size() > kMaxPlanBytes ||
       EncodeChained(Chain(plan.delta, held.digest)).size() > kMaxDeltaBytes) {
-    return Refuse(fault, PlanError::kTooLarge, "",
-                  "the change is too large for one plan; state it in parts");
+    return Refuse(
+        fault, PlanError::kTooLarge, "",
+        "the change is too large for one plan; split it into several");
   }
   return plan;
 }
--- a/src/version/plan.h
+++ b/src/version/plan.h
@@ -1,8 +1,9 @@
-// A plan: what an operator's statement would change, and at what cost.
+// A plan describes what an operator's change request would change and the
+// estimated cost. Making a plan has no side effects.
 //
-// Making a plan changes nothing. Its id is the SHA-256 of its text, which
-// holds the base revision, the changes, their reasons and the arithmetic: to
-// confirm an id is to confirm exactly that.
+// The plan id is the SHA-256 of its text, which contains the base revision,
+// the changes with their reasons, and the share arithmetic. Confirming an id
+// therefore confirms exactly that content.
 #ifndef LYNXGLADE_VERSION_PLAN_H_
 #define LYNXGLADE_VERSION_PLAN_H_
 
@@ -23,42 +24,42 @@
 
 enum class PlanError {
   kNone,
-  // The statement or what it leads to is not valid; see the fault.
+  // The request or the resulting configuration is invalid; see the fault.
   kBadStatement,
-  // Shares on a service would sum to more than 1.
+  // The shares on a service would sum to more than 1.
   kOverCommitted,
-  // The statement changes nothing.
+  // The request leaves the configuration unchanged.
   kNothingChanges,
-  // No fleet operator with a key would be left.
+  // The change would remove the last fleet operator that has a key.
   kLocksOut,
-  // The change does not fit the key-value service; state it in parts.
+  // The change exceeds the size limits of the key-value service; split it.
   kTooLarge,
-  // The revision to go back to is no longer, or never was, known.
+  // The rollback target is unknown or no longer retained.
   kNoSuchRevision,
   kNotPermitted,
   kUnknownPlan,
-  // The key-value service cannot be reached now.
+  // The key-value service is unavailable.
   kUnavailable,
-  // This instance has no configuration yet, or the service's is older.
+  // This instance has no configuration yet, is behind, or disagrees with the
+  // key-value service.
   kNotReady,
 };
 std::string_view ToString(PlanError error) noexcept;
 
 struct PlanFault {
   PlanError error = PlanError::kNone;
-  // JSON pointer into the statement or the configuration; may be empty.
+  // JSON pointer into the request or the configuration; may be empty.
   std::string where;
   std::string message;
 };
 
-// One part that changes.
+// One changed part of the configuration.
 struct PlanChange {
-  // "add", "change" or "remove", then what: "contract", "service",
-  // "operator".
+  // "add", "change" or "remove", followed by "contract", "service" or
+  // "operator"; for example "add contract".
   std::string kind;
-  // The part's id.
   std::string subject;
-  // What differs, in words.
+  // Human-readable difference.
   std::string reason;
 
   bool operator==(const PlanChange&) const = default;
@@ -73,19 +74,20 @@
   base::OperatorId stated_by;
   std::string note;
   std::optional<base::Revision> rollback_to;
-  // The id's text: JSON with all of the above, the share arithmetic and the
-  // engines touched.
+  // Canonical JSON that the id is computed from: the fields above, the share
+  // arithmetic and the engines to reload.
   std::string text;
 };
 
-// What the plan's arithmetic needs to know of the fleet.
+// Fleet state that the plan arithmetic needs.
 struct FleetFacts {
   std::vector<TargetFact> targets;
-  // How long an engine is out of service to load something else.
+  // Time an engine is out of service while it loads another model.
   double seconds_per_change = 30;
 };
 
-// Makes the plan that leads from `held` to `wanted`.
+// Makes the plan that changes `held` into `wanted`. Returns nullopt and fills
+// `fault` when the change is invalid.
 std::optional<Plan> MakePlan(const HeldConfiguration& held,
                              const Configuration& wanted,
                              const Statement& statement,
@@ -93,16 +95,16 @@
                              const FleetFacts& fleet,
                              PlanFault* fault);
 
-// Reads a stored plan; nothing when it is not whole. The id is computed from
-// the text, so what was altered shows under another id.
+// Decodes a stored plan; nullopt when the text is malformed. The id is
+// computed from the text, so an altered plan gets a different id.
 std::optional<Plan> ReadPlan(std::string_view text);
 
-// What differs, in words, one entry a part. Used by plans and tests.
+// Describes a delta in words, one entry per changed part.
 std::vector<PlanChange> DescribeDelta(const ConfigDelta& delta);
 
-// Goes back from `held`, undoing the deltas given newest last, to what was in
-// force before them. Operators and keys stay as they are in `held`, so that
-// a key that was withdrawn does not come back.
+// Undoes `deltas` (ordered oldest to newest) on `held`. Operators and key
+// hashes are kept from `held`, so that a rollback does not restore a revoked
+// key. Returns nullopt when the deltas do not apply.
 std::optional<Configuration> RollBack(const Configuration& held,
                                       const std::vector<ChainedDelta>& deltas);
 
--- a/src/version/plan_describe.cc
+++ b/src/version/plan_describe.cc
@@ -1,4 +1,4 @@
-// What differs between two states of a part, in words.
+// Human-readable descriptions of configuration changes.
 #include <algorithm>
 #include <iterator>
 #include <string>
--- a/src/version/plan_service.cc
+++ b/src/version/plan_service.cc
@@ -19,7 +19,7 @@
 
 constexpr std::string_view kPlanPrefix = "/lynxglade/plans/";
 constexpr base::Revision kOne{1};
-// Rounds of read and compare-and-swap before the outcome is left unknown.
+// Read and compare-and-swap rounds before the outcome is reported unknown.
 constexpr int kSwapAttempts = 4;
 constexpr int kRefreshAttempts = 2;
 constexpr int kSaveAttempts = 4;
@@ -42,15 +42,18 @@
 
 ConfirmResult Conflict(std::vector<std::string> since) {
   return {ConfirmOutcome::kConflict, base::Revision(0),
-          "another change came first; make a new plan", std::move(since)};
+          "another change was committed since the plan was made; make a new "
+          "plan",
+          std::move(since)};
 }
 
 ConfirmResult Behind() {
-  return {ConfirmOutcome::kServiceBehind,
-          base::Revision(0),
-          "the key-value service holds an older or another configuration than "
-          "is in force; see config restore",
-          {}};
+  return {
+      ConfirmOutcome::kServiceBehind,
+      base::Revision(0),
+      "the key-value service holds an older or different configuration than "
+      "this instance; see config restore",
+      {}};
 }
 
 }  // namespace
@@ -89,7 +92,7 @@
 bool PlanService::Refresh(PlanFault* fault) const {
   StoreError ec = StoreError::kNone;
   bool read = RefreshConfig(store_, &tracker_, &ec);
-  // Changes that came during the read are no reason to give up.
+  // Retry when a change was committed during the read.
   for (int i = 0; i < kRefreshAttempts && (!read || tracker_.behind()); ++i) {
     read = RefreshConfig(store_, &tracker_, &ec);
   }
@@ -101,8 +104,8 @@
   if (!tracker_.ready() || tracker_.behind() || tracker_.service_is_behind() ||
       tracker_.forked()) {
     *fault = {PlanError::kNotReady, "",
-              "this instance and the key-value service do not hold the newest "
-              "configuration that was heard of"};
+              "this instance or the key-value service does not hold the newest "
+              "known configuration"};
     return false;
   }
   return true;
@@ -149,7 +152,7 @@
 }
 
 bool PlanService::Save(const Plan& plan, PlanFault* fault) const {
-  // Neither step takes effect twice: a lease whose answer was lost runs out
+  // Both steps are safe to retry: a lease whose response was lost expires
   // unused, and the key is the digest of the value.
   KvError ec = KvError::kNone;
   std::optional<connection::KvLeaseId> lease;
@@ -184,10 +187,10 @@
   if (!range->entries.empty()) {
     plan = ReadPlan(range->entries.front().value);
   }
-  // A value that was altered has another digest than its key.
+  // The digest of an altered value does not match its key.
   if (!plan || plan->id != id) {
     return Refuse(fault, PlanError::kUnknownPlan,
-                  "there is no such plan; it may have expired");
+                  "no plan " + id.str() + "; it may have expired");
   }
   return plan;
 }
@@ -276,7 +279,7 @@
   if (head == plan.base) {
     return std::nullopt;
   }
-  // The audit record of the plan's revision names the plan that made it.
+  // The audit record of a revision names the plan that created it.
   const auto audit = store_.ReadAudit(plan.base + kOne, last_error);
   if (!audit) {
     return std::nullopt;
@@ -298,10 +301,12 @@
   const ChainedDelta delta = Chain(plan.delta, plan.base_digest);
   const std::string audit = AuditOf(plan, caller);
   StoreError ec = StoreError::kNone;
-  // Whether a write may be on its way: then no failure says "not in force".
+  // Whether a write may have taken effect; a later failure must then be
+  // reported as unknown rather than unavailable.
   bool sent = false;
   for (int attempt = 0; attempt < kSwapAttempts; ++attempt) {
-    // Before the read: what is heard during it may be newer than its answer.
+    // Taken before the read: a revision learned during the read may be newer
+    // than the head it returns.
     const base::Revision heard = tracker_.newest_heard();
     const std::optional<StoredHead> stored = store_.ReadHead(&ec);
     if (!stored) {
@@ -309,7 +314,8 @@
     }
     std::optional<ConfirmResult> settled = Settled(plan, *stored, heard, &ec);
     if (settled) {
-      // Our own write whose answer was lost is news, not a repeat.
+      // An earlier attempt of this call committed the plan but its response was
+      // lost.
       if (settled->outcome == ConfirmOutcome::kAlreadyInForce && sent) {
         return TakenEffect(plan);
       }
@@ -323,8 +329,8 @@
       ec = StoreError::kUnavailable;
       continue;
     }
-    // A second try after a lost answer compares with the same revision of the
-    // head, so at most one of the two takes effect.
+    // A retry after a lost response compares against the same head revision, so
+    // at most one attempt takes effect.
     if (store_.Accept(*stored, plan.delta.revision, delta, audit, &ec)) {
       return TakenEffect(plan);
     }
@@ -335,9 +341,9 @@
   }
   return {sent ? ConfirmOutcome::kUnknown : ConfirmOutcome::kUnavailable,
           base::Revision(0),
-          sent ? "the answer was lost and the service cannot tell now; "
-                 "confirm again, it cannot take effect twice"
-               : "nothing was sent; the key-value service: " +
+          sent ? "the response of the key-value service was lost; confirm "
+                 "again, the plan cannot take effect twice"
+               : "the plan was not committed; the key-value service: " +
                      std::string(ToString(ec)),
           {}};
 }
@@ -366,7 +372,7 @@
   const bool current = Refresh(&fault);
   const HeldConfiguration held = tracker_.Held();
   if (!current || !store_.WriteSnapshot(held, &ec)) {
-    // The next change tries again.
+    // Retried after the next change.
     base::Log(base::LogLevel::kWarning, "config_snapshot_failed",
               {{"reason", ToString(ec)}});
     return;
@@ -397,7 +403,9 @@
   }
   if (!old) {
     return Refuse(fault, PlanError::kNoSuchRevision,
-                  "the changes since that revision are no longer kept");
+                  "the changes since revision " +
+                      std::to_string(revision.value()) +
+                      " are no longer retained");
   }
   return old;
 }
@@ -429,13 +437,13 @@
     Refresh(&fault);
     return {ConfirmOutcome::kInForce,
             held.revision(),
-            "the service holds the configuration in force again",
+            "the configuration was written back to the key-value service",
             {}};
   }
   if (ec == StoreError::kConflict) {
     return {ConfirmOutcome::kConflict,
             base::Revision(0),
-            "the service does not hold an older configuration",
+            "the key-value service does not hold an older configuration",
             {}};
   }
   return {ec == StoreError::kAmbiguous ? ConfirmOutcome::kUnknown
--- a/src/version/plan_service.h
+++ b/src/version/plan_service.h
@@ -1,8 +1,8 @@
-// State, look at, confirm: the steps of a plan, on any instance.
+// Creates, lists and confirms plans; any instance can perform any step.
 //
-// Plans wait in the key-value service under their digest, with a lease. A
-// confirmation is one compare-and-swap of the configuration's head against
-// the plan's base revision. Everything here blocks on the service.
+// Pending plans are stored in the key-value service under their digest, with a
+// lease. Confirming a plan is one compare-and-swap of the configuration head
+// against the plan's base revision. All methods block on the service.
 #ifndef LYNXGLADE_VERSION_PLAN_SERVICE_H_
 #define LYNXGLADE_VERSION_PLAN_SERVICE_H_
 
@@ -24,43 +24,44 @@
 
 namespace lynxglade::version {
 
-// What became of a confirmation.
+// Result of a confirmation.
 enum class ConfirmOutcome {
-  // The plan is in force now.
+  // This confirmation put the plan into force.
   kInForce,
-  // It was already, by an earlier confirmation.
+  // An earlier confirmation put the plan into force.
   kAlreadyInForce,
-  // Another change came first; the plan can never take effect.
+  // Another change was committed on the plan's base; the plan is obsolete.
   kConflict,
   kUnknownPlan,
   kNotPermitted,
-  // This confirmation sent nothing: the service could not be reached.
+  // The key-value service was unavailable; this confirmation changed nothing.
   kUnavailable,
-  // Sent, and its answer lost; confirm again to learn the truth.
+  // A write was sent but its response was lost. Confirm again to find out;
+  // the plan cannot take effect twice.
   kUnknown,
-  // The service holds an older configuration than this instance, or another
-  // history; nothing was sent.
+  // The key-value service holds an older configuration than this instance, or
+  // a different history.
   kServiceBehind,
 };
 std::string_view ToString(ConfirmOutcome outcome) noexcept;
 
 struct ConfirmResult {
   ConfirmOutcome outcome = ConfirmOutcome::kUnavailable;
-  // In force: the revision that the plan became.
+  // Revision of the plan, when it is in force.
   base::Revision revision{0};
   std::string message;
-  // Conflict: audit records, JSON each, of what came since the plan's base.
+  // On conflict: JSON audit records of changes since the plan's base.
   std::vector<std::string> since;
 };
 
 struct PlanServiceHooks {
-  // The fleet as this instance sees it; must not block.
+  // The fleet as seen by this instance; must not block.
   std::function<FleetFacts()> fleet;
-  // For the audit trail; base::WallMillis in the daemon.
+  // Wall clock for audit records, in milliseconds since the Unix epoch.
   std::function<std::int64_t()> wall_millis;
-  // This instance wrote a snapshot of the whole; may be empty.
+  // Called after this instance wrote a snapshot; may be empty.
   std::function<void(const HeldConfiguration&)> on_snapshot;
-  // How long a plan waits for its confirmation.
+  // Lease of a pending plan.
   base::Duration plan_ttl = std::chrono::hours(1);
 };
 
@@ -75,19 +76,21 @@
   PlanService(const PlanService&) = delete;
   PlanService& operator=(const PlanService&) = delete;
 
-  // Makes a plan on the newest configuration and stores it.
+  // Makes a plan against the newest configuration and stores it.
   std::optional<Plan> State(const Statement& statement,
                             const Caller& caller,
                             PlanFault* fault);
   std::optional<Plan> Find(const base::PlanId& id, PlanFault* fault) const;
-  // Plans that wait, at most kMaxListedPlans.
+  // Pending plans, at most kMaxListedPlans.
   std::optional<std::vector<Plan>> List(PlanFault* fault) const;
   ConfirmResult Confirm(const base::PlanId& id, const Caller& caller);
 
-  // What was in force at a revision, within the deltas kept.
+  // The configuration at a past revision, as far as deltas are retained. Key
+  // hashes and operators are the current ones.
   std::optional<Configuration> ConfigurationAt(base::Revision revision,
                                                PlanFault* fault) const;
-  // Puts the held configuration back into a service that lost it.
+  // Writes this instance's configuration back to a key-value service that lost
+  // it.
   ConfirmResult Restore(const Caller& caller);
 
  private:
@@ -95,8 +98,9 @@
   std::optional<Configuration> Wanted(const Statement& statement,
                                       PlanFault* fault) const;
   bool Save(const Plan& plan, PlanFault* fault) const;
-  // Whether the plan's revision is taken, and by whom. `heard_before` is the
-  // newest revision heard of before the head was read.
+  // Determines from the stored head whether the plan's outcome is already
+  // decided; nullopt when the plan can still be committed or `last_error` is
+  // set. `heard_before` is the newest known revision before the head was read.
   std::optional<ConfirmResult> Settled(const Plan& plan,
                                        const StoredHead& stored,
                                        base::Revision heard_before,
--- a/src/version/serving_configuration.h
+++ b/src/version/serving_configuration.h
@@ -1,5 +1,5 @@
-// The configuration as requests read it: indexed, immutable, made once for
-// each accepted revision.
+// Immutable, indexed view of a configuration for request handling; built once
+// per accepted revision.
 #ifndef LYNXGLADE_VERSION_SERVING_CONFIGURATION_H_
 #define LYNXGLADE_VERSION_SERVING_CONFIGURATION_H_
 
@@ -20,25 +20,26 @@
 
   const Configuration& configuration() const noexcept { return configuration_; }
 
-  // Null when there is none. The pointers live as long as this object.
+  // Return null when there is none. Pointers are valid as long as this object.
   const Contract* FindContract(const base::ContractId& id) const;
   // `key_hash` is the lower-case hexadecimal SHA-256 of a caller key.
   const Contract* FindContractByKeyHash(const std::string& key_hash) const;
   const ServiceSpec* FindService(const base::ServiceName& name) const;
 
-  // The contract's intent for a model, or for a plain service.
+  // Find the contract's intent for a model or a plain service; null if none.
+  // The pointer refers into `contract`.
   static const Intent* FindModel(const Contract& contract,
                                  const base::ModelName& model);
   static const Intent* FindPlain(const Contract& contract,
                                  const base::ServiceName& service);
 
-  // Whether any contract serves that model.
+  // Whether any contract has an intent for the model.
   bool KnowsModel(const base::ModelName& model) const;
 
  private:
   Configuration configuration_;
-  // Values are keys of configuration_.contracts; ids, not pointers, so that a
-  // copy of this object stays sound.
+  // Values are keys of configuration_.contracts rather than pointers, so that
+  // copies of this object stay valid.
   std::unordered_map<std::string, base::ContractId> contract_by_key_hash_;
   std::unordered_map<base::ModelName, int> contracts_by_model_;
 };
--- a/src/version/share_arithmetic.cc
+++ b/src/version/share_arithmetic.cc
@@ -10,10 +10,9 @@
 namespace lynxglade::version {
 namespace {
 
-// A quota this close below a whole number is that number.
+// Rounding tolerance: a quota this close below an integer counts as it.
 constexpr double kQuotaSlack = 1e-9;
 
-// What an engine runs.
 using Load = std::pair<base::ModelName, base::ModelVersion>;
 
 Load LoadOf(const TargetFact& target) {
--- a/src/version/share_arithmetic.h
+++ b/src/version/share_arithmetic.h
@@ -1,4 +1,4 @@
-// From shares to whole engines, and which engines a change would touch.
+// Converts contract shares to whole engines and estimates engine reloads.
 #ifndef LYNXGLADE_VERSION_SHARE_ARITHMETIC_H_
 #define LYNXGLADE_VERSION_SHARE_ARITHMETIC_H_
 
@@ -10,36 +10,39 @@
 
 namespace lynxglade::version {
 
-// One intent's part of a service.
+// Share of one intent on a service.
 struct ShareLine {
   base::ContractId contract;
   base::ModelName model;
   base::ModelVersion version;
   double share = 0;
-  // Whole engines that the share amounts to.
+  // Whole engines allocated to the share.
   int engines = 0;
 };
 
 struct ServiceShares {
   base::ServiceName service;
-  // Engines (or plain targets) that the service has now.
+  // Current number of engines (or plain targets) of the service.
   int engines = 0;
+  // Sum of the shares of all lines.
   double sum = 0;
+  // Engines not allocated to any line.
   int free_engines = 0;
   std::vector<ShareLine> lines;
 };
 
-// Deals `seats` out in proportion to `shares` by the largest remainder; the
-// result sums to `seats` when the shares sum to 1. Ties go to the first.
+// Allocates `seats` in proportion to `shares` by the largest remainder method.
+// The result sums to `seats` when the shares sum to 1. Equal remainders favour
+// the lower index.
 std::vector<int> LargestRemainder(const std::vector<double>& shares, int seats);
 
-// The share arithmetic of one service; what no contract has is dealt out as
-// one more party, `free_engines`.
+// Allocates the engines of one service to the contracts' shares. The share not
+// covered by a contract takes part in the allocation as `free_engines`.
 ServiceShares ComputeShares(const Configuration& configuration,
                             const base::ServiceName& service,
                             int engines);
 
-// What an engine runs, as far as this instance sees.
+// What an engine currently runs, as seen by this instance.
 struct TargetFact {
   base::TargetId id;
   base::ServiceName service;
@@ -47,16 +50,16 @@
   base::ModelVersion version;
 };
 
-// An engine that would have to load something else.
+// An engine that has to load another model or version.
 struct TouchedEngine {
   TargetFact now;
   base::ModelName model;
   base::ModelVersion version;
 };
 
-// The least changes that give each model and version of the service the
-// engines that its shares amount to. Engines that run what is still wanted
-// stay. An estimate: which engines are taken is decided when it is done.
+// Computes a minimal set of reloads that gives each model and version the
+// engines allocated to it. Engines that already run a required model keep it.
+// This is an estimate; the engines are chosen when the change is carried out.
 std::vector<TouchedEngine> TouchedEngines(
     const ServiceShares& wanted,
     const std::vector<TargetFact>& targets);
--- a/src/version/stated_change.cc
+++ b/src/version/stated_change.cc
@@ -138,13 +138,13 @@
   const auto* const verb = std::ranges::find(kVerbs, name, &Verb::name);
   if (verb == std::end(kVerbs)) {
     return Fail(fault, CodecError::kUnknownMember, Below(where, name),
-                "no such kind of change");
+                "unknown kind of change");
   }
   return verb->read(value.begin().value(), Below(where, name), out, fault);
 }
 
-// Makes one change; each overload returns an empty text or what stands in
-// the way.
+// Applies one change. Each overload returns an empty string on success or an
+// error message.
 struct Apply {
   Configuration& configuration;
 
@@ -155,12 +155,12 @@
   std::string operator()(const RemoveContract& it) const {
     return configuration.contracts.erase(it.contract) > 0
                ? ""
-               : "there is no contract " + it.contract.str();
+               : "unknown contract " + it.contract.str();
   }
   std::string operator()(const UpsertIntent& it) const {
     const auto contract = configuration.contracts.find(it.contract);
     if (contract == configuration.contracts.end()) {
-      return "there is no contract " + it.contract.str();
+      return "unknown contract " + it.contract.str();
     }
     std::vector<Intent>& intents = contract->second.intents;
     const auto same = Find(intents, it.intent.service, it.intent.model);
@@ -169,7 +169,8 @@
       return {};
     }
     if (intents.size() >= kMaxIntentsPerContract) {
-      return "the contract has the most intents that it may have";
+      return "the contract already has the maximum of " +
+             std::to_string(kMaxIntentsPerContract) + " intents";
     }
     intents.push_back(it.intent);
     return {};
@@ -177,12 +178,13 @@
   std::string operator()(const RemoveIntent& it) const {
     const auto contract = configuration.contracts.find(it.contract);
     if (contract == configuration.contracts.end()) {
-      return "there is no contract " + it.contract.str();
+      return "unknown contract " + it.contract.str();
     }
     std::vector<Intent>& intents = contract->second.intents;
     const auto same = Find(intents, it.service, it.model);
     if (same == intents.end()) {
-      return "the contract has no such intent";
+      return "the contract has no intent for service " + it.service.str() +
+             ", model '" + it.model.str() + "'";
     }
     intents.erase(same);
     return {};
@@ -194,12 +196,12 @@
   std::string operator()(const RemoveService& it) const {
     return configuration.services.erase(it.service) > 0
                ? ""
-               : "there is no service " + it.service.str();
+               : "unknown service " + it.service.str();
   }
   std::string operator()(const SetPlanner& it) const {
     const auto service = configuration.services.find(it.service);
     if (service == configuration.services.end()) {
-      return "there is no service " + it.service.str();
+      return "unknown service " + it.service.str();
     }
     ServiceSpec& spec = service->second;
     spec.role_change_price =
@@ -214,7 +216,7 @@
   std::string operator()(const RemoveOperator& it) const {
     return configuration.operators.erase(it.op) > 0
                ? ""
-               : "there is no operator " + it.op.str();
+               : "unknown operator " + it.op.str();
   }
 
  private:
@@ -254,7 +256,7 @@
   }
   if (statement.changes.empty() == !statement.rollback_to) {
     Fail(fault, CodecError::kMissing, "/changes",
-         "either changes or rollback_to");
+         "exactly one of changes and rollback_to is required");
     return std::nullopt;
   }
   return statement;
--- a/src/version/stated_change.h
+++ b/src/version/stated_change.h
@@ -1,4 +1,4 @@
-// What an operator states: single changes to the configuration, as JSON.
+// An operator's request to change the configuration, as JSON.
 //
 //   {"note": "...", "changes": [
 //     {"upsert_contract": {contract}},   {"remove_contract": "id"},
@@ -77,15 +77,15 @@
 struct Statement {
   std::vector<StatedChange> changes;
   std::string note;
-  // Instead of changes: go back to what was in force at this revision.
+  // Set instead of `changes`: revision to roll back to.
   std::optional<base::Revision> rollback_to;
 };
 
 std::optional<Statement> ParseStatement(std::string_view text,
                                         CodecFault* fault);
 
-// Makes the changes in order. Returns false with the place of the first that
-// cannot be made; the configuration is then of no use.
+// Applies the changes in order. On failure returns false with the location of
+// the failed change, and the configuration is left partially changed.
 bool ApplyStatement(const Statement& statement,
                     Configuration* configuration,
                     CodecFault* fault);
