--- a/src/process/avoidance_sharing.cc
+++ b/src/process/avoidance_sharing.cc
@@ -19,7 +19,7 @@
 using request::passthrough::EngineKey;
 
 constexpr std::uint64_t kVersion = 1;
-// Of one message; an instance that avoids more tells the first.
+// Engines in one message; further ones are left out.
 constexpr std::size_t kMaxEngines = 200;
 constexpr std::uint64_t kMaxMillis = 60'000;
 constexpr connection::CborLimits kLimits{.max_bytes = 4096,
--- a/src/process/avoidance_sharing.h
+++ b/src/process/avoidance_sharing.h
@@ -1,8 +1,7 @@
-// Tells the other instances of a large availability zone which targets this one
-// has found to fail, and hears them (peer_avoidance).
+// Shares failing targets between instances (see peer_avoidance.h).
 //
-// A target is named when this instance begins to avoid it, once, with the time
-// for which it does: nothing is told while nothing fails.
+// An instance sends a target and the remaining time once, when it begins to
+// avoid the target or extends that time; nothing is sent while no target fails.
 #ifndef LYNXGLADE_PROCESS_AVOIDANCE_SHARING_H_
 #define LYNXGLADE_PROCESS_AVOIDANCE_SHARING_H_
 
@@ -23,24 +22,26 @@
 namespace lynxglade::process {
 
 struct AvoidanceSharingOptions {
-  // What fails is told within so long.
+  // Interval at which newly avoided targets are sent.
   base::Duration period = std::chrono::milliseconds(100);
-  // Fewer instances each see a target often enough themselves; and one that
-  // fails a part of its requests would be avoided by all, all the time.
+  // With fewer peers nothing is sent: each instance sees a target often enough
+  // itself, and a target that fails only some requests would be avoided by all
+  // permanently.
   std::size_t min_peers = 8;
 };
 
-// An array of the version and [engine, milliseconds] of each.
+// Encodes a CBOR array of the version and, for each engine, [engine, remaining
+// milliseconds]. Engines beyond the maximum are left out.
 std::string EncodeAvoided(
     const std::vector<request::passthrough::AvoidedEngine>& avoided);
-// Nothing if it is not that.
+// Returns nullopt for malformed bytes.
 std::optional<std::vector<request::passthrough::AvoidedEngine>> DecodeAvoided(
     std::string_view bytes);
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: runs on the event loop.
 class AvoidanceSharing {
  public:
-  // `peers`: the instances that are told.
+  // `peers` returns the instances to send to.
   AvoidanceSharing(const request::passthrough::EngineTable& engines,
                    request::passthrough::PeerAvoidance& avoidance,
                    PeerDatagrams& datagrams,
@@ -50,7 +51,7 @@
   AvoidanceSharing(const AvoidanceSharing&) = delete;
   AvoidanceSharing& operator=(const AvoidanceSharing&) = delete;
 
-  // Tells and hears while the socket is open.
+  // Starts to send, while the socket is open, and to receive.
   void Start();
 
  private:
@@ -63,7 +64,7 @@
   const std::function<std::vector<InstancePeer>()> peers_;
   const AvoidanceSharingOptions options_;
   const base::Clock clock_;
-  // Until when the others know each to be avoided.
+  // The end of avoidance last sent, by engine.
   std::map<request::passthrough::EngineKey, base::Time> sent_until_;
 };
 
--- a/src/process/change_messages.cc
+++ b/src/process/change_messages.cc
@@ -16,13 +16,13 @@
 
 using nlohmann::json;
 
-// The message: [version, revision, [change...]]; a change: [key, revision,
-// value], or [key, revision] for a key that is gone.
+// Message: [version, revision, [change...]]. Change: [key, revision, value], or
+// [key, revision] for a deletion.
 constexpr std::uint64_t kVersion = 1;
 constexpr std::size_t kParts = 3;
 constexpr std::size_t kDeletionParts = 2;
 constexpr std::size_t kMaxKeyBytes = 200;
-// Keys, revisions and markers beside the values, and changes in one message.
+// Changes in one message.
 constexpr std::size_t kMaxChanges = 1000;
 constexpr connection::CborLimits kLimits{
     .max_bytes = kMaxRelayedBytes + kMaxChanges * (kMaxKeyBytes + 32),
--- a/src/process/change_messages.h
+++ b/src/process/change_messages.h
@@ -1,5 +1,4 @@
-// What changed in the store, as one instance tells another: CBOR, versioned
-// and bounded.
+// Encoding of store changes between instances: CBOR, versioned and bounded.
 #ifndef LYNXGLADE_PROCESS_CHANGE_MESSAGES_H_
 #define LYNXGLADE_PROCESS_CHANGE_MESSAGES_H_
 
@@ -12,16 +11,16 @@
 
 namespace lynxglade::process {
 
-// Values of one message together. A relay on a link of 20 Mbit/s passes this
-// much to thirty instances in 0.4 s; who needs more asks the store, whose link
-// is fifty times as fast.
+// Limit on the total size of the values of one message. Keeps the time short
+// in which a relay sends it to all instances of its zone; larger changes are
+// read from the store, which has a faster link.
 inline constexpr std::size_t kMaxRelayedBytes = std::size_t{32} * 1024;
 
-// Nothing if the values are larger than a message may hold.
+// Returns nullopt if the values or the number of changes exceed the limits.
 std::optional<std::string> EncodeChanges(const StoreItems& changes);
 
-// Nothing for what is not such a message of this version, whole and within its
-// bounds, with revisions that do not exceed the one it is as of.
+// Returns nullopt for malformed, truncated or oversized bytes, for another
+// version, and for changes newer than the message's own revision.
 std::optional<StoreItems> DecodeChanges(std::string_view bytes);
 
 }  // namespace lynxglade::process
--- a/src/process/endpoint.h
+++ b/src/process/endpoint.h
@@ -1,4 +1,4 @@
-// An IP address and a port, as settings give them.
+// An IP address and a port, as given in settings.
 #ifndef LYNXGLADE_PROCESS_ENDPOINT_H_
 #define LYNXGLADE_PROCESS_ENDPOINT_H_
 
@@ -12,8 +12,8 @@
   int port = 0;
 };
 
-// Reads "1.2.3.4:80" or "[::1]:80"; nothing when the address is not a number
-// or the port is not in 0..65535.
+// Parses "1.2.3.4:80" or "[::1]:80". Returns nullopt for host names and for
+// ports outside 0..65535.
 std::optional<Endpoint> ParseEndpoint(const std::string& text);
 
 }  // namespace lynxglade::process
--- a/src/process/entry_settings.cc
+++ b/src/process/entry_settings.cc
@@ -34,7 +34,7 @@
       };
 }
 
-// A whole number or a fraction, in any form of the C library.
+// Parses any form of number that strtod accepts.
 std::optional<double> ParseNumber(const std::string& text,
                                   double min_value,
                                   double max_value) {
@@ -65,7 +65,7 @@
   };
 }
 
-// Seconds: platforms state their bounds as whole numbers or as fractions.
+// Accepts fractions of seconds, as platforms may pass them.
 OptionParser SecondsParser(base::Duration EntrySettings::* member,
                            double min_value,
                            double max_value) {
@@ -86,40 +86,44 @@
        IdParser(&EntrySettings::instance)},
       {"zone", "", true, "availability zone of this instance",
        IdParser(&EntrySettings::zone)},
-      {"listen", "", true, "where callers connect",
+      {"listen", "", true, "address and port for callers",
        EndpointParser(&EntrySettings::listen)},
       {"health-listen", "", true,
-       "where readiness is asked for and metrics are read",
+       "address and port for readiness checks and metrics",
        EndpointParser(&EntrySettings::health_listen)},
-      {"store", "", true, "the platform's key-value store",
+      {"store", "", true, "address and port of the platform's key-value store",
        EndpointParser(&EntrySettings::store)},
       {"peer-listen", "", false,
-       "where other instances send datagrams on their requests; without it "
-       "this instance knows of its own only",
+       "address and port for messages of other instances; without it this "
+       "instance uses only its own observations",
        EndpointParser(&EntrySettings::peer_listen)},
       {"log-level", "info", false, "debug, info, warning or error",
        LogLevelParser(&EntrySettings::log_level)},
       {"max-connections", "1500", false,
-       "caller connections at a time; further ones are closed",
+       "maximum number of concurrent caller connections; further ones are "
+       "closed",
        IntegerParser<std::int64_t>(&EntrySettings::max_connections, 1,
                                    kMaxConnections)},
-      {"stop-grace", "8", false, "seconds from SIGTERM to the end, at most",
+      {"stop-grace", "8", false, "maximum seconds from SIGTERM to exit",
        SecondsParser(&EntrySettings::stop_grace, kMinSeconds, kMaxSeconds)},
       {"order-quiet-ms", "4500", false,
-       "milliseconds from taking authority over the engines to the first "
-       "order; more than the platform's bound on turns between holders",
+       "milliseconds from acquiring the authority over engines to the first "
+       "order; more than the platform's minimum gap between two holders",
        IntegerParser<std::chrono::milliseconds>(
            &EntrySettings::order_takeover_delay, 1, 600'000)},
       {"retry-ratio", "0.2", false,
-       "arrivals at targets beyond the first of each request, for each "
-       "request, that all instances together may make",
+       "arrivals at targets beyond the first of each request, per request, "
+       "over all instances",
        NumberParser(&EntrySettings::retry_ratio, 0, 10)},
       {"decode-share", "0.25", false,
-       "part of a service's engines that generate; the others read prompts",
+       "minimum fraction of a service's engines that decode; the others "
+       "prefill",
        NumberParser(&EntrySettings::decode_share, 0, 1)},
-      {"retry-allowance", "50", false, "and so many more",
+      {"retry-allowance", "50", false,
+       "such arrivals per window that are allowed in addition to the ratio",
        NumberParser(&EntrySettings::retry_allowance, 0, kMaxAllowance)},
-      {"retry-window", "10", false, "in so many seconds",
+      {"retry-window", "10", false,
+       "sliding window of the retry budget, in seconds",
        SecondsParser(&EntrySettings::retry_window, kMinSeconds, kMaxSeconds)},
   };
 }
@@ -132,7 +136,7 @@
   const auto settings = ParseOptions<EntrySettings>(
       "One entry instance of lynxglade on a platform whose store holds the "
       "targets and the configuration. Each flag can be given by the "
-      "environment variable named in parentheses; the flag goes first.",
+      "environment variable named in parentheses; the flag takes precedence.",
       AllOptions(), argc, argv, fault);
   if (!settings || !fault->lines.empty()) {
     return std::nullopt;
--- a/src/process/entry_settings.h
+++ b/src/process/entry_settings.h
@@ -1,5 +1,5 @@
-// Settings of an entry instance whose platform's store holds the targets and
-// the configuration (`lynxgladed entry`): flags, each with its environment
+// Settings of an entry instance whose store holds the targets and the
+// configuration (`lynxgladed entry`). Each is a flag with an environment
 // variable.
 #ifndef LYNXGLADE_PROCESS_ENTRY_SETTINGS_H_
 #define LYNXGLADE_PROCESS_ENTRY_SETTINGS_H_
@@ -18,28 +18,30 @@
 struct EntrySettings {
   base::InstanceId instance;
   base::ZoneId zone;
-  // Where callers connect.
+  // Listener for callers.
   Endpoint listen;
-  // Where readiness is asked for and metrics are read.
+  // Listener for readiness checks and metrics.
   Endpoint health_listen;
   Endpoint store;
-  // Where this instance hears the others; they are told where in the store.
+  // Listener for messages of other instances; published in the store.
   std::optional<Endpoint> peer_listen;
   base::LogLevel log_level = base::LogLevel::kInfo;
   std::size_t max_connections = 1500;
-  // From SIGTERM to the end, at most.
+  // Maximum time from SIGTERM to exit.
   base::Duration stop_grace = std::chrono::seconds(8);
-  // From taking authority over the engines to the first order.
+  // Time from acquiring the authority over engines to the first order.
   base::Duration order_takeover_delay = std::chrono::milliseconds(4500);
-  // The part of a service's engines that generate; the others read prompts.
+  // Minimum fraction of a service's engines that decode; the others prefill.
   double decode_share = 0.25;
-  // What the fleet of instances may send beyond the first arrival of each
-  // request, in a sliding window.
+  // Retry budget of all instances together, in a sliding window: ratio times
+  // the requests, plus the allowance.
   double retry_ratio = 0.2;
   double retry_allowance = 50;
   base::Duration retry_window = std::chrono::seconds(10);
 };
 
+// Reads argv, then the environment. Returns nullopt and fills `*fault` if a
+// setting is missing or invalid, or if --help or --version was handled.
 std::optional<EntrySettings> ParseEntrySettings(int argc,
                                                 const char* const* argv,
                                                 SettingsFault* fault);
--- a/src/process/option_table.h
+++ b/src/process/option_table.h
@@ -1,7 +1,7 @@
-// Settings as a table: one row a flag, with its environment variable, its
-// default and how its text is read.
+// Parses command-line flags and environment variables by a table of options.
 //
-// Included only by the .cc files that hold such a table: it brings TCLAP in.
+// Include only from .cc files that define such a table, as this header includes
+// TCLAP.
 #ifndef LYNXGLADE_PROCESS_OPTION_TABLE_H_
 #define LYNXGLADE_PROCESS_OPTION_TABLE_H_
 
@@ -29,13 +29,13 @@
 
 namespace lynxglade::process {
 
-// Takes the text into the settings; returns what is allowed when it cannot.
+// Parses the text into the settings. Returns nullopt on success, else a
+// description of the expected values.
 template <typename S>
 using OptionParser =
     std::function<std::optional<std::string>(S&, const std::string&)>;
 
-// One setting: its flag, its default as text, whether it must be given, and
-// how it is read.
+// One setting.
 template <typename S>
 struct Option {
   std::string flag;
@@ -45,7 +45,7 @@
   OptionParser<S> parse;
 };
 
-// LYNXGLADE_LISTEN for "listen".
+// Returns "LYNXGLADE_LISTEN" for "listen".
 inline std::string EnvironmentName(const std::string& flag) {
   std::string name = "LYNXGLADE_";
   std::ranges::transform(flag, std::back_inserter(name), [](unsigned char c) {
@@ -63,7 +63,8 @@
   return text + " (" + EnvironmentName(option.flag) + ")";
 }
 
-// The flag's text, else the variable's, else the default.
+// Returns the text of the flag, else of the environment variable, else the
+// default.
 template <typename S>
 std::string ResolveText(const Option<S>& option,
                         const TCLAP::ValueArg<std::string>& arg) {
@@ -88,14 +89,14 @@
     return;
   }
   if (const auto expected = option.parse(settings, text)) {
-    fault.lines.push_back(name + ": '" + text + "' is not allowed; give " +
+    fault.lines.push_back(name + ": invalid value '" + text + "'; expected " +
                           *expected);
   }
 }
 
-// --- Readers that tables share ----------------------------------------------
+// --- Parsers shared by the tables -------------------------------------------
 
-// An IP number and a port, into an Endpoint or an optional one.
+// Parses an IP address and a port into an Endpoint or an optional one.
 template <typename S, typename T>
 OptionParser<S> EndpointParser(T S::* member) {
   return [member](S& settings,
@@ -109,7 +110,7 @@
   };
 }
 
-// A whole number of `Unit`, into any member that can be made of it.
+// Parses an integer number of `Unit` into any member that converts from it.
 template <typename Unit, typename S, typename T>
 OptionParser<S> IntegerParser(T S::* member,
                               std::int64_t min_value,
@@ -139,9 +140,9 @@
   };
 }
 
-// --- Reading a command line --------------------------------------------------
+// --- Command line -----------------------------------------------------------
 
-// "--flag=value" as the two words that the library takes.
+// Splits "--flag=value" into the two words that TCLAP expects.
 inline std::vector<std::string> SplitAssignments(int argc,
                                                  const char* const* argv) {
   std::vector<std::string> words;
@@ -158,8 +159,9 @@
   return words;
 }
 
-// Reads argv, then the environment, then the defaults. Each fault is one line;
-// nothing is returned if there is any.
+// Reads argv, then the environment, then the defaults. Invalid values are added
+// to `fault->lines`, which the caller must check. Returns nullopt if argv
+// cannot be parsed or --help or --version was handled.
 template <typename S>
 std::optional<S> ParseOptions(const std::string& title,
                               const std::vector<Option<S>>& options,
@@ -168,7 +170,7 @@
                               SettingsFault* fault) {
   TCLAP::CmdLine command(title, ' ', "0.1.0");
   command.setExceptionHandling(false);
-  // The library keeps pointers to the arguments and prints them in reverse.
+  // TCLAP keeps pointers to the arguments and prints them in reverse order.
   std::deque<TCLAP::ValueArg<std::string>> args;
   for (auto it = options.rbegin(); it != options.rend(); ++it) {
     args.emplace_front("", it->flag, HelpText(*it), false, "", "value",
--- a/src/process/prefill_sharing.cc
+++ b/src/process/prefill_sharing.cc
@@ -19,7 +19,7 @@
 using request::passthrough::PeerPrefill;
 
 constexpr std::uint64_t kReportVersion = 1;
-// Of one report; an instance with more under way tells the first.
+// Prefills in one report; further ones are left out.
 constexpr std::size_t kMaxPrefills = 200;
 constexpr connection::CborLimits kLimits{.max_bytes = 4096,
                                          .max_depth = 2,
--- a/src/process/prefill_sharing.h
+++ b/src/process/prefill_sharing.h
@@ -1,7 +1,7 @@
-// Tells the other instances what this one has engines read, and hears them.
+// Exchanges reports of the prefill work that each instance has at engines.
 //
-// Ten reports a second to each. Where there are many instances only those of
-// one availability zone tell each other; the rest is taken to be like them.
+// In a large fleet instances exchange reports only within their availability
+// zone, and the result is scaled up to the whole fleet.
 #ifndef LYNXGLADE_PROCESS_PREFILL_SHARING_H_
 #define LYNXGLADE_PROCESS_PREFILL_SHARING_H_
 
@@ -25,24 +25,24 @@
   base::InstanceId instance;
   base::ZoneId zone;
   base::Duration period = std::chrono::milliseconds(100);
-  // With more instances than this, those of other zones are not told: each
-  // would hear over 160 reports a second, and bytes between zones are dear.
+  // With more instances than this, reports stay within the zone, to limit the
+  // number of datagrams and the traffic between zones.
   std::size_t max_cross_zone_instances = 16;
 };
 
-// The form of a report: a CBOR array of its version and one [engine, priority,
-// tokens] a read.
+// Encodes a report: a CBOR array of the version and, for each prefill,
+// [engine, priority, tokens]. Prefills beyond the maximum are left out.
 std::string EncodePrefills(
     const std::vector<request::passthrough::PeerPrefill>& prefills);
-// Nothing if it is not that.
+// Returns nullopt for malformed bytes.
 std::optional<std::vector<request::passthrough::PeerPrefill>> DecodePrefills(
     std::string_view bytes);
 
-// The instances that this one tells and hears.
+// The peers that this instance exchanges reports with.
 std::vector<InstancePeer> SharingPeers(const std::vector<InstancePeer>& all,
                                        const PrefillSharingOptions& options);
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: runs on the event loop.
 class PrefillSharing {
  public:
   PrefillSharing(const request::passthrough::EngineTable& engines,
@@ -54,7 +54,7 @@
   PrefillSharing(const PrefillSharing&) = delete;
   PrefillSharing& operator=(const PrefillSharing&) = delete;
 
-  // Tells and hears while the socket is open.
+  // Starts to send reports, while the socket is open, and to receive them.
   void Start();
 
  private:
@@ -67,7 +67,8 @@
   PeerDatagrams& datagrams_;
   const PrefillSharingOptions options_;
   const base::Clock clock_;
-  // Whether the last report named a read; the next then says that none is left.
+  // Whether the last report was not empty. If so an empty one is sent next, to
+  // clear it.
   bool reported_any_ = false;
 };
 
--- a/src/process/prefix_follower.h
+++ b/src/process/prefix_follower.h
@@ -1,5 +1,5 @@
-// Follows all keys under a prefix of the store: lists, then watches, and lists
-// again when the watch breaks or its history is gone.
+// Tracks all keys under a prefix of the store: lists them, then watches for
+// changes, and lists again when the watch fails.
 #ifndef LYNXGLADE_PROCESS_PREFIX_FOLLOWER_H_
 #define LYNXGLADE_PROCESS_PREFIX_FOLLOWER_H_
 
@@ -18,43 +18,42 @@
 
 struct PrefixFollowerOptions {
   std::string prefix;
-  // A watch that hears nothing returns after this; a silent connection is
-  // noticed a little later. Each return is a call that counts.
+  // Long-poll wait of a watch. Longer means fewer calls to the store, and later
+  // detection of a dead connection.
   base::Duration watch_timeout = std::chrono::milliseconds(3000);
-  // After changes, before the next watch: what changes meanwhile comes in one
-  // answer. When many targets change at once this is most of what all
-  // instances ask of the store. Must be set.
+  // Delay after changes before the next watch, so that further changes arrive
+  // in one response. Limits the calls when many targets change at once.
+  // Required.
   std::function<base::Duration()> batch_delay;
-  // Between tries while the store fails: from the first to the second, with
-  // up to as much again at random, so that instances do not return together.
-  // An instance that was cut off has to know what changed within three seconds
-  // of the cut's end, two of which it waits for entries that lapsed.
+  // Bounds of the exponential backoff while the store fails; random jitter of
+  // up to the same amount is added. Short, as changes must be known within
+  // three seconds of the end of an outage.
   base::Duration min_retry_delay = std::chrono::milliseconds(100);
   base::Duration max_retry_delay = std::chrono::milliseconds(250);
 };
 
 struct PrefixFollowerHooks {
-  // The whole list.
+  // The complete listing.
   std::function<void(const std::vector<StoreItem>&)> on_list;
-  // One change, in order.
+  // One change; called in revision order.
   std::function<void(const StoreItem&)> on_change;
-  // The store answers after it was away (not after a watch that was merely
-  // cut); called before on_list.
+  // The store responds again after an outage (a closed watch connection alone
+  // is none); called before on_list.
   std::function<void()> on_recovered;
 };
 
-// Hooks for a part of the keys that a follower follows.
+// Hooks for the keys under one prefix.
 struct PrefixHandler {
   std::string prefix;
   PrefixFollowerHooks hooks;
 };
 
-// Gives each part the keys under its prefix and leaves out all others. One
-// follower for several prefixes makes one call where several would make one
-// each.
+// Returns hooks that pass to each handler the keys under its prefix and ignore
+// all others, so that one follower, and one call at a time, serves several
+// prefixes.
 PrefixFollowerHooks DispatchByPrefix(std::vector<PrefixHandler> handlers);
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: runs on the event loop.
 class PrefixFollower {
  public:
   PrefixFollower(connection::event::asio::io_context& loop,
@@ -70,13 +69,14 @@
   // Runs until the loop ends. The follower must outlive it.
   connection::event::Awaitable<void> Run();
 
-  // Since the store was last heard; nothing before the first list.
+  // Time since the last successful list or watch; empty before the first
+  // listing.
   std::optional<base::Duration> Age() const;
 
  private:
-  // Lists; false if the store failed.
+  // Lists the prefix; returns false if the store failed.
   connection::event::Awaitable<bool> List();
-  // Watches until something breaks.
+  // Watches until a call fails.
   connection::event::Awaitable<void> Watch();
   connection::event::Awaitable<void> BackOff();
   void RecordFault(const char* call, StoreFault fault);
@@ -88,7 +88,7 @@
   const base::Clock clock_;
   const base::RandomSource random_;
   base::Metrics& metrics_;
-  // The store has failed in a way that a cut watch alone does not explain.
+  // A call has failed in a way that a closed watch connection does not explain.
   bool unavailable_ = false;
   int consecutive_failures_ = 0;
   base::Revision revision_;
--- a/src/process/settings.cc
+++ b/src/process/settings.cc
@@ -16,7 +16,7 @@
 
 constexpr std::string_view kUrlScheme = "http://";
 constexpr std::size_t kMaxSeedPeers = 32;
-// What a lease must leave for giving orders.
+// Minimum part of a lease in which orders can be sent.
 constexpr base::Duration kMinOrderTime = std::chrono::seconds(5);
 
 using OptionParser = process::OptionParser<Settings>;
@@ -80,7 +80,7 @@
 
 std::optional<std::string> ParseRoutingPolicy(Settings& settings,
                                               const std::string& text) {
-  // Names in the code have underscores, flags have hyphens.
+  // Policy names use underscores, flag values hyphens.
   std::string name = text;
   std::ranges::replace(name, '-', '_');
   if (!request::ParseRoutePolicy(name, &settings.routing_policy)) {
@@ -131,18 +131,20 @@
        "no-affinity) are for comparison",
        ParseRoutingPolicy},
       {"max-connections", "1200", false,
-       "caller connections served at a time; further ones are refused",
+       "maximum number of concurrent caller connections; further ones are "
+       "rejected",
        IntegerParser<std::int64_t>(&Settings::max_connections, 1, 20'000)},
       {"default-deadline", "60", false,
-       "seconds until an answer is late, when neither caller nor contract says",
+       "deadline of a request in seconds if neither caller nor contract sets "
+       "one",
        IntegerParser<std::chrono::seconds>(&Settings::default_deadline, 1,
                                            3600)},
       {"lease-ttl", "30", false,
-       "seconds for which authority over a zone's engines is held",
+       "lease duration, in seconds, of the authority over a zone's engines",
        IntegerParser<std::chrono::seconds>(&Settings::lease_ttl, 2, 300)},
       {"engine-idle-timeout", "10", false,
        "seconds after which engines close an idle connection; bounds how long "
-       "an order of a paused process can stay under way",
+       "an order of a paused process can stay in flight",
        IntegerParser<std::chrono::seconds>(&Settings::engine_idle_timeout, 1,
                                            600)},
       {"role-change-time", "5", false,
@@ -170,8 +172,8 @@
   if (settings.lease_ttl < settings.engine_idle_timeout + kMinOrderTime) {
     fault.lines.emplace_back(
         "--lease-ttl must exceed --engine-idle-timeout by at least 5 seconds: "
-        "no order is given in the part of a lease in which an earlier one may "
-        "still be under way");
+        "no order is sent in the part of a lease in which an earlier one may "
+        "still be in flight");
   }
   const std::vector<const Endpoint*> endpoints = {
       &settings.listen, &settings.admin_listen, &settings.peer_listen};
@@ -196,7 +198,7 @@
                                       SettingsFault* fault) {
   const auto settings = ParseOptions<Settings>(
       "One entry instance of lynxglade. Each flag can be given by the "
-      "environment variable named in parentheses; the flag goes first.",
+      "environment variable named in parentheses; the flag takes precedence.",
       AllOptions(), argc, argv, fault);
   if (!settings) {
     return std::nullopt;
--- a/src/process/settings.h
+++ b/src/process/settings.h
@@ -1,4 +1,4 @@
-// The daemon's settings: flags, each with its environment variable.
+// Settings of the daemon. Each is a flag with an environment variable.
 #ifndef LYNXGLADE_PROCESS_SETTINGS_H_
 #define LYNXGLADE_PROCESS_SETTINGS_H_
 
@@ -23,13 +23,14 @@
   Endpoint listen;
   Endpoint admin_listen;
   Endpoint peer_listen;
-  // Where to look for peers while the instance list names none.
+  // Initial peers while the instance list is empty.
   std::vector<Endpoint> seed_peers;
   // "http://address:port" of the platform's services.
   std::string kv_url;
   std::string instance_list_url;
   std::string weight_store_url;
-  // Key of the operator who may act while none is configured; may be empty.
+  // Operator key that is accepted while no operator is configured; may be
+  // empty.
   std::string bootstrap_operator_key;
   base::LogLevel log_level = base::LogLevel::kInfo;
   request::RoutePolicy routing_policy = request::RoutePolicy::kDefault;
@@ -44,7 +45,8 @@
 };
 
 // Reads argv, then the environment (LYNXGLADE_LISTEN for --listen, and so on);
-// a flag goes before its variable.
+// a flag takes precedence. Returns nullopt and fills `*fault` if a setting is
+// missing or invalid, or if --help or --version was handled.
 std::optional<Settings> ParseSettings(int argc,
                                       const char* const* argv,
                                       SettingsFault* fault);
--- a/src/process/settings_fault.h
+++ b/src/process/settings_fault.h
@@ -1,4 +1,4 @@
-// Why settings were not taken.
+// Errors found while parsing settings.
 #ifndef LYNXGLADE_PROCESS_SETTINGS_FAULT_H_
 #define LYNXGLADE_PROCESS_SETTINGS_FAULT_H_
 
@@ -7,10 +7,10 @@
 
 namespace lynxglade::process {
 
-// One line a fault, each naming the flag and what is allowed.
+// One line per error, with the flag and the expected values.
 struct SettingsFault {
   std::vector<std::string> lines;
-  // --help or --version was asked for and printed: not a fault.
+  // --help or --version was printed; not an error.
   bool handled = false;
 };
 
--- a/src/process/store_items.h
+++ b/src/process/store_items.h
@@ -1,4 +1,4 @@
-// What the platform's store holds, as far as an entry instance reads it.
+// Items of the platform's key-value store, as read by an entry instance.
 #ifndef LYNXGLADE_PROCESS_STORE_ITEMS_H_
 #define LYNXGLADE_PROCESS_STORE_ITEMS_H_
 
@@ -13,11 +13,11 @@
   std::string key;
   std::string value;
   base::Revision revision;
-  // The key is gone; `value` is empty.
+  // The key was deleted; `value` is empty.
   bool deleted = false;
 };
 
-// Items and the revision that they are as of.
+// Items, and the store revision at which they were read.
 struct StoreItems {
   std::vector<StoreItem> items;
   base::Revision revision;
--- a/src/process/store_port.h
+++ b/src/process/store_port.h
@@ -1,8 +1,7 @@
-// The platform's key-value store, as far as an entry instance uses it.
+// Interface of the platform's key-value store for entry instances.
 //
-// The store keeps the operator's configuration, the targets' entries and the
-// instances' own presence. Implemented by the platform's adapter; a test
-// writes its own.
+// The store holds the operator's configuration, the targets' entries and the
+// instances' own keys. Implemented by the platform adapter.
 #ifndef LYNXGLADE_PROCESS_STORE_PORT_H_
 #define LYNXGLADE_PROCESS_STORE_PORT_H_
 
@@ -18,40 +17,40 @@
 
 namespace lynxglade::process {
 
-// Why a call to the store did not do what it was for.
+// Why a call to the store failed.
 enum class StoreFault {
-  // No answer in time: down, slow or cut off. A write may still take effect.
+  // No response in time. A write may still take effect.
   kTimeout,
-  // The connection was refused or ended. A write may have taken effect.
+  // The connection was refused or closed. A write may have taken effect.
   kClosed,
-  // Refused for now (overload, or this instance is turned away).
+  // Rejected for now: overload, or a rate limit of this instance.
   kBusy,
-  // The history after that revision is gone; list again.
+  // The history after the revision has been compacted; list again.
   kHistoryGone,
-  // The lease has ended.
+  // The lease has expired or was revoked.
   kNoLease,
   // The condition of a write did not hold.
   kConflict,
-  // An answer that cannot be read.
+  // The response could not be decoded.
   kMalformed,
 };
 std::string_view ToString(StoreFault fault) noexcept;
 
-// How new a list has to be.
+// How current a listing has to be.
 enum class Freshness {
-  // As of the call.
+  // At least as new as the call.
   kCurrent,
-  // It may be seconds old, costs the platform a tenth, and is not held against
-  // its rates: for instances that start, hundreds of them at a time. A watch
-  // from the revision that it is as of tells what it missed.
+  // May be seconds old. Far cheaper for the platform and exempt from its rate
+  // limits, for hundreds of instances that start together. A watch from the
+  // listing's revision returns the changes that it lacks.
   kMayBeStale,
 };
 
 using LeaseId = base::StrongNumber<struct LeaseIdTag, std::int64_t>;
 
-// What the store holds and how it changes; told by the store, or by another
-// instance that watches it. All calls return nothing and set `*fault` on
-// failure. Not thread-safe: on the event loop.
+// Source of listings and changes: the store, or another instance that watches
+// it. On failure all calls return nullopt and set `*fault`. Not thread-safe:
+// runs on the event loop.
 class ChangeSource {
  public:
   template <typename T>
@@ -59,34 +58,33 @@
 
   virtual ~ChangeSource() = default;
 
-  // Every item under the prefix.
+  // Returns all items under the prefix.
   virtual Result<StoreItems> List(std::string prefix,
                                   Freshness freshness,
                                   StoreFault* fault) = 0;
-  // Changes after a revision, in order; waits up to `wait` for the first.
-  // An empty list is no failure.
+  // Returns the changes after a revision, in revision order; waits up to `wait`
+  // for the first. No change within `wait` is not a failure.
   virtual Result<StoreItems> Watch(std::string prefix,
                                    base::Revision after,
                                    base::Duration wait,
                                    StoreFault* fault) = 0;
 };
 
-// The store itself. Calls fail as those of ChangeSource do.
+// The store itself. Reports failures as ChangeSource does.
 class StorePort : public ChangeSource {
  public:
   virtual Result<LeaseId> GrantLease(base::Duration ttl, StoreFault* fault) = 0;
   virtual Result<LeaseId> RenewLease(LeaseId lease, StoreFault* fault) = 0;
-  // Ends the lease and removes its keys.
+  // Revokes the lease, which deletes its keys.
   virtual Result<LeaseId> RevokeLease(LeaseId lease, StoreFault* fault) = 0;
-  // The key as it is now; an item marked deleted if there is none.
+  // Returns the current item, or one marked as deleted if the key is missing.
   virtual Result<StoreItem> Get(std::string key, StoreFault* fault) = 0;
-  // Writes a key that does not exist yet and goes when the lease ends;
-  // kConflict if it exists.
+  // Creates a key bound to the lease; kConflict if it exists.
   virtual Result<base::Revision> Create(std::string key,
                                         std::string value,
                                         LeaseId lease,
                                         StoreFault* fault) = 0;
-  // Writes a key that goes when the lease ends.
+  // Writes a key bound to the lease.
   virtual Result<base::Revision> Put(std::string key,
                                      std::string value,
                                      LeaseId lease,
--- a/tests/process/avoidance_sharing_test.cc
+++ b/tests/process/avoidance_sharing_test.cc
@@ -20,7 +20,7 @@
 
 const base::TargetId kEngine("e1");
 
-RC_GTEST_PROP(AvoidedMessages, AreReadAsTheyWereWritten, ()) {
+RC_GTEST_PROP(AvoidedMessages, RoundTrip, ()) {
   std::vector<AvoidedEngine> avoided;
   const int n = *rc::gen::inRange(0, 100);
   for (int i = 0; i < n; ++i) {
@@ -33,7 +33,7 @@
 }
 
 RC_GTEST_PROP(AvoidedMessages,
-              BytesOfAnotherOriginAreRefusedOrBounded,
+              ArbitraryBytesAreRejectedOrBounded,
               (std::string bytes)) {
   std::string message = EncodeAvoided({{7, milliseconds(500)}});
   message[*rc::gen::inRange<std::size_t>(0, message.size())] =
@@ -50,8 +50,8 @@
   }
 }
 
-// Two instances that are told of as many peers as a test says; that of the
-// others there are none makes no difference here.
+// Two instances. Each gets a peer list of `peers_` entries, all of them the
+// other instance.
 class AvoidanceSharingTest : public PeerTest {
  protected:
   struct Instance : PeerParts {
@@ -74,7 +74,7 @@
     }
 
     EngineTable engines;
-    // One observer is enough here: there is no other.
+    // There is only one other instance to observe the failure.
     PeerAvoidance avoidance{
         {.min_observers = 1, .max_duration = std::chrono::hours(1)}};
     AvoidanceSharing sharing;
@@ -89,7 +89,7 @@
     const InstancePeer other = name == "first" ? second_.Peer() : first_.Peer();
     return std::vector<InstancePeer>(peers_, other);
   }
-  // At the first instance, so often that nothing here takes as long.
+  // Makes the first instance avoid the engine for longer than a test runs.
   void Fail() {
     for (int i = 0; i < 5; ++i) {
       first_.engines.Find(kEngine)->health.OnFailure(base::BootClock::now());
@@ -101,7 +101,7 @@
   Instance second_{*this, "second"};
 };
 
-TEST_F(AvoidanceSharingTest, WhatFailsIsToldOnce) {
+TEST_F(AvoidanceSharingTest, FailingTargetIsSentOnce) {
   Fail();
   RunUntil(loop_, [this] {
     return second_.avoidance.Avoided(kEngine, base::BootClock::now());
@@ -113,8 +113,8 @@
   EXPECT_EQ(second_.Datagrams("sent"), 0);
 }
 
-// In a small fleet each sees enough itself.
-TEST_F(AvoidanceSharingTest, AFewInstancesAreNotTold) {
+// In a small fleet each instance observes enough failures itself.
+TEST_F(AvoidanceSharingTest, SmallFleetSendsNothing) {
   peers_ = 7;
   Fail();
   for (int i = 0; i < 100; ++i) {
--- a/tests/process/change_messages_test.cc
+++ b/tests/process/change_messages_test.cc
@@ -14,7 +14,7 @@
 namespace lynxglade::process {
 namespace {
 
-RC_GTEST_PROP(ChangeMessages, AreReadAsTheyWereWritten, ()) {
+RC_GTEST_PROP(ChangeMessages, RoundTrip, ()) {
   StoreItems changes;
   changes.revision = base::Revision(1'000'000);
   const int n = *rc::gen::inRange(0, 30);
@@ -42,7 +42,7 @@
 }
 
 RC_GTEST_PROP(ChangeMessages,
-              BytesOfAnotherOriginAreRefusedOrBounded,
+              ArbitraryBytesAreRejectedOrConsistent,
               (std::string bytes)) {
   const auto read = DecodeChanges(bytes);
   const auto in_order = [&read] {
@@ -53,7 +53,7 @@
   RC_ASSERT((!read || in_order()));
 }
 
-RC_GTEST_PROP(ChangeMessages, ACutMessageIsRefused, ()) {
+RC_GTEST_PROP(ChangeMessages, TruncatedMessageIsRejected, ()) {
   const auto bytes = EncodeChanges(Changes(1, 5));
   const auto n = *rc::gen::inRange<std::size_t>(0, bytes->size());
   RC_ASSERT(!DecodeChanges(std::string_view(*bytes).substr(0, n)));
--- a/tests/process/entry_settings_test.cc
+++ b/tests/process/entry_settings_test.cc
@@ -32,7 +32,7 @@
   return words;
 }
 
-TEST(EntrySettings, TakesFlagsInBothForms) {
+TEST(EntrySettings, AcceptsBothFlagForms) {
   SettingsFault fault;
   const auto settings =
       Parse(With({"--stop-grace", "5", "--retry-ratio=0.1"}), &fault);
@@ -42,14 +42,14 @@
   EXPECT_DOUBLE_EQ(settings->retry_ratio, 0.1);
 }
 
-TEST(EntrySettings, EachMissingSettingIsNamed) {
+TEST(EntrySettings, ReportsEachMissingSetting) {
   SettingsFault fault;
   EXPECT_FALSE(Parse({"lynxgladed"}, &fault));
   EXPECT_EQ(fault.lines.size(), 5U);
   EXPECT_NE(fault.lines[0].find("LYNXGLADE_INSTANCE_ID"), std::string::npos);
 }
 
-TEST(EntrySettings, ABadValueIsNamedWithWhatIsAllowed) {
+TEST(EntrySettings, ReportsInvalidValueWithItsFlag) {
   for (const auto& [flag, value] :
        std::vector<std::pair<std::string, std::string>>{
            {"--stop-grace", "0"},
@@ -65,10 +65,9 @@
   }
 }
 
-// Platforms state bounds as whole numbers or fractions; a deployment whose
-// allowance was 33.1578947368421 did not start.
+// Guards against rejecting fractional bounds, which prevents the start.
 RC_GTEST_PROP(EntrySettings,
-              BoundsAreWholeNumbersOrFractions,
+              AcceptsWholeAndFractionalBounds,
               (unsigned whole, unsigned parts)) {
   const double value = 1 + whole % 3000 + (parts % 10'000) / 10'000.0;
   const auto text = *rc::gen::element(
@@ -88,7 +87,7 @@
   RC_ASSERT(std::abs(read - std::stod(text)) < 1e-3);
 }
 
-TEST(EntrySettings, AFractionOfTheAllowanceIsKept) {
+TEST(EntrySettings, KeepsFractionOfAllowance) {
   SettingsFault fault;
   const auto settings =
       Parse(With({"--retry-allowance", "33.1578947368421"}), &fault);
@@ -96,8 +95,8 @@
   EXPECT_DOUBLE_EQ(settings->retry_allowance, 33.1578947368421);
 }
 
-// The platform fills in nothing for a bound that it does not state.
-TEST(EntrySettings, AnEmptyVariableLeavesTheDefault) {
+// The platform sets an empty variable for a bound that it does not define.
+TEST(EntrySettings, EmptyVariableKeepsTheDefault) {
   ASSERT_EQ(setenv("LYNXGLADE_RETRY_ALLOWANCE", "", 1), 0);
   SettingsFault fault;
   const auto settings = Parse(kRequired, &fault);
@@ -106,7 +105,7 @@
   EXPECT_DOUBLE_EQ(settings->retry_allowance, EntrySettings().retry_allowance);
 }
 
-TEST(EntrySettings, AnUnknownFlagIsAFault) {
+TEST(EntrySettings, ReportsUnknownFlag) {
   SettingsFault fault;
   EXPECT_FALSE(Parse(With({"--nonsense", "1"}), &fault));
   EXPECT_EQ(fault.lines.size(), 1U);
--- a/tests/process/fake_store_port.cc
+++ b/tests/process/fake_store_port.cc
@@ -12,18 +12,18 @@
 using connection::event::Into;
 namespace asio = connection::event::asio;
 
-// Far more than any wait in these tests.
-constexpr auto kGiveUp = std::chrono::seconds(20);
+// Far longer than any wait in these tests.
+constexpr auto kTestTimeout = std::chrono::seconds(20);
 
 }  // namespace
 
 void RunUntil(asio::io_context& loop, const std::function<bool()>& done) {
-  const auto end = std::chrono::steady_clock::now() + kGiveUp;
+  const auto end = std::chrono::steady_clock::now() + kTestTimeout;
   while (!done()) {
     loop.restart();
     loop.run_one_until(end);
     if (std::chrono::steady_clock::now() >= end) {
-      FAIL() << "what was waited for has not come about";
+      FAIL() << "condition not met within 20 s";
     }
   }
 }
--- a/tests/process/fake_store_port.h
+++ b/tests/process/fake_store_port.h
@@ -1,4 +1,4 @@
-// The platform's store in memory, for tests on one event loop.
+// An in-memory key-value store for tests on one event loop.
 #ifndef LYNXGLADE_TESTS_PROCESS_FAKE_STORE_PORT_H_
 #define LYNXGLADE_TESTS_PROCESS_FAKE_STORE_PORT_H_
 
@@ -14,42 +14,42 @@
 
 namespace lynxglade::process {
 
-// Runs the loop until `done`, or fails the test after a generous time.
+// Runs the loop until `done` returns true; fails the test after a timeout.
 void RunUntil(connection::event::asio::io_context& loop,
               const std::function<bool()>& done);
 
-// Runs what is ready now, without waiting.
+// Runs all ready handlers without waiting.
 void RunReady(connection::event::asio::io_context& loop);
 
 class FakeStorePort : public StorePort {
  public:
   explicit FakeStorePort(connection::event::asio::io_context& loop);
 
-  // --- The platform's side.
+  // --- Control of the store by tests.
   void Write(const std::string& key,
              const std::string& value,
              LeaseId lease = LeaseId(0));
   void Remove(const std::string& key);
-  // The lease ends and its keys go.
+  // Expires the lease and deletes its keys.
   void Expire(LeaseId lease);
-  // Watches from before now get kHistoryGone.
+  // Compacts the history: watches from earlier revisions get kHistoryGone.
   void Compact();
-  // While set, each call fails so.
+  // Makes every call fail with `fault`; nullopt ends this.
   void Fail(std::optional<StoreFault> fault);
-  // Waiting watches end now, as cut connections.
+  // Ends waiting watches, as a closed connection does.
   void CutWatches();
-  // The next write takes effect and its answer is lost.
+  // The next write takes effect, but its response is lost.
   void LoseNextAnswer() { lose_next_answer_ = true; }
 
   int lists() const noexcept { return lists_; }
-  // Of which the caller took an answer that may lag.
+  // Listings that were allowed to be stale.
   int lagging_lists() const noexcept { return lagging_lists_; }
   int watches() const noexcept { return watches_; }
   const std::map<std::string, StoreItem>& items() const noexcept {
     return items_;
   }
 
-  // --- The port.
+  // --- StorePort:
   Result<StoreItems> List(std::string prefix,
                           Freshness freshness,
                           StoreFault* fault) override;
--- a/tests/process/made_changes.h
+++ b/tests/process/made_changes.h
@@ -1,4 +1,4 @@
-// Changes of the store, made up for tests.
+// Builders of store changes for tests.
 #ifndef LYNXGLADE_TESTS_PROCESS_MADE_CHANGES_H_
 #define LYNXGLADE_TESTS_PROCESS_MADE_CHANGES_H_
 
@@ -9,7 +9,7 @@
 
 namespace lynxglade::process {
 
-// One of five keys, written at that revision.
+// A write of one of five keys at the revision.
 inline StoreItem Item(std::int64_t revision, const std::string& value = "v") {
   StoreItem item;
   item.key = "k" + std::to_string(revision % 5);
@@ -18,7 +18,7 @@
   return item;
 }
 
-// One change a revision, `from` to `to`.
+// One change per revision, from `from` to `to`.
 inline StoreItems Changes(std::int64_t from, std::int64_t to) {
   StoreItems changes;
   changes.revision = base::Revision(to);
--- a/tests/process/prefill_sharing_test.cc
+++ b/tests/process/prefill_sharing_test.cc
@@ -21,7 +21,7 @@
 
 const base::TargetId kEngine("e1");
 
-RC_GTEST_PROP(PrefillReport, WhatIsWrittenIsRead, ()) {
+RC_GTEST_PROP(PrefillReport, RoundTrip, ()) {
   std::vector<PeerPrefill> prefills;
   const int n = *rc::gen::inRange(0, 50);
   for (int i = 0; i < n; ++i) {
@@ -34,7 +34,7 @@
   RC_ASSERT(*read == prefills);
 }
 
-RC_GTEST_PROP(PrefillReport, AnyBytesAreTakenOrRefused, ()) {
+RC_GTEST_PROP(PrefillReport, CorruptedBytesAreRejectedOrBounded, ()) {
   std::string bytes = EncodePrefills({{1, 2, 3}, {4, 5, 6'000'000}});
   const int changes = *rc::gen::inRange(1, 6);
   for (int i = 0; i < changes; ++i) {
@@ -45,7 +45,7 @@
   RC_ASSERT((!prefills || prefills->size() <= 200U));
 }
 
-TEST(PrefillReport, OtherVersionsAreRefused) {
+TEST(PrefillReport, OtherVersionsAreRejected) {
   EXPECT_FALSE(DecodePrefills("\x81\x02"));
   EXPECT_TRUE(DecodePrefills("\x81\x01"));
   EXPECT_FALSE(DecodePrefills(""));
@@ -56,7 +56,7 @@
           Udp::endpoint(asio::ip::address_v4::loopback(), 1)};
 }
 
-TEST(SharingPeers, AFewInstancesTellAllOthers) {
+TEST(SharingPeers, SmallFleetSharesAcrossZones) {
   const std::vector<InstancePeer> all{Peer("a1", "a"), Peer("a2", "a"),
                                       Peer("b1", "b")};
   const PrefillSharingOptions options{.instance = base::InstanceId("a1"),
@@ -64,9 +64,9 @@
   EXPECT_EQ(SharingPeers(all, options).size(), 2U);
 }
 
-// 79 instances would hear 780 reports a second each, and four of five would
-// cross zones.
-TEST(SharingPeers, ManyTellTheirZone) {
+// Guards against each instance receiving hundreds of reports per second, most
+// of them from other zones.
+TEST(SharingPeers, LargeFleetSharesWithinTheZone) {
   std::vector<InstancePeer> all;
   for (int i = 0; i < 79; ++i) {
     all.push_back(Peer("i" + std::to_string(i), "z" + std::to_string(i % 5)));
@@ -104,7 +104,7 @@
   };
 };
 
-TEST_F(PrefillSharingTest, EachKnowsWhatTheOtherHasRead) {
+TEST_F(PrefillSharingTest, PeerSeesAndClearsPrefillTokens) {
   Instance a(*this, "a");
   Instance b(*this, "b");
   StartPeers({&a, &b});
@@ -117,7 +117,7 @@
   RunUntil(loop_, [&] { return b.Heard() == 0; });
 }
 
-TEST_F(PrefillSharingTest, WhoIsNotInTheStoreIsNotHeard) {
+TEST_F(PrefillSharingTest, DatagramFromUnknownEndpointIsIgnored) {
   Instance a(*this, "a");
   StartPeers({&a});
   a.sharing.Start();
@@ -132,7 +132,7 @@
   EXPECT_EQ(a.Heard(), 0);
 }
 
-TEST_F(PrefillSharingTest, APortThatIsTakenIsNamed) {
+TEST_F(PrefillSharingTest, StartReportsPortInUse) {
   Instance a(*this, "a");
   StartPeers({&a});
   PeerDatagrams taken(loop_, a.presence, a.endpoint, a.metrics);
--- a/tests/process/prefix_follower_test.cc
+++ b/tests/process/prefix_follower_test.cc
@@ -72,9 +72,9 @@
   EXPECT_EQ(returned_, 0);
 }
 
-// A key that went while the history was dropped is not kept for ever, and a
-// watch that was merely cut is no outage: nothing gets a grace.
-TEST_F(PrefixFollowerTest, ListsAgainWhenTheHistoryIsGone) {
+// Guards against keeping a key that was deleted in compacted history, and
+// against reporting the failed watch as an outage.
+TEST_F(PrefixFollowerTest, ListsAgainAfterCompaction) {
   store_.Write("servers/a", "1");
   Start();
   store_.Remove("servers/a");
@@ -84,14 +84,14 @@
   EXPECT_EQ(returned_, 0);
 }
 
-TEST_F(PrefixFollowerTest, ACutWatchIsNoOutage) {
+TEST_F(PrefixFollowerTest, ClosedWatchIsNoOutage) {
   Start();
   store_.CutWatches();
   RunUntil(loop_, [this] { return store_.lists() == 2; });
   EXPECT_EQ(returned_, 0);
 }
 
-TEST_F(PrefixFollowerTest, SaysWhenTheStoreIsBack) {
+TEST_F(PrefixFollowerTest, ReportsRecoveryAfterBusyStore) {
   store_.Write("servers/a", "1");
   Start();
   store_.Fail(StoreFault::kBusy);
@@ -101,7 +101,7 @@
   RunUntil(loop_, [this] { return returned_ == 1; });
 }
 
-TEST_F(PrefixFollowerTest, AnswersThatDoNotComeAreAnOutage) {
+TEST_F(PrefixFollowerTest, ReportsRecoveryAfterTimeouts) {
   Start();
   store_.Fail(StoreFault::kTimeout);
   RunUntil(loop_, [this] { return store_.lists() >= 2; });
@@ -112,7 +112,7 @@
             0U);
 }
 
-TEST(DispatchByPrefix, EachPartSeesItsKeys) {
+TEST(DispatchByPrefix, EachHandlerSeesItsKeys) {
   std::vector<std::string> seen;
   int returned = 0;
   const auto part = [&](const std::string& prefix) {
--- a/tests/process/settings_test.cc
+++ b/tests/process/settings_test.cc
@@ -34,7 +34,7 @@
   return ParseSettings(static_cast<int>(args.size()), args.data(), fault);
 }
 
-TEST(SettingsTest, FlagsGoBeforeVariablesAndVariablesBeforeDefaults) {
+TEST(SettingsTest, FlagsOverrideVariablesAndVariablesOverrideDefaults) {
   auto args = GoodArguments();
   ::setenv("LYNXGLADE_ZONE", "other", 1);
   ::setenv("LYNXGLADE_MAX_CONNECTIONS", "17", 1);
@@ -49,7 +49,7 @@
   EXPECT_EQ(settings->listen.port, 1);
 }
 
-TEST(SettingsTest, EveryFaultIsNamedWithWhatIsAllowed) {
+TEST(SettingsTest, ReportsInvalidValueWithExpectedValues) {
   struct Case {
     std::vector<const char*> added;
     std::string named;
@@ -78,7 +78,7 @@
   }
 }
 
-TEST(SettingsTest, EveryRoutingPolicyThatIsNamedIsTaken) {
+TEST(SettingsTest, AcceptsEveryRoutingPolicy) {
   for (const char* policy :
        {"default", "random", "round-robin", "least-reported", "no-affinity"}) {
     auto args = GoodArguments();
@@ -88,14 +88,14 @@
   }
 }
 
-TEST(SettingsTest, MissingSettingsAreAllNamed) {
+TEST(SettingsTest, ReportsAllMissingSettings) {
   SettingsFault fault;
   EXPECT_FALSE(Parse({"lynxgladed", "--zone", "z1"}, &fault));
   EXPECT_EQ(fault.lines.size(), 7u);
   EXPECT_NE(fault.lines[0].find("LYNXGLADE_INSTANCE_ID"), std::string::npos);
 }
 
-TEST(SettingsTest, SamePortTwiceIsAContradiction) {
+TEST(SettingsTest, RejectsDuplicateListener) {
   auto args = GoodArguments();
   args[8] = "127.0.0.1:1";
   SettingsFault fault;
@@ -103,7 +103,7 @@
   EXPECT_NE(fault.lines[0].find("must differ"), std::string::npos);
 }
 
-TEST(SettingsTest, EndpointsAreIpNumbersOnly) {
+TEST(SettingsTest, EndpointsRequireIpAddresses) {
   EXPECT_TRUE(ParseEndpoint("127.0.0.1:0"));
   EXPECT_TRUE(ParseEndpoint("[::1]:80"));
   EXPECT_FALSE(ParseEndpoint("localhost:80"));
