--- a/tests/main/entry_views_test.cc
+++ b/tests/main/entry_views_test.cc
@@ -82,7 +82,7 @@
         store_.Compact();
         break;
       case 7:
-        store_.CutWatches();
+        store_.CloseWatches();
         break;
       case 8:
         store_.Fail(Draw(2) == 0 ? StoreFault::kTimeout : StoreFault::kBusy);
--- a/tests/process/fake_store_port.cc
+++ b/tests/process/fake_store_port.cc
@@ -83,8 +83,8 @@
   Wake();
 }
 
-void FakeStorePort::CutWatches() {
-  ++cuts_;
+void FakeStorePort::CloseWatches() {
+  ++closes_;
   Wake();
 }
 
@@ -115,7 +115,7 @@
                                                   Freshness freshness,
                                                   StoreFault* fault) {
   ++lists_;
-  lagging_lists_ += freshness == Freshness::kMayBeStale ? 1 : 0;
+  stale_lists_ += freshness == Freshness::kMayBeStale ? 1 : 0;
   if (Failing(fault)) {
     co_return std::nullopt;
   }
@@ -134,12 +134,12 @@
                                                    base::Duration wait,
                                                    StoreFault* fault) {
   ++watches_;
-  const int cuts = cuts_;
+  const int closes = closes_;
   while (true) {
     if (Failing(fault)) {
       co_return std::nullopt;
     }
-    if (cuts != cuts_) {
+    if (closes != closes_) {
       *fault = StoreFault::kClosed;
       co_return std::nullopt;
     }
@@ -221,7 +221,7 @@
     co_return std::nullopt;
   }
   Write(key, value, lease);
-  if (std::exchange(lose_next_answer_, false)) {
+  if (std::exchange(lose_next_response_, false)) {
     *fault = StoreFault::kTimeout;
     co_return std::nullopt;
   }
--- a/tests/process/fake_store_port.h
+++ b/tests/process/fake_store_port.h
@@ -37,13 +37,13 @@
   // Makes every call fail with `fault`; nullopt ends this.
   void Fail(std::optional<StoreFault> fault);
   // Ends waiting watches, as a closed connection does.
-  void CutWatches();
+  void CloseWatches();
   // The next write takes effect, but its response is lost.
-  void LoseNextAnswer() { lose_next_answer_ = true; }
+  void LoseNextResponse() { lose_next_response_ = true; }
 
   int lists() const noexcept { return lists_; }
   // Listings that were allowed to be stale.
-  int lagging_lists() const noexcept { return lagging_lists_; }
+  int stale_lists() const noexcept { return stale_lists_; }
   int watches() const noexcept { return watches_; }
   const std::map<std::string, StoreItem>& items() const noexcept {
     return items_;
@@ -85,10 +85,10 @@
   std::int64_t next_lease_ = 1;
   base::Revision compacted_{0};
   std::optional<StoreFault> failing_;
-  bool lose_next_answer_ = false;
-  int cuts_ = 0;
+  bool lose_next_response_ = false;
+  int closes_ = 0;
   int lists_ = 0;
-  int lagging_lists_ = 0;
+  int stale_lists_ = 0;
   int watches_ = 0;
   connection::event::asio::steady_timer changed_;
 };
--- a/tests/process/order_authority_test.cc
+++ b/tests/process/order_authority_test.cc
@@ -117,7 +117,7 @@
 }
 
 TEST_F(OrderAuthorityTest, AcquisitionWithLostResponseIsFoundInListing) {
-  store_.LoseNextAnswer();
+  store_.LoseNextResponse();
   Acquire(one_);
   EXPECT_TRUE(ConfirmHeld(one_));
 }
--- a/tests/process/order_schedules_test.cc
+++ b/tests/process/order_schedules_test.cc
@@ -105,7 +105,7 @@
     } else if (draw < 77) {
       store_.Remove(kKey);
     } else if (draw < 78) {
-      store_.LoseNextAnswer();
+      store_.LoseNextResponse();
     } else if (draw < 80) {
       store_.Expire(*instance.presence.lease());
       RunUntil(loop_, [&] { return instance.presence.lease().has_value(); });
--- a/tests/process/prefix_follower_test.cc
+++ b/tests/process/prefix_follower_test.cc
@@ -86,7 +86,7 @@
 
 TEST_F(PrefixFollowerTest, ClosedWatchIsNoOutage) {
   Start();
-  store_.CutWatches();
+  store_.CloseWatches();
   RunUntil(loop_, [this] { return store_.lists() == 2; });
   EXPECT_EQ(returned_, 0);
 }
--- a/tests/process/watch_sharing_test.cc
+++ b/tests/process/watch_sharing_test.cc
@@ -239,7 +239,7 @@
 TEST_F(WatchSharingTest, StartingInstancesAcceptAStaleListing) {
   StartZone(30);
   EXPECT_EQ(store_.lists(), 30);
-  EXPECT_EQ(store_.lagging_lists(), 30);
+  EXPECT_EQ(store_.stale_lists(), 30);
 }
 
 TEST_F(WatchSharingTest, BacksOffFromSilentRelaysAndQueriesTheStore) {
@@ -324,7 +324,7 @@
         store_.Compact();
         break;
       case 2:
-        store_.CutWatches();
+        store_.CloseWatches();
         break;
       case 3:
         store_.Fail(draw(2) == 0 ? StoreFault::kTimeout : StoreFault::kBusy);
