--- a/src/request/relay_run.cc
+++ b/src/request/relay_run.cc
@@ -258,7 +258,7 @@
                                      AttemptReport report) const {
   if (out_of_sequence_) {
     report.end = AttemptEnd::kBadAnswer;
-    report.message = "tokens out of sequence";
+    report.message = "received tokens out of sequence";
     return report;
   }
   const bool overdue = report.end == AttemptEnd::kCancelledByCaller &&
@@ -273,7 +273,9 @@
                              !report.plain;
   if (counts_tokens && delivery_.offset() != report.usage.completion) {
     report.end = AttemptEnd::kBadAnswer;
-    report.message = "number of tokens differs from the reported usage";
+    report.message = "received " + std::to_string(delivery_.offset().value()) +
+                     " tokens, but the reported usage is " +
+                     std::to_string(report.usage.completion.value());
   }
   return report;
 }
