--- a/src/request/passthrough/relay.h
+++ b/src/request/passthrough/relay.h
@@ -59,7 +59,7 @@
   // come back together.
   base::Duration retry_after = std::chrono::milliseconds(300);
   double retry_after_of_time_left = 0.1;
-  // If neither the route nor the caller sets a timeout.
+  // For callers that state no timeout; a shorter timeout of the route applies.
   base::Duration default_timeout = std::chrono::seconds(30);
 };
 
--- a/src/request/passthrough/shared_retry_budget.h
+++ b/src/request/passthrough/shared_retry_budget.h
@@ -10,8 +10,8 @@
 //
 // A loan is deducted from the lender from when it is granted until no window
 // can contain an arrival that it paid for. Shares together thus never exceed
-// the budget, even if loans are lost, late or, between instances, repeated; a
-// loan that does not arrive is not spent.
+// the budget, even if loans are lost or late; a loan that does not arrive is
+// not spent. A repeated loan message must not reach Borrow() twice.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_SHARED_RETRY_BUDGET_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_SHARED_RETRY_BUDGET_H_
 
