--- a/bench/config_slopes.cc
+++ b/bench/config_slopes.cc
@@ -19,10 +19,10 @@
 #include "base/random.h"
 #include "connection/key_value.h"
 #include "fakes/fake_kv.h"
+#include "version/change_request.h"
 #include "version/config_store.h"
 #include "version/config_tracker.h"
 #include "version/plan_service.h"
-#include "version/stated_change.h"
 
 namespace lynxglade {
 namespace {
@@ -85,11 +85,11 @@
     return hooks;
   }
 
-  bool Put(const version::Statement& statement) {
+  bool Put(const version::ChangeRequest& statement) {
     const version::Caller caller{
         base::OperatorId("bench"), version::OperatorRole::kFleet, {}};
     version::PlanFault fault;
-    const auto plan = plans.State(statement, caller, &fault);
+    const auto plan = plans.Create(statement, caller, &fault);
     if (!plan) {
       std::fprintf(stderr, "plan refused: %s\n", fault.message.c_str());
       return false;
@@ -104,8 +104,8 @@
   version::PlanService plans;
 };
 
-version::Statement Services() {
-  version::Statement statement;
+version::ChangeRequest Services() {
+  version::ChangeRequest statement;
   for (int i = 0; i < kModels; ++i) {
     version::ServiceSpec spec;
     spec.name = base::ServiceName("llm-" + std::to_string(i));
@@ -119,7 +119,7 @@
     return false;
   }
   for (int n = 0; n < contracts; n += kContractsPerStep) {
-    version::Statement statement;
+    version::ChangeRequest statement;
     for (int i = n; i < std::min(n + kContractsPerStep, contracts); ++i) {
       statement.changes.emplace_back(
           version::UpsertContract{MakeContract(i, contracts, 0)});
@@ -192,7 +192,7 @@
   service.calls.clear();
   const auto begun = Stopwatch::now();
   for (int i = 0; i < changes; ++i) {
-    version::Statement statement;
+    version::ChangeRequest statement;
     statement.changes.emplace_back(
         version::UpsertContract{MakeContract(i % contracts, contracts, i + 1)});
     if (!instance.Put(statement)) {
--- a/fuzz/statement.cc
+++ b/fuzz/statement.cc
@@ -1,8 +1,8 @@
 // What operators state: a change that can be made leaves a configuration that
 // can be written and read.
 #include "fuzz/check.h"
+#include "version/change_request.h"
 #include "version/configuration_codec.h"
-#include "version/stated_change.h"
 
 namespace {
 
@@ -31,13 +31,13 @@
                                       std::size_t size) {
   static const Configuration sample = Sample();
   CodecFault fault;
-  const auto statement = ParseStatement(fuzz::TextOf(data, size), &fault);
+  const auto statement = ParseChangeRequest(fuzz::TextOf(data, size), &fault);
   if (!statement) {
     fuzz::Check(fault.error != CodecError::kNone, "a refusal has a reason");
     return 0;
   }
   Configuration changed = sample;
-  if (!ApplyStatement(*statement, &changed, &fault) ||
+  if (!ApplyChangeRequest(*statement, &changed, &fault) ||
       !CheckConfiguration(changed, &fault)) {
     return 0;
   }
--- a/src/version/stated_change.cc
+++ b/src/version/change_request.cc
@@ -1,4 +1,4 @@
-#include "version/stated_change.h"
+#include "version/change_request.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,13 +17,13 @@
 // Reads the argument of one kind of change.
 using ReadChange = bool (*)(const json& value,
                             const std::string& where,
-                            StatedChange* out,
+                            RequestedChange* out,
                             CodecFault* fault);
 
 template <typename Change, auto kMember>
 bool ReadPart(const json& value,
               const std::string& where,
-              StatedChange* out,
+              RequestedChange* out,
               CodecFault* fault) {
   Change change;
   if (!details::FromJson(value, where, &(change.*kMember), fault)) {
@@ -36,7 +36,7 @@
 template <typename Change, auto kMember>
 bool ReadName(const json& value,
               const std::string& where,
-              StatedChange* out,
+              RequestedChange* out,
               CodecFault* fault) {
   if (!value.is_string() ||
       !details::IsId(value.get_ref<const std::string&>())) {
@@ -51,7 +51,7 @@
 
 bool ReadUpsertIntent(const json& value,
                       const std::string& where,
-                      StatedChange* out,
+                      RequestedChange* out,
                       CodecFault* fault) {
   if (!value.is_object()) {
     return Fail(fault, CodecError::kWrongType, where, "must be an object");
@@ -74,7 +74,7 @@
 
 bool ReadRemoveIntent(const json& value,
                       const std::string& where,
-                      StatedChange* out,
+                      RequestedChange* out,
                       CodecFault* fault) {
   JsonReader reader(value, where, fault);
   std::string contract;
@@ -91,7 +91,7 @@
 
 bool ReadSetPlanner(const json& value,
                     const std::string& where,
-                    StatedChange* out,
+                    RequestedChange* out,
                     CodecFault* fault) {
   JsonReader reader(value, where, fault);
   std::string service;
@@ -128,7 +128,7 @@
 
 bool ReadOneChange(const json& value,
                    const std::string& where,
-                   StatedChange* out,
+                   RequestedChange* out,
                    CodecFault* fault) {
   if (!value.is_object() || value.size() != 1) {
     return Fail(fault, CodecError::kWrongType, where,
@@ -231,43 +231,42 @@
 
 }  // namespace
 
-std::optional<Statement> ParseStatement(std::string_view text,
-                                        CodecFault* fault) {
+std::optional<ChangeRequest> ParseChangeRequest(std::string_view text,
+                                                CodecFault* fault) {
   json value;
-  if (!details::ParseObject(text, kMaxStatementBytes, &value, fault)) {
+  if (!details::ParseObject(text, kMaxChangeRequestBytes, &value, fault)) {
     return std::nullopt;
   }
-  Statement statement;
+  ChangeRequest request;
   JsonReader reader(value, "", fault);
-  reader.OptionalText("note", kMaxNoteBytes, &statement.note);
+  reader.OptionalText("note", kMaxNoteBytes, &request.note);
   reader.Each(
-      "changes", json::value_t::array, kMaxStatedChanges,
+      "changes", json::value_t::array, kMaxRequestedChanges,
       [&](const std::string&, const json& it, const std::string& where) {
-        return ReadOneChange(it, where, &statement.changes.emplace_back(),
-                             fault);
+        return ReadOneChange(it, where, &request.changes.emplace_back(), fault);
       });
   if (reader.Any("rollback_to") != nullptr) {
     std::int64_t revision = 0;
     reader.Integer("rollback_to", 0, INT64_MAX, &revision);
-    statement.rollback_to = base::Revision(revision);
+    request.rollback_to = base::Revision(revision);
   }
   if (!reader.Done()) {
     return std::nullopt;
   }
-  if (statement.changes.empty() == !statement.rollback_to) {
+  if (request.changes.empty() == !request.rollback_to) {
     Fail(fault, CodecError::kMissing, "/changes",
          "exactly one of changes and rollback_to is required");
     return std::nullopt;
   }
-  return statement;
+  return request;
 }
 
-bool ApplyStatement(const Statement& statement,
-                    Configuration* configuration,
-                    CodecFault* fault) {
+bool ApplyChangeRequest(const ChangeRequest& request,
+                        Configuration* configuration,
+                        CodecFault* fault) {
   std::size_t n = 0;
   return std::ranges::all_of(
-      statement.changes, [&](const StatedChange& change) {
+      request.changes, [&](const RequestedChange& change) {
         const std::string obstacle = std::visit(Apply{*configuration}, change);
         const std::string where = Below("/changes", std::to_string(n++));
         return obstacle.empty() ||
--- a/src/version/stated_change.h
+++ b/src/version/change_request.h
@@ -8,8 +8,8 @@
 //     {"set_planner": {"service", "role_change_price"?, "planner_enabled"?}},
 //     {"upsert_operator": {operator}},   {"remove_operator": "id"}]}
 // or {"rollback_to": revision}.
-#ifndef LYNXGLADE_VERSION_STATED_CHANGE_H_
-#define LYNXGLADE_VERSION_STATED_CHANGE_H_
+#ifndef LYNXGLADE_VERSION_CHANGE_REQUEST_H_
+#define LYNXGLADE_VERSION_CHANGE_REQUEST_H_
 
 #include <cstddef>
 #include <optional>
@@ -25,8 +25,8 @@
 
 namespace lynxglade::version {
 
-inline constexpr std::size_t kMaxStatementBytes = 1u << 20;
-inline constexpr std::size_t kMaxStatedChanges = 2'000;
+inline constexpr std::size_t kMaxChangeRequestBytes = 1u << 20;
+inline constexpr std::size_t kMaxRequestedChanges = 2'000;
 inline constexpr std::size_t kMaxNoteBytes = 1'000;
 
 struct UpsertContract {
@@ -64,32 +64,32 @@
   base::OperatorId op;
 };
 
-using StatedChange = std::variant<UpsertContract,
-                                  RemoveContract,
-                                  UpsertIntent,
-                                  RemoveIntent,
-                                  UpsertService,
-                                  RemoveService,
-                                  SetPlanner,
-                                  UpsertOperator,
-                                  RemoveOperator>;
+using RequestedChange = std::variant<UpsertContract,
+                                     RemoveContract,
+                                     UpsertIntent,
+                                     RemoveIntent,
+                                     UpsertService,
+                                     RemoveService,
+                                     SetPlanner,
+                                     UpsertOperator,
+                                     RemoveOperator>;
 
-struct Statement {
-  std::vector<StatedChange> changes;
+struct ChangeRequest {
+  std::vector<RequestedChange> changes;
   std::string note;
   // Set instead of `changes`: revision to roll back to.
   std::optional<base::Revision> rollback_to;
 };
 
-std::optional<Statement> ParseStatement(std::string_view text,
-                                        CodecFault* fault);
+std::optional<ChangeRequest> ParseChangeRequest(std::string_view text,
+                                                CodecFault* fault);
 
 // Applies the changes in order. On failure returns false with the location of
 // the failed change, and the configuration is left partially changed.
-bool ApplyStatement(const Statement& statement,
-                    Configuration* configuration,
-                    CodecFault* fault);
+bool ApplyChangeRequest(const ChangeRequest& request,
+                        Configuration* configuration,
+                        CodecFault* fault);
 
 }  // namespace lynxglade::version
 
-#endif  // LYNXGLADE_VERSION_STATED_CHANGE_H_
+#endif  // LYNXGLADE_VERSION_CHANGE_REQUEST_H_
--- a/src/version/intent_api.cc
+++ b/src/version/intent_api.cc
@@ -47,7 +47,7 @@
       return 503;
     case PlanError::kTooLarge:
       return 413;
-    case PlanError::kBadStatement:
+    case PlanError::kInvalidRequest:
     case PlanError::kOverCommitted:
     case PlanError::kNothingChanges:
     case PlanError::kLocksOut:
@@ -224,7 +224,7 @@
     if (read) {
       return ListPlans(caller);
     }
-    return write ? State(call, caller) : NoSuchPath();
+    return write ? CreatePlan(call, caller) : NoSuchPath();
   }
   std::string rest = call.path.substr(kPlansPath.size() + 1);
   if (write && rest.ends_with(kConfirmStep)) {
@@ -234,15 +234,17 @@
   return read ? ShowPlan(base::PlanId(std::move(rest)), caller) : NoSuchPath();
 }
 
-ApiAnswer IntentApi::State(const ApiCall& call, const Caller& caller) const {
+ApiAnswer IntentApi::CreatePlan(const ApiCall& call,
+                                const Caller& caller) const {
   CodecFault breach;
   PlanFault fault;
-  const std::optional<Statement> statement = ParseStatement(call.body, &breach);
+  const std::optional<ChangeRequest> request =
+      ParseChangeRequest(call.body, &breach);
   std::optional<Plan> plan;
-  if (statement) {
-    plan = plans_.State(*statement, caller, &fault);
+  if (request) {
+    plan = plans_.Create(*request, caller, &fault);
   } else {
-    fault = {PlanError::kBadStatement, breach.where, breach.message};
+    fault = {PlanError::kInvalidRequest, breach.where, breach.message};
   }
   metrics_
       .GetCounter(
@@ -268,7 +270,7 @@
       list.push_back({{"id", it.id.str()},
                       {"base", it.base.value()},
                       {"can_confirm", it.base == now},
-                      {"stated_by", it.stated_by.str()},
+                      {"stated_by", it.requested_by.str()},
                       {"note", it.note},
                       {"changes", it.changes.size()}});
     }
--- a/src/version/intent_api.h
+++ b/src/version/intent_api.h
@@ -47,7 +47,7 @@
   using Call = connection::ApiCall;
 
   Answer HandlePlans(const Call& call, const Caller& caller) const;
-  Answer State(const Call& call, const Caller& caller) const;
+  Answer CreatePlan(const Call& call, const Caller& caller) const;
   Answer ListPlans(const Caller& caller) const;
   Answer ShowPlan(const base::PlanId& id, const Caller& caller) const;
   Answer Confirm(const base::PlanId& id, const Caller& caller) const;
--- a/src/version/plan.cc
+++ b/src/version/plan.cc
@@ -164,7 +164,7 @@
                {"engines_touched", std::move(all.touched)},
                {"cost_engine_seconds", cost},
                {"warnings", std::move(all.warnings)},
-               {"stated_by", plan->stated_by.str()},
+               {"stated_by", plan->requested_by.str()},
                {"note", plan->note}};
   if (plan->rollback_to) {
     text["rollback_to"] = plan->rollback_to->value();
@@ -195,7 +195,7 @@
   switch (error) {
     case PlanError::kNone:
       return "none";
-    case PlanError::kBadStatement:
+    case PlanError::kInvalidRequest:
       return "bad_statement";
     case PlanError::kOverCommitted:
       return "over_committed";
@@ -221,15 +221,15 @@
 
 std::optional<Plan> MakePlan(const HeldConfiguration& held,
                              const Configuration& wanted,
-                             const Statement& statement,
-                             const base::OperatorId& stated_by,
+                             const ChangeRequest& request,
+                             const base::OperatorId& requested_by,
                              const FleetFacts& fleet,
                              PlanFault* fault) {
   CodecFault breach;
   if (!CheckConfiguration(wanted, &breach)) {
     const PlanError error = breach.error == CodecError::kOverCommitted
                                 ? PlanError::kOverCommitted
-                                : PlanError::kBadStatement;
+                                : PlanError::kInvalidRequest;
     return Refuse(fault, error, breach.where, breach.message);
   }
   if (LocksOut(*held.configuration, wanted)) {
@@ -246,9 +246,9 @@
                   "the request does not change the current configuration");
   }
   plan.changes = DescribeDelta(plan.delta);
-  plan.stated_by = stated_by;
-  plan.note = statement.note;
-  plan.rollback_to = statement.rollback_to;
+  plan.requested_by = requested_by;
+  plan.note = request.note;
+  plan.rollback_to = request.rollback_to;
   WriteText(wanted, fleet, &plan);
   if (plan.text.size() > kMaxPlanBytes ||
       EncodeChained(Chain(plan.delta, held.digest)).size() > kMaxDeltaBytes) {
@@ -268,12 +268,12 @@
   Plan plan;
   std::int64_t base = 0;
   std::string delta_text;
-  std::string stated_by;
+  std::string requested_by;
   details::JsonReader reader(value, "", &fault);
   reader.Integer("base", 0, INT64_MAX, &base);
   reader.OptionalText("base_digest", kMaxIdBytes, &plan.base_digest);
   reader.OptionalText("delta", kMaxDeltaBytes, &delta_text);
-  reader.Id("stated_by", &stated_by);
+  reader.Id("stated_by", &requested_by);
   reader.OptionalText("note", kMaxNoteBytes, &plan.note);
   if (reader.Any("rollback_to") != nullptr) {
     std::int64_t revision = 0;
@@ -289,7 +289,7 @@
   }
   plan.delta = std::move(*delta);
   plan.base = base::Revision(base);
-  plan.stated_by = base::OperatorId(std::move(stated_by));
+  plan.requested_by = base::OperatorId(std::move(requested_by));
   plan.text = std::string(text);
   plan.id = base::PlanId(Sha256Hex(text));
   return plan;
--- a/src/version/plan.h
+++ b/src/version/plan.h
@@ -15,17 +15,17 @@
 
 #include "base/ids.h"
 #include "base/units.h"
+#include "version/change_request.h"
 #include "version/config_delta.h"
 #include "version/config_head.h"
 #include "version/share_arithmetic.h"
-#include "version/stated_change.h"
 
 namespace lynxglade::version {
 
 enum class PlanError {
   kNone,
   // The request or the resulting configuration is invalid; see the fault.
-  kBadStatement,
+  kInvalidRequest,
   // The shares on a service would sum to more than 1.
   kOverCommitted,
   // The request leaves the configuration unchanged.
@@ -71,7 +71,7 @@
   std::string base_digest;
   ConfigDelta delta;
   std::vector<PlanChange> changes;
-  base::OperatorId stated_by;
+  base::OperatorId requested_by;
   std::string note;
   std::optional<base::Revision> rollback_to;
   // Canonical JSON that the id is computed from: the fields above, the share
@@ -90,8 +90,8 @@
 // `fault` when the change is invalid.
 std::optional<Plan> MakePlan(const HeldConfiguration& held,
                              const Configuration& wanted,
-                             const Statement& statement,
-                             const base::OperatorId& stated_by,
+                             const ChangeRequest& request,
+                             const base::OperatorId& requested_by,
                              const FleetFacts& fleet,
                              PlanFault* fault);
 
--- a/src/version/plan_service.cc
+++ b/src/version/plan_service.cc
@@ -111,33 +111,33 @@
   return true;
 }
 
-std::optional<Configuration> PlanService::Wanted(const Statement& statement,
+std::optional<Configuration> PlanService::Wanted(const ChangeRequest& request,
                                                  PlanFault* fault) const {
-  if (statement.rollback_to) {
-    return ConfigurationAt(*statement.rollback_to, fault);
+  if (request.rollback_to) {
+    return ConfigurationAt(*request.rollback_to, fault);
   }
   Configuration wanted = *tracker_.Get();
   CodecFault breach;
-  if (!ApplyStatement(statement, &wanted, &breach)) {
-    *fault = {PlanError::kBadStatement, breach.where, breach.message};
+  if (!ApplyChangeRequest(request, &wanted, &breach)) {
+    *fault = {PlanError::kInvalidRequest, breach.where, breach.message};
     return std::nullopt;
   }
   return wanted;
 }
 
-std::optional<Plan> PlanService::State(const Statement& statement,
-                                       const Caller& caller,
-                                       PlanFault* fault) {
+std::optional<Plan> PlanService::Create(const ChangeRequest& request,
+                                        const Caller& caller,
+                                        PlanFault* fault) {
   if (!Refresh(fault)) {
     return std::nullopt;
   }
   const HeldConfiguration held = tracker_.Held();
-  const std::optional<Configuration> wanted = Wanted(statement, fault);
+  const std::optional<Configuration> wanted = Wanted(request, fault);
   if (!wanted) {
     return std::nullopt;
   }
   std::optional<Plan> plan =
-      MakePlan(held, *wanted, statement, caller.id, hooks_.fleet(), fault);
+      MakePlan(held, *wanted, request, caller.id, hooks_.fleet(), fault);
   if (!plan) {
     return std::nullopt;
   }
@@ -230,7 +230,7 @@
   json audit = {{"revision", plan.delta.revision.value()},
                 {"plan", plan.id.str()},
                 {"confirmed_by", caller.id.str()},
-                {"stated_by", plan.stated_by.str()},
+                {"stated_by", plan.requested_by.str()},
                 {"note", plan.note},
                 {"at_ms", hooks_.wall_millis()},
                 {"changes", std::move(changes)},
--- a/src/version/plan_service.h
+++ b/src/version/plan_service.h
@@ -77,9 +77,9 @@
   PlanService& operator=(const PlanService&) = delete;
 
   // Makes a plan against the newest configuration and stores it.
-  std::optional<Plan> State(const Statement& statement,
-                            const Caller& caller,
-                            PlanFault* fault);
+  std::optional<Plan> Create(const ChangeRequest& request,
+                             const Caller& caller,
+                             PlanFault* fault);
   std::optional<Plan> Find(const base::PlanId& id, PlanFault* fault) const;
   // Pending plans, at most kMaxListedPlans.
   std::optional<std::vector<Plan>> List(PlanFault* fault) const;
@@ -95,7 +95,7 @@
 
  private:
   bool Refresh(PlanFault* fault) const;
-  std::optional<Configuration> Wanted(const Statement& statement,
+  std::optional<Configuration> Wanted(const ChangeRequest& request,
                                       PlanFault* fault) const;
   bool Save(const Plan& plan, PlanFault* fault) const;
   // Determines from the stored head whether the plan's outcome is already
--- a/tests/version/config_gossip_test.cc
+++ b/tests/version/config_gossip_test.cc
@@ -179,9 +179,9 @@
   }
 
   // States and confirms through one instance.
-  void Put(std::size_t i, const std::string& statement) {
+  void Put(std::size_t i, const std::string& request) {
     const auto made =
-        at(i).Handle({"POST", "/v1/admin/plans", {}, statement, "boot"});
+        at(i).Handle({"POST", "/v1/admin/plans", {}, request, "boot"});
     ASSERT_EQ(made.status, 201) << made.body;
     const std::string id = nlohmann::json::parse(made.body).at("id");
     const auto done = at(i).Handle(
--- a/tests/version/instance.h
+++ b/tests/version/instance.h
@@ -69,12 +69,12 @@
   Instance& at(std::size_t n) { return *instances[n]; }
 
   // States and confirms through one instance; the new revision.
-  base::Revision Put(std::size_t n, const std::string& statement) {
+  base::Revision Put(std::size_t n, const std::string& request) {
     PlanFault fault;
     CodecFault breach;
-    const auto parsed = ParseStatement(statement, &breach);
+    const auto parsed = ParseChangeRequest(request, &breach);
     EXPECT_TRUE(parsed) << breach.where << breach.message;
-    const auto plan = at(n).plans.State(*parsed, kFleetCaller, &fault);
+    const auto plan = at(n).plans.Create(*parsed, kFleetCaller, &fault);
     EXPECT_TRUE(plan) << fault.message;
     const auto result = at(n).plans.Confirm(plan->id, kFleetCaller);
     EXPECT_EQ(result.outcome, ConfirmOutcome::kInForce) << result.message;
--- a/tests/version/intent_api_test.cc
+++ b/tests/version/intent_api_test.cc
@@ -44,8 +44,8 @@
     return answer;
   }
   // States a plan and confirms it: the status of the step that ended it.
-  int Put(const std::string& key, const std::string& statement) {
-    const auto made = Call("POST", "/v1/admin/plans", key, statement);
+  int Put(const std::string& key, const std::string& request) {
+    const auto made = Call("POST", "/v1/admin/plans", key, request);
     if (made.status != 201) {
       return made.status;
     }
--- a/tests/version/plan_test.cc
+++ b/tests/version/plan_test.cc
@@ -63,12 +63,12 @@
     };
     if (plans.empty() || *rc::gen::inRange(0, 2) == 0) {
       CodecFault breach;
-      const auto statement = ParseStatement(
+      const auto request = ParseChangeRequest(
           ShareOf("parish", *rc::gen::inRange(1, 500) / 1000.0), &breach);
       PlanFault fault;
       break_service();
       if (const auto plan =
-              fixture.at(n).plans.State(*statement, kFleetCaller, &fault)) {
+              fixture.at(n).plans.Create(*request, kFleetCaller, &fault)) {
         plans.push_back(plan->id);
       }
       heal();
@@ -153,10 +153,12 @@
   fixture.Put(0, Basics());
   CodecFault breach;
   PlanFault fault;
-  const auto mine = fixture.at(1).plans.State(
-      *ParseStatement(ShareOf("parish", 0.1), &breach), kFleetCaller, &fault);
-  const auto theirs = fixture.at(2).plans.State(
-      *ParseStatement(ShareOf("parish", 0.2), &breach), kFleetCaller, &fault);
+  const auto mine = fixture.at(1).plans.Create(
+      *ParseChangeRequest(ShareOf("parish", 0.1), &breach), kFleetCaller,
+      &fault);
+  const auto theirs = fixture.at(2).plans.Create(
+      *ParseChangeRequest(ShareOf("parish", 0.2), &breach), kFleetCaller,
+      &fault);
   ASSERT_TRUE(mine && theirs);
   EXPECT_EQ(fixture.at(0).plans.Confirm(theirs->id, kFleetCaller).outcome,
             ConfirmOutcome::kInForce);
@@ -173,8 +175,9 @@
   fixture.Put(0, Basics());
   CodecFault breach;
   PlanFault fault;
-  const auto plan = fixture.at(0).plans.State(
-      *ParseStatement(ShareOf("parish", 0.1), &breach), kFleetCaller, &fault);
+  const auto plan = fixture.at(0).plans.Create(
+      *ParseChangeRequest(ShareOf("parish", 0.1), &breach), kFleetCaller,
+      &fault);
   std::string altered = plan->text;
   altered.replace(altered.find("0.1"), 3, "0.4");
   connection::KvError ec = connection::KvError::kNone;
@@ -189,8 +192,9 @@
   fixture.Put(0, Basics());
   CodecFault breach;
   PlanFault fault;
-  EXPECT_FALSE(fixture.at(0).plans.State(
-      *ParseStatement(ShareOf("parish", 0.6), &breach), kFleetCaller, &fault));
+  EXPECT_FALSE(fixture.at(0).plans.Create(
+      *ParseChangeRequest(ShareOf("parish", 0.6), &breach), kFleetCaller,
+      &fault));
   EXPECT_EQ(fault.error, PlanError::kOverCommitted);
 }
 
@@ -202,8 +206,9 @@
   fixture.Put(1, ShareOf("parish", 0.2));
   CodecFault breach;
   PlanFault fault;
-  const auto plan = fixture.at(1).plans.State(
-      *ParseStatement(ShareOf("parish", 0.3), &breach), kFleetCaller, &fault);
+  const auto plan = fixture.at(1).plans.Create(
+      *ParseChangeRequest(ShareOf("parish", 0.3), &breach), kFleetCaller,
+      &fault);
   ASSERT_TRUE(plan);
   fixture.kv.ApplyFaults({{"load_copy", true}});
 
@@ -212,8 +217,9 @@
   EXPECT_TRUE(holder.Refresh());
   EXPECT_TRUE(holder.tracker.service_is_behind());
   EXPECT_EQ(holder.tracker.Held().digest, digest);
-  EXPECT_FALSE(holder.plans.State(
-      *ParseStatement(ShareOf("parish", 0.4), &breach), kFleetCaller, &fault));
+  EXPECT_FALSE(
+      holder.plans.Create(*ParseChangeRequest(ShareOf("parish", 0.4), &breach),
+                          kFleetCaller, &fault));
   EXPECT_EQ(fault.error, PlanError::kNotReady);
   // An instance that holds less must not put its own state back.
   fixture.at(0).tracker.OfferHead(
