--- a/src/main/daemon_hooks.cc
+++ b/src/main/daemon_hooks.cc
@@ -122,7 +122,7 @@
 version::FleetFacts Daemon::Details::Fleet() const {
   version::FleetFacts facts;
   const std::chrono::duration<double> change = settings.role_change_time;
-  facts.seconds_per_change = change.count();
+  facts.seconds_per_reload = change.count();
   const auto index = registry.Index();
   std::ranges::transform(index->table().targets,
                          std::back_inserter(facts.targets),
--- a/src/version/plan.cc
+++ b/src/version/plan.cc
@@ -88,17 +88,18 @@
             {"engines", other_engines}}}};
 }
 
-json TouchedToJson(const TouchedEngine& it) {
-  return {{"target", it.now.id.str()},
+json ReloadToJson(const EngineReload& it) {
+  return {{"target", it.current.id.str()},
           {"from",
-           {{"model", it.now.model.str()}, {"version", it.now.version.str()}}},
+           {{"model", it.current.model.str()},
+            {"version", it.current.version.str()}}},
           {"to", {{"model", it.model.str()}, {"version", it.version.str()}}}};
 }
 
 // Share arithmetic of all affected services, with warnings.
 struct Arithmetic {
   json shares = json::array();
-  json touched = json::array();
+  json reloads = json::array();
   json warnings = json::array();
 };
 
@@ -126,8 +127,8 @@
     }
   }
   if (spec->second.engines) {
-    std::ranges::transform(TouchedEngines(shares, fleet.targets),
-                           std::back_inserter(all->touched), TouchedToJson);
+    std::ranges::transform(ComputeEngineReloads(shares, fleet.targets),
+                           std::back_inserter(all->reloads), ReloadToJson);
   }
 }
 
@@ -155,13 +156,13 @@
                Plan* plan) {
   Arithmetic all = Compute(wanted, plan->delta, fleet);
   const double cost =
-      static_cast<double>(all.touched.size()) * fleet.seconds_per_change;
+      static_cast<double>(all.reloads.size()) * fleet.seconds_per_reload;
   json text = {{"base", plan->base.value()},
                {"base_digest", plan->base_digest},
                {"delta", EncodeDelta(plan->delta)},
                {"changes", ChangesToJson(plan->changes)},
                {"shares", std::move(all.shares)},
-               {"engines_touched", std::move(all.touched)},
+               {"engines_touched", std::move(all.reloads)},
                {"cost_engine_seconds", cost},
                {"warnings", std::move(all.warnings)},
                {"stated_by", plan->requested_by.str()},
--- a/src/version/plan.h
+++ b/src/version/plan.h
@@ -83,7 +83,7 @@
 struct FleetFacts {
   std::vector<TargetFact> targets;
   // Time an engine is out of service while it loads another model.
-  double seconds_per_change = 30;
+  double seconds_per_reload = 30;
 };
 
 // Makes the plan that changes `held` into `wanted`. Returns nullopt and fills
--- a/src/version/share_arithmetic.cc
+++ b/src/version/share_arithmetic.cc
@@ -21,8 +21,8 @@
 
 }  // namespace
 
-std::vector<int> LargestRemainder(const std::vector<double>& shares,
-                                  int seats) {
+std::vector<int> AllocateByLargestRemainder(const std::vector<double>& shares,
+                                            int seats) {
   std::vector<int> dealt(shares.size());
   std::vector<double> remainders(shares.size());
   for (std::size_t i = 0; i < shares.size(); ++i) {
@@ -60,7 +60,7 @@
   std::ranges::transform(shares.lines, std::back_inserter(parts),
                          &ShareLine::share);
   parts.push_back(std::max(0.0, 1.0 - shares.sum));
-  const std::vector<int> dealt = LargestRemainder(parts, engines);
+  const std::vector<int> dealt = AllocateByLargestRemainder(parts, engines);
   for (std::size_t i = 0; i < shares.lines.size(); ++i) {
     shares.lines[i].engines = dealt[i];
   }
@@ -68,7 +68,7 @@
   return shares;
 }
 
-std::vector<TouchedEngine> TouchedEngines(
+std::vector<EngineReload> ComputeEngineReloads(
     const ServiceShares& wanted,
     const std::vector<TargetFact>& targets) {
   std::map<Load, int> missing;
@@ -87,14 +87,14 @@
       spare.push_back(it);
     }
   }
-  std::vector<TouchedEngine> touched;
+  std::vector<EngineReload> reloads;
   auto next = spare.begin();
   for (const auto& [load, n] : missing) {
     for (int i = 0; i < n && next != spare.end(); ++i, ++next) {
-      touched.push_back({*next, load.first, load.second});
+      reloads.push_back({*next, load.first, load.second});
     }
   }
-  return touched;
+  return reloads;
 }
 
 }  // namespace lynxglade::version
--- a/src/version/share_arithmetic.h
+++ b/src/version/share_arithmetic.h
@@ -34,7 +34,8 @@
 // Allocates `seats` in proportion to `shares` by the largest remainder method.
 // The result sums to `seats` when the shares sum to 1. Equal remainders favour
 // the lower index.
-std::vector<int> LargestRemainder(const std::vector<double>& shares, int seats);
+std::vector<int> AllocateByLargestRemainder(const std::vector<double>& shares,
+                                            int seats);
 
 // Allocates the engines of one service to the contracts' shares. The share not
 // covered by a contract takes part in the allocation as `free_engines`.
@@ -51,8 +52,8 @@
 };
 
 // An engine that has to load another model or version.
-struct TouchedEngine {
-  TargetFact now;
+struct EngineReload {
+  TargetFact current;
   base::ModelName model;
   base::ModelVersion version;
 };
@@ -60,7 +61,7 @@
 // Computes a minimal set of reloads that gives each model and version the
 // engines allocated to it. Engines that already run a required model keep it.
 // This is an estimate; the engines are chosen when the change is carried out.
-std::vector<TouchedEngine> TouchedEngines(
+std::vector<EngineReload> ComputeEngineReloads(
     const ServiceShares& wanted,
     const std::vector<TargetFact>& targets);
 
--- a/tests/version/plan_test.cc
+++ b/tests/version/plan_test.cc
@@ -266,7 +266,7 @@
   for (const int it : parts) {
     shares.push_back(static_cast<double>(it) / sum);
   }
-  const std::vector<int> dealt = LargestRemainder(shares, seats);
+  const std::vector<int> dealt = AllocateByLargestRemainder(shares, seats);
   RC_ASSERT(std::accumulate(dealt.begin(), dealt.end(), 0) == seats);
   for (std::size_t i = 0; i < shares.size(); ++i) {
     RC_ASSERT(std::abs(dealt[i] - shares[i] * seats) < 1.0 + 1e-6);
@@ -286,10 +286,10 @@
   const ServiceShares shares =
       ComputeShares(configuration, base::ServiceName("llm"), 10);
   EXPECT_EQ(shares.free_engines, 0);
-  const auto touched = TouchedEngines(shares, targets);
-  ASSERT_EQ(touched.size(), 2u);
-  EXPECT_EQ(touched[0].now.model, base::ModelName("m1"));
-  EXPECT_EQ(touched[0].model, base::ModelName("m2"));
+  const auto reloads = ComputeEngineReloads(shares, targets);
+  ASSERT_EQ(reloads.size(), 2u);
+  EXPECT_EQ(reloads[0].current.model, base::ModelName("m1"));
+  EXPECT_EQ(reloads[0].model, base::ModelName("m2"));
 }
 
 TEST(OperatorAccessTest, RolesBoundWhatMayChange) {
