--- a/src/version/intent_api.cc
+++ b/src/version/intent_api.cc
@@ -50,7 +50,7 @@
     case PlanError::kInvalidRequest:
     case PlanError::kOverCommitted:
     case PlanError::kNothingChanges:
-    case PlanError::kLocksOut:
+    case PlanError::kNoFleetOperator:
     case PlanError::kNone:
       break;
   }
--- a/src/version/operator_access.cc
+++ b/src/version/operator_access.cc
@@ -134,7 +134,8 @@
   });
 }
 
-bool LocksOut(const Configuration& before, const Configuration& after) {
+bool RemovesLastFleetOperator(const Configuration& before,
+                              const Configuration& after) {
   return HasFleetOperator(before) && !HasFleetOperator(after);
 }
 
--- a/src/version/operator_access.h
+++ b/src/version/operator_access.h
@@ -61,7 +61,8 @@
                std::string* reason);
 
 // Whether a change removes the last fleet operator that has a key.
-bool LocksOut(const Configuration& before, const Configuration& after);
+bool RemovesLastFleetOperator(const Configuration& before,
+                              const Configuration& after);
 
 }  // namespace lynxglade::version
 
--- a/src/version/plan.cc
+++ b/src/version/plan.cc
@@ -202,7 +202,7 @@
       return "over_committed";
     case PlanError::kNothingChanges:
       return "nothing_changes";
-    case PlanError::kLocksOut:
+    case PlanError::kNoFleetOperator:
       return "locks_out";
     case PlanError::kTooLarge:
       return "too_large";
@@ -233,9 +233,9 @@
                                 : PlanError::kInvalidRequest;
     return Refuse(fault, error, breach.where, breach.message);
   }
-  if (LocksOut(*held.configuration, wanted)) {
+  if (RemovesLastFleetOperator(*held.configuration, wanted)) {
     return Refuse(
-        fault, PlanError::kLocksOut, "/operators",
+        fault, PlanError::kNoFleetOperator, "/operators",
         "the change would remove the last fleet operator that has a key");
   }
   Plan plan;
--- a/src/version/plan.h
+++ b/src/version/plan.h
@@ -31,7 +31,7 @@
   // The request leaves the configuration unchanged.
   kNothingChanges,
   // The change would remove the last fleet operator that has a key.
-  kLocksOut,
+  kNoFleetOperator,
   // The change exceeds the size limits of the key-value service; split it.
   kTooLarge,
   // The rollback target is unknown or no longer retained.
