--- a/src/main/daemon_hooks.cc
+++ b/src/main/daemon_hooks.cc
@@ -179,7 +179,7 @@
 process::AdminFrontHooks Daemon::Details::MakeAdminHooks() {
   process::AdminFrontHooks hooks;
   hooks.role_of_key = [this](const std::string& key) {
-    const auto caller = configuration.access().Recognise(key);
+    const auto caller = configuration.access().Authenticate(key);
     return caller ? std::optional(caller->role) : std::nullopt;
   };
   hooks.not_ready = [this] { return NotReady(); };
--- a/src/version/intent_api.cc
+++ b/src/version/intent_api.cc
@@ -196,7 +196,7 @@
       metrics_(metrics) {}
 
 ApiAnswer IntentApi::Handle(const ApiCall& call) const {
-  const std::optional<Caller> caller = access_.Recognise(call.operator_key);
+  const std::optional<Caller> caller = access_.Authenticate(call.operator_key);
   if (!caller) {
     return ApiError(401, "unauthenticated",
                     "the operator key is missing or unknown");
--- a/src/version/operator_access.cc
+++ b/src/version/operator_access.cc
@@ -94,7 +94,8 @@
       bootstrap_digest_(bootstrap_key.empty() ? "" : Sha256Hex(bootstrap_key)) {
 }
 
-std::optional<Caller> OperatorAccess::Recognise(const std::string& key) const {
+std::optional<Caller> OperatorAccess::Authenticate(
+    const std::string& key) const {
   if (key.empty()) {
     return std::nullopt;
   }
--- a/src/version/operator_access.h
+++ b/src/version/operator_access.h
@@ -45,7 +45,7 @@
                  const std::string& bootstrap_key);
 
   // Returns nullopt when no operator has the key.
-  std::optional<Caller> Recognise(const std::string& key) const;
+  std::optional<Caller> Authenticate(const std::string& key) const;
 
  private:
   const CurrentConfiguration current_;
--- a/tests/version/plan_test.cc
+++ b/tests/version/plan_test.cc
@@ -336,14 +336,14 @@
 TEST(OperatorAccessTest, BootstrapKeyEndsWithTheFirstFleetOperator) {
   auto configuration = std::make_shared<Configuration>();
   const OperatorAccess access([&] { return configuration; }, "first");
-  EXPECT_TRUE(access.Recognise("first")->is_fleet());
-  EXPECT_FALSE(access.Recognise(""));
-  EXPECT_FALSE(access.Recognise("other"));
+  EXPECT_TRUE(access.Authenticate("first")->is_fleet());
+  EXPECT_FALSE(access.Authenticate(""));
+  EXPECT_FALSE(access.Authenticate("other"));
   const base::OperatorId ana("ana");
   configuration->operators[ana] = {
       ana, OperatorRole::kFleet, {}, {Sha256Hex("hers")}};
-  EXPECT_FALSE(access.Recognise("first"));
-  EXPECT_EQ(access.Recognise("hers")->id, ana);
+  EXPECT_FALSE(access.Authenticate("first"));
+  EXPECT_EQ(access.Authenticate("hers")->id, ana);
 }
 
 }  // namespace
