--- a/src/version/config_store.cc
+++ b/src/version/config_store.cc
@@ -330,11 +330,11 @@
   return result && result->committed;
 }
 
-bool ConfigStore::WantsSnapshot(const ConfigHead& head) const noexcept {
+bool ConfigStore::IsSnapshotDue(const ConfigHead& head) const noexcept {
   return (head.revision - head.snapshot).value() >= limits_.snapshot_every;
 }
 
-bool ConfigStore::NeedsSnapshot(const ConfigHead& head) const noexcept {
+bool ConfigStore::IsSnapshotRequired(const ConfigHead& head) const noexcept {
   // Deltas must not expire, here or in the peers' views, before a snapshot
   // covers them.
   return (head.revision - head.snapshot).value() >=
--- a/src/version/config_store.h
+++ b/src/version/config_store.h
@@ -112,8 +112,8 @@
 
   // Whether a new snapshot is due, and whether it must be written before
   // further changes are accepted.
-  bool WantsSnapshot(const ConfigHead& head) const noexcept;
-  bool NeedsSnapshot(const ConfigHead& head) const noexcept;
+  bool IsSnapshotDue(const ConfigHead& head) const noexcept;
+  bool IsSnapshotRequired(const ConfigHead& head) const noexcept;
   // Writes a snapshot of `held`, points the head at it and deletes the previous
   // snapshot. Idempotent and safe to run concurrently.
   bool WriteSnapshot(const HeldConfiguration& held,
--- a/src/version/plan_service.cc
+++ b/src/version/plan_service.cc
@@ -324,7 +324,7 @@
     if (ec != StoreError::kNone) {
       break;
     }
-    if (store_.NeedsSnapshot(stored->head)) {
+    if (store_.IsSnapshotRequired(stored->head)) {
       SnapshotWhenDue();
       ec = StoreError::kUnavailable;
       continue;
@@ -365,7 +365,7 @@
 void PlanService::SnapshotWhenDue() const {
   StoreError ec = StoreError::kNone;
   const std::optional<StoredHead> stored = store_.ReadHead(&ec);
-  if (!stored || !store_.WantsSnapshot(stored->head)) {
+  if (!stored || !store_.IsSnapshotDue(stored->head)) {
     return;
   }
   PlanFault fault;
