--- a/src/version/config_store.cc
+++ b/src/version/config_store.cc
@@ -284,11 +284,11 @@
                                 : std::move(range->entries.front().value);
 }
 
-bool ConfigStore::Accept(const StoredHead& base,
-                         base::Revision revision,
-                         const ChainedDelta& delta,
-                         const std::string& audit,
-                         StoreError* last_error) const {
+bool ConfigStore::CommitDelta(const StoredHead& base,
+                              base::Revision revision,
+                              const ChainedDelta& delta,
+                              const std::string& audit,
+                              StoreError* last_error) const {
   const std::string stored = EncodeChained(delta);
   if (stored.size() > kMaxDeltaBytes) {
     *last_error = StoreError::kTooLarge;
--- a/src/version/config_store.h
+++ b/src/version/config_store.h
@@ -104,11 +104,11 @@
 
   // Commits a delta on top of `base` with one call. After kAmbiguous, read the
   // head and the audit record of `revision` to find out whether it took effect.
-  bool Accept(const StoredHead& base,
-              base::Revision revision,
-              const ChainedDelta& delta,
-              const std::string& audit,
-              StoreError* last_error) const;
+  bool CommitDelta(const StoredHead& base,
+                   base::Revision revision,
+                   const ChainedDelta& delta,
+                   const std::string& audit,
+                   StoreError* last_error) const;
 
   // Whether a new snapshot is due, and whether it must be written before
   // further changes are accepted.
--- a/src/version/plan_service.cc
+++ b/src/version/plan_service.cc
@@ -331,7 +331,7 @@
     }
     // A retry after a lost response compares against the same head revision, so
     // at most one attempt takes effect.
-    if (store_.Accept(*stored, plan.delta.revision, delta, audit, &ec)) {
+    if (store_.CommitDelta(*stored, plan.delta.revision, delta, audit, &ec)) {
       return TakenEffect(plan);
     }
     sent = sent || ec == StoreError::kAmbiguous;
