--- a/src/version/config_store.cc
+++ b/src/version/config_store.cc
@@ -83,7 +83,7 @@
   return "too_large";
 }
 
-StoreError StoreErrorOf(KvError error) noexcept {
+StoreError ToStoreError(KvError error) noexcept {
   switch (error) {
     case KvError::kNone:
       return StoreError::kNone;
@@ -117,7 +117,7 @@
 std::optional<StoredHead> ConfigStore::ReadHead(StoreError* last_error) const {
   KvError ec = KvError::kNone;
   const std::optional<KvRange> range = service_.Get(std::string(kHeadKey), &ec);
-  *last_error = StoreErrorOf(ec);
+  *last_error = ToStoreError(ec);
   if (!range) {
     return std::nullopt;
   }
@@ -145,7 +145,7 @@
     const std::optional<KvRange> range =
         service_.Get(PartKey(head.snapshot, i), &ec);
     if (!range) {
-      *last_error = StoreErrorOf(ec);
+      *last_error = ToStoreError(ec);
       return std::nullopt;
     }
     if (range->entries.empty()) {
@@ -177,7 +177,7 @@
     // Listing returns the whole bucket. Read individually when only a few
     // values are needed, or when the listing fails because the bucket is too
     // large.
-    const bool few = last - next < limits_.few_values;
+    const bool few = last - next < limits_.max_single_reads;
     const bool read =
         (!few && ReadBucket(prefix, next, last, &values, last_error)) ||
         ReadOneByOne(prefix, next, last, &values, last_error);
@@ -200,7 +200,7 @@
   const std::string high = bucket + Padded(last);
   KvError ec = KvError::kNone;
   std::optional<KvRange> range = service_.List(bucket, 0, &ec);
-  *last_error = StoreErrorOf(ec);
+  *last_error = ToStoreError(ec);
   if (!range) {
     return false;
   }
@@ -223,7 +223,7 @@
   for (std::int64_t n = first; n <= last; ++n) {
     KvError ec = KvError::kNone;
     std::optional<KvRange> range = service_.Get(bucket + Padded(n), &ec);
-    *last_error = StoreErrorOf(ec);
+    *last_error = ToStoreError(ec);
     if (!range) {
       return false;
     }
@@ -276,7 +276,7 @@
     StoreError* last_error) const {
   KvError ec = KvError::kNone;
   std::optional<KvRange> range = service_.Get(AuditKey(revision), &ec);
-  *last_error = StoreErrorOf(ec);
+  *last_error = ToStoreError(ec);
   if (!range) {
     return std::nullopt;
   }
@@ -323,7 +323,7 @@
       service_.Commit({{std::string(kHeadKey), base.mod_revision},
                        {DeltaKey(revision), base::Revision(0)}},
                       writes, &ec);
-  *last_error = StoreErrorOf(ec);
+  *last_error = ToStoreError(ec);
   if (result && !result->committed) {
     *last_error = StoreError::kConflict;
   }
@@ -353,7 +353,7 @@
   KvError ec = KvError::kNone;
   if (!service_.Commit(
           {}, {{CompactionKey(held.revision()), std::to_string(n), {}}}, &ec)) {
-    *last_error = StoreErrorOf(ec);
+    *last_error = ToStoreError(ec);
     return false;
   }
   for (std::size_t i = 0; i < n; ++i) {
@@ -362,7 +362,7 @@
     if (!service_.Commit(
             {}, {{PartKey(held.revision(), static_cast<int>(i)), part, {}}},
             &ec)) {
-      *last_error = StoreErrorOf(ec);
+      *last_error = ToStoreError(ec);
       return false;
     }
   }
@@ -382,7 +382,7 @@
   KvError ec = KvError::kNone;
   const auto begun = service_.List(std::string(kCompactionPrefix), 0, &ec);
   if (!begun) {
-    *last_error = StoreErrorOf(ec);
+    *last_error = ToStoreError(ec);
     return false;
   }
   for (int attempt = 0; attempt < kPointAttempts; ++attempt) {
@@ -424,7 +424,7 @@
       return true;
     }
     // Conflict or lost response: read the head again to find out.
-    *last_error = result ? StoreError::kConflict : StoreErrorOf(ec);
+    *last_error = result ? StoreError::kConflict : ToStoreError(ec);
   }
   return false;
 }
@@ -462,14 +462,14 @@
   KvError ec = KvError::kNone;
   const auto result = service_.Commit(
       {{std::string(kHeadKey), stored->mod_revision}}, writes, &ec);
-  *last_error = StoreErrorOf(ec);
+  *last_error = ToStoreError(ec);
   if (result && !result->committed) {
     *last_error = StoreError::kConflict;
   }
   return result && result->committed;
 }
 
-ConfigEvent ReadConfigEvent(const connection::KvEvent& event) {
+ConfigEvent DecodeConfigEvent(const connection::KvEvent& event) {
   ConfigEvent read;
   const std::string& key = event.entry.key;
   if (event.deleted) {
--- a/src/version/config_store.h
+++ b/src/version/config_store.h
@@ -64,7 +64,7 @@
   std::size_t part_bytes = 700u << 10;
   // Up to this many deltas or audit records are read with one call each rather
   // than by listing their bucket.
-  std::int64_t few_values = 8;
+  std::int64_t max_single_reads = 8;
 };
 
 // Decoded content of a watch event; at most one member is set.
@@ -160,9 +160,9 @@
 };
 
 // Decodes a watch event on kConfigPrefix; empty for deletions and other keys.
-ConfigEvent ReadConfigEvent(const connection::KvEvent& event);
+ConfigEvent DecodeConfigEvent(const connection::KvEvent& event);
 
-StoreError StoreErrorOf(connection::KvError error) noexcept;
+StoreError ToStoreError(connection::KvError error) noexcept;
 
 }  // namespace lynxglade::version
 
--- a/src/version/config_watcher.cc
+++ b/src/version/config_watcher.cc
@@ -173,7 +173,7 @@
   // Offers heads after deltas, so that a head that is ahead means a gap.
   std::vector<ConfigHead> heads;
   for (const KvEvent& it : events) {
-    ConfigEvent event = ReadConfigEvent(it);
+    ConfigEvent event = DecodeConfigEvent(it);
     if (event.delta) {
       tracker_.OfferDelta(*event.delta, ConfigSource::kService);
     }
--- a/src/version/plan.cc
+++ b/src/version/plan.cc
@@ -260,7 +260,7 @@
   return plan;
 }
 
-std::optional<Plan> ReadPlan(std::string_view text) {
+std::optional<Plan> DecodePlan(std::string_view text) {
   json value;
   CodecFault fault;
   if (!details::ParseObject(text, kMaxPlanBytes, &value, &fault)) {
--- a/src/version/plan.h
+++ b/src/version/plan.h
@@ -97,7 +97,7 @@
 
 // Decodes a stored plan; nullopt when the text is malformed. The id is
 // computed from the text, so an altered plan gets a different id.
-std::optional<Plan> ReadPlan(std::string_view text);
+std::optional<Plan> DecodePlan(std::string_view text);
 
 // Describes a delta in words, one entry per changed part.
 std::vector<PlanChange> DescribeDelta(const ConfigDelta& delta);
--- a/src/version/plan_service.cc
+++ b/src/version/plan_service.cc
@@ -185,7 +185,7 @@
   }
   std::optional<Plan> plan;
   if (!range->entries.empty()) {
-    plan = ReadPlan(range->entries.front().value);
+    plan = DecodePlan(range->entries.front().value);
   }
   // The digest of an altered value does not match its key.
   if (!plan || plan->id != id) {
@@ -206,7 +206,7 @@
   }
   std::vector<Plan> plans;
   for (const KvEntry& it : range->entries) {
-    if (std::optional<Plan> plan = ReadPlan(it.value)) {
+    if (std::optional<Plan> plan = DecodePlan(it.value)) {
       plans.push_back(std::move(*plan));
     }
   }
