--- a/src/version/config_head.cc
+++ b/src/version/config_head.cc
@@ -11,7 +11,7 @@
 using details::json;
 
 constexpr std::size_t kMaxHeadBytes = 4096;
-constexpr std::size_t kMaxMarkBytes = 128;
+constexpr std::size_t kMaxWriteIdBytes = 128;
 constexpr std::size_t kMaxDigestBytes = 64;
 constexpr std::int64_t kMaxSnapshotParts = 1000;
 
@@ -25,7 +25,7 @@
                              {"digest", head.digest},
                              {"snapshot", head.snapshot.value()},
                              {"snapshot_parts", head.snapshot_parts},
-                             {"mark", head.mark}});
+                             {"mark", head.write_id}});
 }
 
 std::optional<ConfigHead> DecodeHead(std::string_view text) {
@@ -43,7 +43,7 @@
   reader.OptionalText("digest", kMaxDigestBytes, &head.digest);
   reader.Integer("snapshot", 0, revision, &snapshot);
   reader.Integer("snapshot_parts", 0, kMaxSnapshotParts, &parts);
-  reader.OptionalText("mark", kMaxMarkBytes, &head.mark);
+  reader.OptionalText("mark", kMaxWriteIdBytes, &head.write_id);
   if (!reader.Done()) {
     return std::nullopt;
   }
--- a/src/version/config_head.h
+++ b/src/version/config_head.h
@@ -30,7 +30,7 @@
   // Number of values that the snapshot is split into.
   int snapshot_parts = 0;
   // Random id of the write that stored this head.
-  std::string mark;
+  std::string write_id;
 
   bool operator==(const ConfigHead&) const = default;
 };
--- a/src/version/config_store.cc
+++ b/src/version/config_store.cc
@@ -302,7 +302,7 @@
   ConfigHead head = base.head;
   head.revision = revision;
   head.digest = delta.digest;
-  head.mark = base::RandomHexId(random_);
+  head.write_id = base::RandomHexId(random_);
   std::vector<KvWrite> writes = {{std::string(kHeadKey), EncodeHead(head), {}},
                                  {DeltaKey(revision), stored, {}},
                                  {AuditKey(revision), audit, {}}};
@@ -403,7 +403,7 @@
     ConfigHead head = stored->head;
     head.snapshot = held.revision();
     head.snapshot_parts = parts;
-    head.mark = base::RandomHexId(random_);
+    head.write_id = base::RandomHexId(random_);
     std::vector<KvWrite> writes = {
         {std::string(kHeadKey), EncodeHead(head), {}}};
     DeleteParts(stored->head.snapshot, stored->head.snapshot_parts, &writes);
