--- a/bench/config_slopes.cc
+++ b/bench/config_slopes.cc
@@ -27,7 +27,7 @@
 namespace lynxglade {
 namespace {
 
-using version::HeldConfiguration;
+using version::ConfigSnapshot;
 
 constexpr int kModels = 11;
 constexpr int kDefaultChanges = 600;
@@ -141,11 +141,12 @@
 Taking TimeTaking(const Instance& filled, int contracts, int changes) {
   base::Metrics metrics;
   version::ConfigTracker tracker({base::BootClock::now, {}, {}, {}}, metrics);
-  tracker.OfferWhole(filled.tracker.Held(), version::ConfigSource::kPeer);
+  tracker.OfferSnapshot(filled.tracker.GetSnapshot(),
+                        version::ConfigSource::kPeer);
   std::vector<double> times;
   Taking taking;
   for (int i = 0; i < changes; ++i) {
-    const HeldConfiguration held = tracker.Held();
+    const ConfigSnapshot held = tracker.GetSnapshot();
     version::Configuration next = *held.configuration;
     const version::Contract contract =
         MakeContract(i % contracts, contracts, i + 1);
@@ -180,11 +181,11 @@
   if (!Fill(contracts, &instance)) {
     return false;
   }
-  const std::string whole = EncodeHeld(instance.tracker.Held());
+  const std::string whole = EncodeSnapshot(instance.tracker.GetSnapshot());
   const std::size_t before = HeapBytes();
   const auto start = Stopwatch::now();
   version::CodecFault fault;
-  const auto read = version::DecodeHeld(whole, &fault);
+  const auto read = version::DecodeSnapshot(whole, &fault);
   const double read_ms = Micros(Stopwatch::now() - start) / 1000;
   const std::size_t held_bytes = HeapBytes() - before;
   const Taking taking = TimeTaking(instance, contracts, changes);
--- a/fuzz/configuration.cc
+++ b/fuzz/configuration.cc
@@ -59,9 +59,9 @@
 
 void TryHeld(std::string_view text) {
   CodecFault fault;
-  const auto value = DecodeHeld(text, &fault);
+  const auto value = DecodeSnapshot(text, &fault);
   if (value) {
-    const auto again = DecodeHeld(EncodeHeld(*value), &fault);
+    const auto again = DecodeSnapshot(EncodeSnapshot(*value), &fault);
     fuzz::Check(again && *again->configuration == *value->configuration,
                 "held comes back");
   }
--- a/src/version/config_gossip.cc
+++ b/src/version/config_gossip.cc
@@ -87,25 +87,25 @@
   }
   // Too large for one fact: publish a snapshot instead.
   metrics_.GetCounter("lynxglade_config_large_deltas_total").Add();
-  TellWhole(tracker_.Held());
+  TellWhole(tracker_.GetSnapshot());
 }
 
-void ConfigGossip::TellWhole(const HeldConfiguration& whole) {
-  const std::string bytes = EncodeHeld(whole);
+void ConfigGossip::TellWhole(const ConfigSnapshot& snapshot) {
+  const std::string bytes = EncodeSnapshot(snapshot);
   const std::size_t count =
       (bytes.size() + kPublishedPartBytes - 1) / kPublishedPartBytes;
   for (std::size_t i = 0; i < count; ++i) {
     Publish(ViewKind::kConfigHead,
             std::string(kWholePrefix) + std::to_string(i),
-            VersionOf(whole.revision()),
+            VersionOf(snapshot.revision()),
             details::Canonical({{"count", count},
                                 {"index", i},
                                 {"text", bytes.substr(i * kPublishedPartBytes,
                                                       kPublishedPartBytes)}}));
   }
   Publish(ViewKind::kConfigHead, std::string(kHeadKey),
-          VersionOf(whole.revision()),
-          HeadBody(whole.revision(), whole.digest));
+          VersionOf(snapshot.revision()),
+          HeadBody(snapshot.revision(), snapshot.digest));
 }
 
 void ConfigGossip::Hear(const ViewItem& item) {
@@ -145,7 +145,7 @@
   const auto bytes = Add(revision, static_cast<std::size_t>(index),
                          static_cast<std::size_t>(count), std::move(text));
   if (bytes) {
-    tracker_.OfferBytes(*bytes, ConfigSource::kPeer);
+    tracker_.OfferEncodedSnapshot(*bytes, ConfigSource::kPeer);
   }
 }
 
@@ -173,7 +173,7 @@
 }
 
 void ConfigGossip::Tick() {
-  const HeldConfiguration held = tracker_.Held();
+  const ConfigSnapshot held = tracker_.GetSnapshot();
   const base::Time now = hooks_.clock();
   const auto members = static_cast<std::int64_t>(hooks_.member_count());
   {
--- a/src/version/config_gossip.h
+++ b/src/version/config_gossip.h
@@ -60,7 +60,7 @@
 
   // Publish to peers; called from hooks of the tracker and the plan service.
   void TellDelta(base::Revision revision, const ChainedDelta& delta);
-  void TellWhole(const HeldConfiguration& whole);
+  void TellWhole(const ConfigSnapshot& snapshot);
 
   // Handles facts of the kinds kConfigHead and kConfigDelta from peers.
   void Hear(const process::ViewItem& item);
--- a/src/version/config_head.cc
+++ b/src/version/config_head.cc
@@ -77,28 +77,28 @@
   reader.OptionalText("delta", kMaxDeltaBytes, &chained.text);
   reader.OptionalText("previous", kMaxDigestBytes, &chained.previous_digest);
   reader.OptionalText("digest", kMaxDigestBytes, &chained.digest);
-  const bool whole =
+  const bool valid =
       reader.Done() &&
       chained.digest == ChainDigest(chained.previous_digest, chained.text);
-  if (!whole) {
+  if (!valid) {
     return std::nullopt;
   }
   return chained;
 }
 
-std::string EncodeHeld(const HeldConfiguration& held) {
+std::string EncodeSnapshot(const ConfigSnapshot& held) {
   return details::Canonical(
       {{"configuration", details::ToJson(*held.configuration)},
        {"digest", held.digest}});
 }
 
-std::optional<HeldConfiguration> DecodeHeld(std::string_view bytes,
-                                            CodecFault* fault) {
+std::optional<ConfigSnapshot> DecodeSnapshot(std::string_view bytes,
+                                             CodecFault* fault) {
   json value;
   if (!details::ParseObject(bytes, kMaxConfigurationBytes, &value, fault)) {
     return std::nullopt;
   }
-  HeldConfiguration held;
+  ConfigSnapshot held;
   Configuration configuration;
   details::JsonReader reader(value, "", fault);
   const json* inner = reader.Any("configuration");
--- a/src/version/config_head.h
+++ b/src/version/config_head.h
@@ -45,7 +45,7 @@
 
 // A full configuration with the digest of its history. The digest is empty only
 // at revision 0.
-struct HeldConfiguration {
+struct ConfigSnapshot {
   std::shared_ptr<const Configuration> configuration =
       std::make_shared<const Configuration>();
   std::string digest;
@@ -64,9 +64,9 @@
 std::optional<ChainedDelta> DecodeChained(std::string_view text);
 
 // Encodes a full configuration for storage and for peers.
-std::string EncodeHeld(const HeldConfiguration& held);
-std::optional<HeldConfiguration> DecodeHeld(std::string_view bytes,
-                                            CodecFault* fault);
+std::string EncodeSnapshot(const ConfigSnapshot& held);
+std::optional<ConfigSnapshot> DecodeSnapshot(std::string_view bytes,
+                                             CodecFault* fault);
 
 }  // namespace lynxglade::version
 
--- a/src/version/config_store.cc
+++ b/src/version/config_store.cc
@@ -132,12 +132,12 @@
   return StoredHead{std::move(*head), entry.mod_revision};
 }
 
-std::optional<HeldConfiguration> ConfigStore::ReadSnapshot(
+std::optional<ConfigSnapshot> ConfigStore::ReadSnapshot(
     const ConfigHead& head,
     StoreError* last_error) const {
   *last_error = StoreError::kNone;
   if (head.snapshot.value() == 0) {
-    return HeldConfiguration{};
+    return ConfigSnapshot{};
   }
   std::string bytes;
   for (int i = 0; i < head.snapshot_parts; ++i) {
@@ -150,14 +150,14 @@
     }
     if (range->entries.empty()) {
       // Deleted since the head was read; a newer snapshot exists.
-      return Corrupt<HeldConfiguration>(last_error);
+      return Corrupt<ConfigSnapshot>(last_error);
     }
     bytes += range->entries.front().value;
   }
   CodecFault fault;
-  std::optional<HeldConfiguration> held = DecodeHeld(bytes, &fault);
+  std::optional<ConfigSnapshot> held = DecodeSnapshot(bytes, &fault);
   if (!held || held->revision() != head.snapshot) {
-    return Corrupt<HeldConfiguration>(last_error);
+    return Corrupt<ConfigSnapshot>(last_error);
   }
   return held;
 }
@@ -341,10 +341,10 @@
          std::min(2 * limits_.snapshot_every, limits_.deltas_kept);
 }
 
-bool ConfigStore::WriteParts(const HeldConfiguration& held,
+bool ConfigStore::WriteParts(const ConfigSnapshot& held,
                              int* parts,
                              StoreError* last_error) const {
-  const std::string bytes = EncodeHeld(held);
+  const std::string bytes = EncodeSnapshot(held);
   const std::size_t n =
       (bytes.size() + limits_.part_bytes - 1) / limits_.part_bytes;
   *parts = static_cast<int>(n);
@@ -376,7 +376,7 @@
   service_.Commit({}, writes, &ec);
 }
 
-bool ConfigStore::PointHeadAt(const HeldConfiguration& held,
+bool ConfigStore::PointHeadAt(const ConfigSnapshot& held,
                               int parts,
                               StoreError* last_error) const {
   KvError ec = KvError::kNone;
@@ -429,7 +429,7 @@
   return false;
 }
 
-bool ConfigStore::WriteSnapshot(const HeldConfiguration& held,
+bool ConfigStore::WriteSnapshot(const ConfigSnapshot& held,
                                 StoreError* last_error) const {
   *last_error = StoreError::kNone;
   int parts = 0;
@@ -437,7 +437,7 @@
          PointHeadAt(held, parts, last_error);
 }
 
-bool ConfigStore::Restore(const HeldConfiguration& held,
+bool ConfigStore::Restore(const ConfigSnapshot& held,
                           const std::string& audit,
                           StoreError* last_error) const {
   const std::optional<StoredHead> stored = ReadHead(last_error);
--- a/src/version/config_store.h
+++ b/src/version/config_store.h
@@ -85,8 +85,8 @@
 
   std::optional<StoredHead> ReadHead(StoreError* last_error) const;
   // Reads the snapshot that the head refers to, one call per part.
-  std::optional<HeldConfiguration> ReadSnapshot(const ConfigHead& head,
-                                                StoreError* last_error) const;
+  std::optional<ConfigSnapshot> ReadSnapshot(const ConfigHead& head,
+                                             StoreError* last_error) const;
   // Reads the deltas in (from, to], in order. Short ranges take one call per
   // delta, longer ones one call per bucket of `snapshot_every` deltas.
   std::optional<std::vector<ChainedDelta>> ReadDeltas(
@@ -116,21 +116,20 @@
   bool IsSnapshotRequired(const ConfigHead& head) const noexcept;
   // Writes a snapshot of `held`, points the head at it and deletes the previous
   // snapshot. Idempotent and safe to run concurrently.
-  bool WriteSnapshot(const HeldConfiguration& held,
-                     StoreError* last_error) const;
+  bool WriteSnapshot(const ConfigSnapshot& held, StoreError* last_error) const;
 
   // Writes `held` back to a key-value service that lost it, as the new head
   // with its own snapshot. Fails with kConflict unless the stored head is
   // older.
-  bool Restore(const HeldConfiguration& held,
+  bool Restore(const ConfigSnapshot& held,
                const std::string& audit,
                StoreError* last_error) const;
 
  private:
-  bool WriteParts(const HeldConfiguration& held,
+  bool WriteParts(const ConfigSnapshot& held,
                   int* parts,
                   StoreError* last_error) const;
-  bool PointHeadAt(const HeldConfiguration& held,
+  bool PointHeadAt(const ConfigSnapshot& held,
                    int parts,
                    StoreError* last_error) const;
   // Deletes unreferenced snapshot parts; best effort.
--- a/src/version/config_tracker.cc
+++ b/src/version/config_tracker.cc
@@ -153,54 +153,54 @@
   }
 }
 
-OfferResult ConfigTracker::OfferWhole(const HeldConfiguration& whole,
-                                      ConfigSource source) {
+OfferResult ConfigTracker::OfferSnapshot(const ConfigSnapshot& snapshot,
+                                         ConfigSource source) {
   OfferResult result = OfferResult::kTaken;
   std::vector<Taken> taken;
   {
     const std::scoped_lock lock(mutex_);
     const base::Revision held = state_.held.revision();
-    if (whole.revision() < held) {
+    if (snapshot.revision() < held) {
       result = OfferResult::kOlder;
-    } else if (whole.revision() == held && held.value() > 0) {
-      result = whole.digest == state_.held.digest ? OfferResult::kKnown
-                                                  : OfferResult::kForked;
-    } else if (whole.revision().value() == 0) {
+    } else if (snapshot.revision() == held && held.value() > 0) {
+      result = snapshot.digest == state_.held.digest ? OfferResult::kKnown
+                                                     : OfferResult::kForked;
+    } else if (snapshot.revision().value() == 0) {
       result = OfferResult::kKnown;
     } else {
-      Hear(whole.revision());
-      state_.held = whole;
+      Hear(snapshot.revision());
+      state_.held = snapshot;
       ApplyEarly(&taken);
       Settle();
     }
   }
   if (result == OfferResult::kTaken) {
-    if (hooks_.on_whole) {
-      hooks_.on_whole(whole);
+    if (hooks_.on_snapshot) {
+      hooks_.on_snapshot(snapshot);
     }
     Announce(taken);
     if (taken.empty() && hooks_.on_taken) {
-      hooks_.on_taken(Held());
+      hooks_.on_taken(GetSnapshot());
     }
   }
-  return Count("whole", whole.revision(), source, result);
+  return Count("whole", snapshot.revision(), source, result);
 }
 
-OfferResult ConfigTracker::OfferBytes(std::string_view bytes,
-                                      ConfigSource source) {
+OfferResult ConfigTracker::OfferEncodedSnapshot(std::string_view bytes,
+                                                ConfigSource source) {
   CodecFault fault;
-  const std::optional<HeldConfiguration> whole = DecodeHeld(bytes, &fault);
-  if (!whole) {
+  const std::optional<ConfigSnapshot> snapshot = DecodeSnapshot(bytes, &fault);
+  if (!snapshot) {
     return Count("whole", base::Revision(0), source, OfferResult::kMalformed);
   }
-  return OfferWhole(*whole, source);
+  return OfferSnapshot(*snapshot, source);
 }
 
 std::shared_ptr<const Configuration> ConfigTracker::Get() const {
   return current_.load();
 }
 
-HeldConfiguration ConfigTracker::Held() const {
+ConfigSnapshot ConfigTracker::GetSnapshot() const {
   const std::scoped_lock lock(mutex_);
   return state_.held;
 }
@@ -277,7 +277,7 @@
     }
   }
   if (hooks_.on_taken) {
-    hooks_.on_taken(Held());
+    hooks_.on_taken(GetSnapshot());
   }
 }
 
@@ -301,11 +301,11 @@
                {"source", ToString(source)},
                {"reason", ToString(result)},
                {"revision", revision.value()},
-               {"held", Held().revision().value()}});
+               {"held", GetSnapshot().revision().value()}});
   }
   if (result == OfferResult::kTaken) {
     base::Log(base::LogLevel::kInfo, "config_in_force",
-              {{"revision", Held().revision().value()},
+              {{"revision", GetSnapshot().revision().value()},
                {"source", ToString(source)}});
   }
   counter.Add();
--- a/src/version/config_tracker.h
+++ b/src/version/config_tracker.h
@@ -53,12 +53,12 @@
   base::Clock clock;
   // Called when a configuration came into force, without holding the lock. In
   // order of revision only when all offers come from one thread. May be empty.
-  std::function<void(const HeldConfiguration&)> on_taken;
+  std::function<void(const ConfigSnapshot&)> on_taken;
   // Called for each applied delta, to publish it to peers; may be empty.
   std::function<void(base::Revision, const ChainedDelta&)> on_delta;
   // Called when a snapshot was applied, before on_delta for deltas that follow
   // it; may be empty.
-  std::function<void(const HeldConfiguration&)> on_whole;
+  std::function<void(const ConfigSnapshot&)> on_snapshot;
 };
 
 // Thread-safe.
@@ -80,13 +80,14 @@
   // Applies a delta and the buffered deltas that follow it.
   OfferResult OfferDelta(const ChainedDelta& delta, ConfigSource source);
   // Applies a snapshot when it is newer than the configuration in force.
-  OfferResult OfferWhole(const HeldConfiguration& whole, ConfigSource source);
-  // As OfferWhole(), from a peer's EncodeHeld() bytes.
-  OfferResult OfferBytes(std::string_view bytes, ConfigSource source);
+  OfferResult OfferSnapshot(const ConfigSnapshot& snapshot,
+                            ConfigSource source);
+  // As OfferSnapshot(), from a peer's EncodeSnapshot() bytes.
+  OfferResult OfferEncodedSnapshot(std::string_view bytes, ConfigSource source);
 
   // The configuration in force; never null. Does not lock the mutex.
   std::shared_ptr<const Configuration> Get() const;
-  HeldConfiguration Held() const;
+  ConfigSnapshot GetSnapshot() const;
   // True once the newest known revision was applied or MarkEmpty() confirmed
   // that none exists. Stays true.
   bool ready() const;
@@ -107,7 +108,7 @@
 
  private:
   struct State {
-    HeldConfiguration held;
+    ConfigSnapshot held;
     bool ready = false;
     base::Revision newest_heard{0};
     base::Time behind_since{};
--- a/src/version/config_watcher.cc
+++ b/src/version/config_watcher.cc
@@ -48,12 +48,12 @@
     return true;
   }
   if (held < stored->head.snapshot) {
-    const std::optional<HeldConfiguration> whole =
+    const std::optional<ConfigSnapshot> snapshot =
         store.ReadSnapshot(stored->head, last_error);
-    if (!whole) {
+    if (!snapshot) {
       return false;
     }
-    tracker->OfferWhole(*whole, ConfigSource::kService);
+    tracker->OfferSnapshot(*snapshot, ConfigSource::kService);
   }
   return TakeDeltas(store, stored->head, tracker, last_error);
 }
@@ -115,7 +115,7 @@
     return;
   }
   if (const std::optional<std::string> bytes = hooks_.fetch_from_peer()) {
-    tracker_.OfferBytes(*bytes, ConfigSource::kPeer);
+    tracker_.OfferEncodedSnapshot(*bytes, ConfigSource::kPeer);
   }
 }
 
--- a/src/version/config_watcher.h
+++ b/src/version/config_watcher.h
@@ -38,9 +38,9 @@
 struct ConfigWatcherHooks {
   // Whether this instance should watch the service now; must not block.
   std::function<bool()> should_watch;
-  // Fetches a full configuration from a peer as EncodeHeld() bytes. Called when
-  // the service cannot be read while this instance is not ready or is behind.
-  // May block; may be empty.
+  // Fetches a full configuration from a peer as EncodeSnapshot() bytes. Called
+  // when the service cannot be read while this instance is not ready or is
+  // behind. May block; may be empty.
   std::function<std::optional<std::string>()> fetch_from_peer;
   // Thread-safe; source of the jitter of read intervals.
   base::RandomSource random;
--- a/src/version/configuration_plane.cc
+++ b/src/version/configuration_plane.cc
@@ -53,11 +53,12 @@
               options.watcher) {}
 
 ConfigTrackerHooks ConfigurationPlane::Details::MakeTrackerHooks() {
-  return {hooks.clock, [this](const HeldConfiguration&) { hooks.on_change(); },
-          [this](base::Revision revision, const ChainedDelta& delta) {
-            gossip.TellDelta(revision, delta);
-          },
-          [this](const HeldConfiguration& whole) { gossip.TellWhole(whole); }};
+  return {
+      hooks.clock, [this](const ConfigSnapshot&) { hooks.on_change(); },
+      [this](base::Revision revision, const ChainedDelta& delta) {
+        gossip.TellDelta(revision, delta);
+      },
+      [this](const ConfigSnapshot& snapshot) { gossip.TellWhole(snapshot); }};
 }
 
 ConfigGossipHooks ConfigurationPlane::Details::MakeGossipHooks() {
@@ -68,7 +69,7 @@
   PlanServiceHooks made;
   made.fleet = hooks.fleet;
   made.wall_millis = hooks.wall_millis;
-  made.on_snapshot = [this](const HeldConfiguration& held) {
+  made.on_snapshot = [this](const ConfigSnapshot& held) {
     gossip.TellWhole(held);
   };
   return made;
@@ -135,8 +136,8 @@
   return details_->access;
 }
 
-std::string ConfigurationPlane::HeldBytes() const {
-  return EncodeHeld(details_->tracker.Held());
+std::string ConfigurationPlane::EncodedSnapshot() const {
+  return EncodeSnapshot(details_->tracker.GetSnapshot());
 }
 
 }  // namespace lynxglade::version
--- a/src/version/configuration_plane.h
+++ b/src/version/configuration_plane.h
@@ -85,7 +85,7 @@
   bool ready() const;
   const OperatorAccess& access() const noexcept;
   // The current configuration encoded for a peer.
-  std::string HeldBytes() const;
+  std::string EncodedSnapshot() const;
 
  private:
   struct Details;
--- a/src/version/intent_api.cc
+++ b/src/version/intent_api.cc
@@ -356,7 +356,7 @@
 }
 
 ApiAnswer IntentApi::ShowStatus() const {
-  const HeldConfiguration held = tracker_.Held();
+  const ConfigSnapshot held = tracker_.GetSnapshot();
   json rows = json::array();
   for (const InstanceRevision& it : hooks_.instances()) {
     rows.push_back({{"instance", it.instance.str()},
--- a/src/version/plan.cc
+++ b/src/version/plan.cc
@@ -220,7 +220,7 @@
   return "not_ready";
 }
 
-std::optional<Plan> MakePlan(const HeldConfiguration& held,
+std::optional<Plan> MakePlan(const ConfigSnapshot& held,
                              const Configuration& wanted,
                              const ChangeRequest& request,
                              const base::OperatorId& requested_by,
--- a/src/version/plan.h
+++ b/src/version/plan.h
@@ -88,7 +88,7 @@
 
 // Makes the plan that changes `held` into `wanted`. Returns nullopt and fills
 // `fault` when the change is invalid.
-std::optional<Plan> MakePlan(const HeldConfiguration& held,
+std::optional<Plan> MakePlan(const ConfigSnapshot& held,
                              const Configuration& wanted,
                              const ChangeRequest& request,
                              const base::OperatorId& requested_by,
--- a/src/version/plan_service.cc
+++ b/src/version/plan_service.cc
@@ -131,7 +131,7 @@
   if (!Refresh(fault)) {
     return std::nullopt;
   }
-  const HeldConfiguration held = tracker_.Held();
+  const ConfigSnapshot held = tracker_.GetSnapshot();
   const std::optional<Configuration> wanted = Wanted(request, fault);
   if (!wanted) {
     return std::nullopt;
@@ -370,7 +370,7 @@
   }
   PlanFault fault;
   const bool current = Refresh(&fault);
-  const HeldConfiguration held = tracker_.Held();
+  const ConfigSnapshot held = tracker_.GetSnapshot();
   if (!current || !store_.WriteSnapshot(held, &ec)) {
     // Retried after the next change.
     base::Log(base::LogLevel::kWarning, "config_snapshot_failed",
@@ -411,7 +411,7 @@
 }
 
 ConfirmResult PlanService::Restore(const Caller& caller) {
-  const HeldConfiguration held = tracker_.Held();
+  const ConfigSnapshot held = tracker_.GetSnapshot();
   const bool newest = tracker_.newest_heard() <= held.revision();
   if (!newest || held.revision().value() == 0) {
     return {ConfirmOutcome::kConflict,
--- a/src/version/plan_service.h
+++ b/src/version/plan_service.h
@@ -60,7 +60,7 @@
   // Wall clock for audit records, in milliseconds since the Unix epoch.
   std::function<std::int64_t()> wall_millis;
   // Called after this instance wrote a snapshot; may be empty.
-  std::function<void(const HeldConfiguration&)> on_snapshot;
+  std::function<void(const ConfigSnapshot&)> on_snapshot;
   // Lease of a pending plan.
   base::Duration plan_ttl = std::chrono::hours(1);
 };
--- a/tests/version/config_gossip_test.cc
+++ b/tests/version/config_gossip_test.cc
@@ -56,7 +56,7 @@
        [this](base::Revision revision, const ChainedDelta& delta) {
          gossip.TellDelta(revision, delta);
        },
-       [this](const HeldConfiguration& whole) { gossip.TellWhole(whole); }},
+       [this](const ConfigSnapshot& snapshot) { gossip.TellWhole(snapshot); }},
       metrics};
   ConfigGossip gossip;
 };
@@ -76,13 +76,13 @@
   const bool from_snapshot = *rc::gen::arbitrary<bool>();
   if (from_snapshot) {
     now.revision = base::Revision(300);
-    teller.tracker.OfferWhole(
+    teller.tracker.OfferSnapshot(
         {std::make_shared<const Configuration>(now), "digest"},
         ConfigSource::kService);
     RC_ASSERT(facts.newest.contains({ViewKind::kConfigHead, "whole/1"}));
   }
   for (int i = *rc::gen::inRange(1, 6); i > 0; --i) {
-    const HeldConfiguration held = teller.tracker.Held();
+    const ConfigSnapshot held = teller.tracker.GetSnapshot();
     Mutate(&now);
     teller.tracker.OfferDelta(
         Chain(MakeDelta(*held.configuration, now), held.digest),
@@ -101,7 +101,8 @@
     items.erase(items.begin() + static_cast<std::ptrdiff_t>(n));
   }
   RC_ASSERT(fresh.tracker.ready());
-  RC_ASSERT(fresh.tracker.Held().digest == teller.tracker.Held().digest);
+  RC_ASSERT(fresh.tracker.GetSnapshot().digest ==
+            teller.tracker.GetSnapshot().digest);
   RC_ASSERT(*fresh.tracker.Get() == *teller.tracker.Get());
 }
 
@@ -116,7 +117,7 @@
        [] { return std::size_t{100}; }},
       metrics);
   const auto change = [&] {
-    const HeldConfiguration held = tracker.Held();
+    const ConfigSnapshot held = tracker.GetSnapshot();
     Configuration next = *held.configuration;
     next.services[base::ServiceName(std::to_string(said.size()))].name =
         base::ServiceName(std::to_string(said.size()));
--- a/tests/version/config_tracker_test.cc
+++ b/tests/version/config_tracker_test.cc
@@ -14,7 +14,7 @@
 
 // A history of accepted configurations.
 struct History {
-  std::vector<HeldConfiguration> states{HeldConfiguration{}};
+  std::vector<ConfigSnapshot> states{ConfigSnapshot{}};
   // deltas[i] leads from states[i] to states[i + 1].
   std::vector<ChainedDelta> deltas;
 
@@ -28,7 +28,7 @@
     Add(next);
   }
   void Add(Configuration next) {
-    const HeldConfiguration& last = states.back();
+    const ConfigSnapshot& last = states.back();
     const ConfigDelta delta = MakeDelta(*last.configuration, next);
     next.revision = delta.revision;
     deltas.push_back(Chain(delta, last.digest));
@@ -46,7 +46,7 @@
   std::vector<base::Revision> passed_on;
   ConfigTracker tracker{
       {[] { return base::Time{}; },
-       [this](const HeldConfiguration& it) { taken.push_back(it.revision()); },
+       [this](const ConfigSnapshot& it) { taken.push_back(it.revision()); },
        [this](base::Revision revision, const ChainedDelta&) {
          passed_on.push_back(revision);
        },
@@ -72,7 +72,7 @@
         tracker.OfferHead(history.HeadAt(n + 1), ConfigSource::kPeer);
         break;
       case 1:
-        tracker.OfferWhole(history.states[n + 1], ConfigSource::kPeer);
+        tracker.OfferSnapshot(history.states[n + 1], ConfigSource::kPeer);
         break;
       case 2: {
         ChainedDelta altered = history.deltas[n];
@@ -84,7 +84,7 @@
       default:
         tracker.OfferDelta(history.deltas[n], ConfigSource::kPeer);
     }
-    const HeldConfiguration held = tracker.Held();
+    const ConfigSnapshot held = tracker.GetSnapshot();
     RC_ASSERT(held.revision() >= last);
     last = held.revision();
     const auto at = static_cast<std::size_t>(last.value());
@@ -113,7 +113,7 @@
   history.Add(next);
   Fixture fixture;
   ConfigTracker& tracker = fixture.tracker;
-  tracker.OfferWhole(history.states[2], ConfigSource::kPeer);
+  tracker.OfferSnapshot(history.states[2], ConfigSource::kPeer);
   // An answer to a question asked earlier is late, not older.
   EXPECT_EQ(tracker.OfferHead(history.HeadAt(1), ConfigSource::kService,
                               base::Revision(1)),
@@ -146,13 +146,13 @@
 
   Fixture fixture;
   ConfigTracker& tracker = fixture.tracker;
-  tracker.OfferWhole(history.states[2], ConfigSource::kPeer);
+  tracker.OfferSnapshot(history.states[2], ConfigSource::kPeer);
   EXPECT_EQ(tracker.OfferDelta(other.deltas[1], ConfigSource::kService),
             OfferResult::kForked);
   EXPECT_EQ(tracker.OfferDelta(other.deltas[2], ConfigSource::kService),
             OfferResult::kForked);
   EXPECT_TRUE(tracker.forked());
-  EXPECT_EQ(tracker.Held().digest, history.states[2].digest);
+  EXPECT_EQ(tracker.GetSnapshot().digest, history.states[2].digest);
 }
 
 TEST(ConfigTrackerTest, FreshInstanceIsNotReadyBeforeItHasOne) {
@@ -166,11 +166,11 @@
   tracker.MarkEmpty();
   EXPECT_FALSE(tracker.ready());
   EXPECT_TRUE(tracker.service_is_behind());
-  EXPECT_EQ(tracker.OfferBytes("{}", ConfigSource::kPeer),
+  EXPECT_EQ(tracker.OfferEncodedSnapshot("{}", ConfigSource::kPeer),
             OfferResult::kMalformed);
-  EXPECT_EQ(
-      tracker.OfferBytes(EncodeHeld(history.states[1]), ConfigSource::kPeer),
-      OfferResult::kTaken);
+  EXPECT_EQ(tracker.OfferEncodedSnapshot(EncodeSnapshot(history.states[1]),
+                                         ConfigSource::kPeer),
+            OfferResult::kTaken);
   EXPECT_TRUE(tracker.ready());
 }
 
--- a/tests/version/plan_test.cc
+++ b/tests/version/plan_test.cc
@@ -124,7 +124,8 @@
   RC_ASSERT(fresh.Refresh());
   for (auto& it : fixture.instances) {
     RC_ASSERT(it->Refresh());
-    RC_ASSERT(it->tracker.Held().digest == fresh.tracker.Held().digest);
+    RC_ASSERT(it->tracker.GetSnapshot().digest ==
+              fresh.tracker.GetSnapshot().digest);
     RC_ASSERT(*it->tracker.Get() == *fresh.tracker.Get());
     RC_ASSERT(!it->tracker.forked());
     RC_ASSERT(!it->tracker.service_is_behind());
@@ -213,10 +214,10 @@
   fixture.kv.ApplyFaults({{"load_copy", true}});
 
   Instance& holder = fixture.at(1);
-  const std::string digest = holder.tracker.Held().digest;
+  const std::string digest = holder.tracker.GetSnapshot().digest;
   EXPECT_TRUE(holder.Refresh());
   EXPECT_TRUE(holder.tracker.service_is_behind());
-  EXPECT_EQ(holder.tracker.Held().digest, digest);
+  EXPECT_EQ(holder.tracker.GetSnapshot().digest, digest);
   EXPECT_FALSE(
       holder.plans.Create(*ParseChangeRequest(ShareOf("parish", 0.4), &breach),
                           kFleetCaller, &fault));
@@ -233,7 +234,8 @@
   EXPECT_EQ(fixture.Put(0, ShareOf("parish", 0.25)), base::Revision(4));
   Instance fresh(fixture.kv, 100, kSmall);
   EXPECT_TRUE(fresh.Refresh());
-  EXPECT_EQ(fresh.tracker.Held().digest, fixture.at(0).tracker.Held().digest);
+  EXPECT_EQ(fresh.tracker.GetSnapshot().digest,
+            fixture.at(0).tracker.GetSnapshot().digest);
 }
 
 TEST(PlanServiceTest, RollbackIsANewPlanAndBringsNoKeysBack) {
