--- a/bench/config_slopes.cc
+++ b/bench/config_slopes.cc
@@ -152,11 +152,11 @@
         MakeContract(i % contracts, contracts, i + 1);
     next.contracts.insert_or_assign(contract.id, contract);
     const version::ChainedDelta delta =
-        Chain(MakeDelta(*held.configuration, next), held.digest);
-    const std::string bytes = EncodeChained(delta);
+        MakeChainedDelta(MakeDelta(*held.configuration, next), held.digest);
+    const std::string bytes = EncodeChainedDelta(delta);
     taking.delta_bytes = std::max(taking.delta_bytes, bytes.size());
     const auto start = Stopwatch::now();
-    const auto read = version::DecodeChained(bytes);
+    const auto read = version::DecodeChainedDelta(bytes);
     tracker.OfferDelta(*read, version::ConfigSource::kPeer);
     times.push_back(Micros(Stopwatch::now() - start));
   }
--- a/fuzz/configuration.cc
+++ b/fuzz/configuration.cc
@@ -49,7 +49,7 @@
 }
 
 void TryChained(std::string_view text) {
-  const auto value = DecodeChained(text);
+  const auto value = DecodeChainedDelta(text);
   if (value) {
     fuzz::Check(
         ChainDigest(value->previous_digest, value->text) == value->digest,
--- a/src/version/config_gossip.cc
+++ b/src/version/config_gossip.cc
@@ -76,7 +76,7 @@
 
 void ConfigGossip::TellDelta(base::Revision revision,
                              const ChainedDelta& delta) {
-  std::string body = EncodeChained(delta);
+  std::string body = EncodeChainedDelta(delta);
   if (body.size() <= kPublishedDeltaBytes) {
     Publish(ViewKind::kConfigDelta,
             std::to_string(revision.value() % kPublishedDeltas),
@@ -110,7 +110,7 @@
 
 void ConfigGossip::Hear(const ViewItem& item) {
   if (item.kind == ViewKind::kConfigDelta) {
-    if (const auto delta = DecodeChained(item.body)) {
+    if (const auto delta = DecodeChainedDelta(item.body)) {
       tracker_.OfferDelta(*delta, ConfigSource::kPeer);
     }
   } else if (item.key == kHeadKey) {
--- a/src/version/config_head.cc
+++ b/src/version/config_head.cc
@@ -53,20 +53,20 @@
   return head;
 }
 
-ChainedDelta Chain(const ConfigDelta& delta,
-                   const std::string& previous_digest) {
+ChainedDelta MakeChainedDelta(const ConfigDelta& delta,
+                              const std::string& previous_digest) {
   ChainedDelta chained{EncodeDelta(delta), previous_digest, {}};
   chained.digest = ChainDigest(previous_digest, chained.text);
   return chained;
 }
 
-std::string EncodeChained(const ChainedDelta& delta) {
+std::string EncodeChainedDelta(const ChainedDelta& delta) {
   return details::Canonical({{"delta", delta.text},
                              {"previous", delta.previous_digest},
                              {"digest", delta.digest}});
 }
 
-std::optional<ChainedDelta> DecodeChained(std::string_view text) {
+std::optional<ChainedDelta> DecodeChainedDelta(std::string_view text) {
   json value;
   CodecFault fault;
   if (!details::ParseObject(text, kMaxChainedBytes, &value, &fault)) {
--- a/src/version/config_head.h
+++ b/src/version/config_head.h
@@ -57,11 +57,11 @@
 std::optional<ConfigHead> DecodeHead(std::string_view text);
 
 // Links a delta to the history that ends with `previous_digest`.
-ChainedDelta Chain(const ConfigDelta& delta,
-                   const std::string& previous_digest);
-std::string EncodeChained(const ChainedDelta& delta);
+ChainedDelta MakeChainedDelta(const ConfigDelta& delta,
+                              const std::string& previous_digest);
+std::string EncodeChainedDelta(const ChainedDelta& delta);
 // Returns nullopt for malformed text or when the digest does not match.
-std::optional<ChainedDelta> DecodeChained(std::string_view text);
+std::optional<ChainedDelta> DecodeChainedDelta(std::string_view text);
 
 // Encodes a full configuration for storage and for peers.
 std::string EncodeSnapshot(const ConfigSnapshot& held);
--- a/src/version/config_store.cc
+++ b/src/version/config_store.cc
@@ -248,7 +248,7 @@
     return std::nullopt;
   }
   for (const std::string& it : *values) {
-    std::optional<ChainedDelta> delta = DecodeChained(it);
+    std::optional<ChainedDelta> delta = DecodeChainedDelta(it);
     if (!delta) {
       return Corrupt<std::vector<ChainedDelta>>(last_error);
     }
@@ -289,7 +289,7 @@
                               const ChainedDelta& delta,
                               const std::string& audit,
                               StoreError* last_error) const {
-  const std::string stored = EncodeChained(delta);
+  const std::string stored = EncodeChainedDelta(delta);
   if (stored.size() > kMaxDeltaBytes) {
     *last_error = StoreError::kTooLarge;
     return false;
@@ -478,7 +478,7 @@
   if (key == kHeadKey) {
     read.head = DecodeHead(event.entry.value);
   } else if (key.starts_with(kDeltaPrefix)) {
-    read.delta = DecodeChained(event.entry.value);
+    read.delta = DecodeChainedDelta(event.entry.value);
   }
   return read;
 }
--- a/src/version/plan.cc
+++ b/src/version/plan.cc
@@ -252,7 +252,8 @@
   plan.rollback_to = request.rollback_to;
   WriteText(wanted, fleet, &plan);
   if (plan.text.size() > kMaxPlanBytes ||
-      EncodeChained(Chain(plan.delta, held.digest)).size() > kMaxDeltaBytes) {
+      EncodeChainedDelta(MakeChainedDelta(plan.delta, held.digest)).size() >
+          kMaxDeltaBytes) {
     return Refuse(
         fault, PlanError::kTooLarge, "",
         "the change is too large for one plan; split it into several");
--- a/src/version/plan_service.cc
+++ b/src/version/plan_service.cc
@@ -298,7 +298,7 @@
 }
 
 ConfirmResult PlanService::Swap(const Plan& plan, const Caller& caller) {
-  const ChainedDelta delta = Chain(plan.delta, plan.base_digest);
+  const ChainedDelta delta = MakeChainedDelta(plan.delta, plan.base_digest);
   const std::string audit = AuditOf(plan, caller);
   StoreError ec = StoreError::kNone;
   // Whether a write may have taken effect; a later failure must then be
@@ -349,7 +349,7 @@
 }
 
 ConfirmResult PlanService::TakenEffect(const Plan& plan) {
-  const ChainedDelta delta = Chain(plan.delta, plan.base_digest);
+  const ChainedDelta delta = MakeChainedDelta(plan.delta, plan.base_digest);
   const OfferResult result = tracker_.OfferDelta(delta, ConfigSource::kOwn);
   base::Log(base::LogLevel::kInfo, "plan_in_force",
             {{"plan", plan.id.str()},
--- a/tests/version/config_gossip_test.cc
+++ b/tests/version/config_gossip_test.cc
@@ -85,7 +85,7 @@
     const ConfigSnapshot held = teller.tracker.GetSnapshot();
     Mutate(&now);
     teller.tracker.OfferDelta(
-        Chain(MakeDelta(*held.configuration, now), held.digest),
+        MakeChainedDelta(MakeDelta(*held.configuration, now), held.digest),
         ConfigSource::kOwn);
   }
 
@@ -121,8 +121,9 @@
     Configuration next = *held.configuration;
     next.services[base::ServiceName(std::to_string(said.size()))].name =
         base::ServiceName(std::to_string(said.size()));
-    tracker.OfferDelta(Chain(MakeDelta(*held.configuration, next), held.digest),
-                       ConfigSource::kOwn);
+    tracker.OfferDelta(
+        MakeChainedDelta(MakeDelta(*held.configuration, next), held.digest),
+        ConfigSource::kOwn);
   };
   gossip.Tick();
   EXPECT_TRUE(said.empty());
--- a/tests/version/config_tracker_test.cc
+++ b/tests/version/config_tracker_test.cc
@@ -31,7 +31,7 @@
     const ConfigSnapshot& last = states.back();
     const ConfigDelta delta = MakeDelta(*last.configuration, next);
     next.revision = delta.revision;
-    deltas.push_back(Chain(delta, last.digest));
+    deltas.push_back(MakeChainedDelta(delta, last.digest));
     states.push_back({std::make_shared<const Configuration>(std::move(next)),
                       deltas.back().digest});
   }
--- a/tests/version/configuration_test.cc
+++ b/tests/version/configuration_test.cc
@@ -121,11 +121,11 @@
 
 TEST(ChainedDeltaTest, AlteredTextIsNotRead) {
   const ConfigDelta delta = MakeDelta(Configuration(), SampleConfiguration());
-  const std::string text = EncodeChained(Chain(delta, ""));
-  EXPECT_TRUE(DecodeChained(text));
+  const std::string text = EncodeChainedDelta(MakeChainedDelta(delta, ""));
+  EXPECT_TRUE(DecodeChainedDelta(text));
   std::string altered = text;
   altered.replace(altered.find("0.25"), 4, "0.35");
-  EXPECT_FALSE(DecodeChained(altered));
+  EXPECT_FALSE(DecodeChainedDelta(altered));
 }
 
 }  // namespace
