--- a/src/version/config_tracker.cc
+++ b/src/version/config_tracker.cc
@@ -15,7 +15,7 @@
 
 std::string_view ToString(OfferResult result) noexcept {
   switch (result) {
-    case OfferResult::kTaken:
+    case OfferResult::kApplied:
       return "taken";
     case OfferResult::kKnown:
       return "known";
@@ -37,7 +37,7 @@
       return "service";
     case ConfigSource::kPeer:
       return "peer";
-    case ConfigSource::kOwn:
+    case ConfigSource::kLocal:
       break;
   }
   return "own";
@@ -111,7 +111,7 @@
     return OfferResult::kAhead;
   }
   const OfferResult result = ApplyNext(delta, parsed);
-  if (result == OfferResult::kTaken) {
+  if (result == OfferResult::kApplied) {
     taken->push_back({parsed.revision, delta});
     ApplyEarly(taken);
     Settle();
@@ -131,7 +131,7 @@
     return OfferResult::kForked;
   }
   state_.held = {std::move(next), delta.digest};
-  return OfferResult::kTaken;
+  return OfferResult::kApplied;
 }
 
 void ConfigTracker::ApplyEarly(std::vector<Taken>* taken) {
@@ -141,7 +141,7 @@
     const std::optional<ConfigDelta> parsed =
         DecodeDelta(it->second.text, &fault);
     const bool applied =
-        parsed && ApplyNext(it->second, *parsed) == OfferResult::kTaken;
+        parsed && ApplyNext(it->second, *parsed) == OfferResult::kApplied;
     if (!applied) {
       // Belongs to a different history; the correct delta may still arrive.
       state_.early.erase(it);
@@ -155,7 +155,7 @@
 
 OfferResult ConfigTracker::OfferSnapshot(const ConfigSnapshot& snapshot,
                                          ConfigSource source) {
-  OfferResult result = OfferResult::kTaken;
+  OfferResult result = OfferResult::kApplied;
   std::vector<Taken> taken;
   {
     const std::scoped_lock lock(mutex_);
@@ -174,13 +174,13 @@
       Settle();
     }
   }
-  if (result == OfferResult::kTaken) {
+  if (result == OfferResult::kApplied) {
     if (hooks_.on_snapshot) {
       hooks_.on_snapshot(snapshot);
     }
     Announce(taken);
-    if (taken.empty() && hooks_.on_taken) {
-      hooks_.on_taken(GetSnapshot());
+    if (taken.empty() && hooks_.on_applied) {
+      hooks_.on_applied(GetSnapshot());
     }
   }
   return Count("whole", snapshot.revision(), source, result);
@@ -276,8 +276,8 @@
       hooks_.on_delta(it.revision, it.delta);
     }
   }
-  if (hooks_.on_taken) {
-    hooks_.on_taken(GetSnapshot());
+  if (hooks_.on_applied) {
+    hooks_.on_applied(GetSnapshot());
   }
 }
 
@@ -303,7 +303,7 @@
                {"revision", revision.value()},
                {"held", GetSnapshot().revision().value()}});
   }
-  if (result == OfferResult::kTaken) {
+  if (result == OfferResult::kApplied) {
     base::Log(base::LogLevel::kInfo, "config_in_force",
               {{"revision", GetSnapshot().revision().value()},
                {"source", ToString(source)}});
--- a/src/version/config_tracker.h
+++ b/src/version/config_tracker.h
@@ -30,7 +30,7 @@
 // Result of offering a head, delta or snapshot.
 enum class OfferResult {
   // Applied; it is in force now.
-  kTaken,
+  kApplied,
   // Already in force.
   kKnown,
   // Older than the configuration in force; rejected.
@@ -46,14 +46,14 @@
 std::string_view ToString(OfferResult result) noexcept;
 
 // Origin of an offer, for logs and metrics.
-enum class ConfigSource { kService, kPeer, kOwn };
+enum class ConfigSource { kService, kPeer, kLocal };
 std::string_view ToString(ConfigSource source) noexcept;
 
 struct ConfigTrackerHooks {
   base::Clock clock;
   // Called when a configuration came into force, without holding the lock. In
   // order of revision only when all offers come from one thread. May be empty.
-  std::function<void(const ConfigSnapshot&)> on_taken;
+  std::function<void(const ConfigSnapshot&)> on_applied;
   // Called for each applied delta, to publish it to peers; may be empty.
   std::function<void(base::Revision, const ChainedDelta&)> on_delta;
   // Called when a snapshot was applied, before on_delta for deltas that follow
--- a/src/version/config_watcher.cc
+++ b/src/version/config_watcher.cc
@@ -23,7 +23,7 @@
   return deltas && std::ranges::all_of(*deltas, [&](const ChainedDelta& it) {
            const OfferResult result =
                tracker->OfferDelta(it, ConfigSource::kService);
-           return result == OfferResult::kTaken ||
+           return result == OfferResult::kApplied ||
                   result == OfferResult::kKnown;
          });
 }
--- a/src/version/plan_service.cc
+++ b/src/version/plan_service.cc
@@ -350,7 +350,7 @@
 
 ConfirmResult PlanService::TakenEffect(const Plan& plan) {
   const ChainedDelta delta = MakeChainedDelta(plan.delta, plan.base_digest);
-  const OfferResult result = tracker_.OfferDelta(delta, ConfigSource::kOwn);
+  const OfferResult result = tracker_.OfferDelta(delta, ConfigSource::kLocal);
   base::Log(base::LogLevel::kInfo, "plan_in_force",
             {{"plan", plan.id.str()},
              {"revision", plan.delta.revision.value()},
--- a/tests/version/config_gossip_test.cc
+++ b/tests/version/config_gossip_test.cc
@@ -86,7 +86,7 @@
     Mutate(&now);
     teller.tracker.OfferDelta(
         MakeChainedDelta(MakeDelta(*held.configuration, now), held.digest),
-        ConfigSource::kOwn);
+        ConfigSource::kLocal);
   }
 
   std::vector<ViewItem> items;
@@ -123,7 +123,7 @@
         base::ServiceName(std::to_string(said.size()));
     tracker.OfferDelta(
         MakeChainedDelta(MakeDelta(*held.configuration, next), held.digest),
-        ConfigSource::kOwn);
+        ConfigSource::kLocal);
   };
   gossip.Tick();
   EXPECT_TRUE(said.empty());
--- a/tests/version/config_tracker_test.cc
+++ b/tests/version/config_tracker_test.cc
@@ -170,7 +170,7 @@
             OfferResult::kMalformed);
   EXPECT_EQ(tracker.OfferEncodedSnapshot(EncodeSnapshot(history.states[1]),
                                          ConfigSource::kPeer),
-            OfferResult::kTaken);
+            OfferResult::kApplied);
   EXPECT_TRUE(tracker.ready());
 }
 
