--- a/src/version/config_tracker.cc
+++ b/src/version/config_tracker.cc
@@ -51,7 +51,7 @@
 OfferResult ConfigTracker::OfferHead(
     const ConfigHead& head,
     ConfigSource source,
-    std::optional<base::Revision> held_when_asked) {
+    std::optional<base::Revision> held_before_read) {
   OfferResult result = OfferResult::kKnown;
   {
     const std::scoped_lock lock(mutex_);
@@ -61,11 +61,11 @@
       Hear(head.revision);
     } else if (head.revision == held && head.digest != state_.held.digest) {
       result = OfferResult::kForked;
-    } else if (held_when_asked && head.revision < *held_when_asked) {
+    } else if (held_before_read && head.revision < *held_before_read) {
       result = OfferResult::kOlder;
     }
     // A head from a peer says nothing about the state of the service.
-    if (source == ConfigSource::kService && held_when_asked) {
+    if (source == ConfigSource::kService && held_before_read) {
       state_.service_is_behind = result == OfferResult::kOlder;
       state_.forked = result == OfferResult::kForked;
     }
@@ -210,29 +210,29 @@
   return state_.ready;
 }
 
-void ConfigTracker::MarkEmpty() {
+void ConfigTracker::MarkStoreEmpty() {
   const std::scoped_lock lock(mutex_);
   // A service that lost its data also has no head.
-  if (state_.newest_heard.value() == 0) {
+  if (state_.newest_known.value() == 0) {
     state_.ready = true;
   } else {
     state_.service_is_behind = true;
   }
 }
 
-base::Revision ConfigTracker::newest_heard() const {
+base::Revision ConfigTracker::newest_known() const {
   const std::scoped_lock lock(mutex_);
-  return state_.newest_heard;
+  return state_.newest_known;
 }
 
 bool ConfigTracker::behind() const {
   const std::scoped_lock lock(mutex_);
-  return state_.newest_heard > state_.held.revision();
+  return state_.newest_known > state_.held.revision();
 }
 
-base::Duration ConfigTracker::BehindFor() const {
+base::Duration ConfigTracker::TimeBehind() const {
   const std::scoped_lock lock(mutex_);
-  if (state_.newest_heard <= state_.held.revision()) {
+  if (state_.newest_known <= state_.held.revision()) {
     return base::Duration::zero();
   }
   return hooks_.clock() - state_.behind_since;
@@ -249,19 +249,19 @@
 }
 
 void ConfigTracker::Hear(base::Revision revision) {
-  if (revision <= state_.newest_heard) {
+  if (revision <= state_.newest_known) {
     return;
   }
-  if (state_.newest_heard <= state_.held.revision()) {
+  if (state_.newest_known <= state_.held.revision()) {
     state_.behind_since = hooks_.clock();
   }
-  state_.newest_heard = revision;
+  state_.newest_known = revision;
 }
 
 void ConfigTracker::Settle() {
   const base::Revision held = state_.held.revision();
   state_.early.erase(state_.early.begin(), state_.early.upper_bound(held));
-  state_.ready = state_.ready || held >= state_.newest_heard;
+  state_.ready = state_.ready || held >= state_.newest_known;
   state_.service_is_behind = false;
   state_.forked = false;
   current_.store(state_.held.configuration);
--- a/src/version/config_tracker.h
+++ b/src/version/config_tracker.h
@@ -71,12 +71,13 @@
   ConfigTracker& operator=(const ConfigTracker&) = delete;
 
   // Records that a head was accepted; does not change the configuration.
-  // `held_when_asked` is the revision in force before the head was read. Only a
-  // head below it is reported as older; without it the head may just be stale.
+  // `held_before_read` is the revision in force before the head was read. Only
+  // a head below it is reported as older; without it the head may just be
+  // stale.
   OfferResult OfferHead(
       const ConfigHead& head,
       ConfigSource source,
-      std::optional<base::Revision> held_when_asked = std::nullopt);
+      std::optional<base::Revision> held_before_read = std::nullopt);
   // Applies a delta and the buffered deltas that follow it.
   OfferResult OfferDelta(const ChainedDelta& delta, ConfigSource source);
   // Applies a snapshot when it is newer than the configuration in force.
@@ -88,19 +89,19 @@
   // The configuration in force; never null. Does not lock the mutex.
   std::shared_ptr<const Configuration> Get() const;
   ConfigSnapshot GetSnapshot() const;
-  // True once the newest known revision was applied or MarkEmpty() confirmed
-  // that none exists. Stays true.
+  // True once the newest known revision was applied or MarkStoreEmpty()
+  // confirmed that none exists. Stays true.
   bool ready() const;
   // Call when the key-value service has no head. Counts as lost data when a
   // revision is already known.
-  void MarkEmpty();
+  void MarkStoreEmpty();
 
   // The newest revision known from any source.
-  base::Revision newest_heard() const;
+  base::Revision newest_known() const;
   // Whether a newer revision than the one in force is known.
   bool behind() const;
   // How long behind() has been true; zero when it is false.
-  base::Duration BehindFor() const;
+  base::Duration TimeBehind() const;
   // Whether the service's last head was older than the one in force.
   bool service_is_behind() const;
   // Whether the service's last head or delta was of a different history.
@@ -110,7 +111,7 @@
   struct State {
     ConfigSnapshot held;
     bool ready = false;
-    base::Revision newest_heard{0};
+    base::Revision newest_known{0};
     base::Time behind_since{};
     bool service_is_behind = false;
     bool forked = false;
--- a/src/version/config_watcher.cc
+++ b/src/version/config_watcher.cc
@@ -39,7 +39,7 @@
     return false;
   }
   if (stored->mod_revision.value() == 0) {
-    tracker->MarkEmpty();
+    tracker->MarkStoreEmpty();
     return true;
   }
   const OfferResult offered =
--- a/src/version/configuration_plane.cc
+++ b/src/version/configuration_plane.cc
@@ -114,7 +114,7 @@
 
 void ConfigurationPlane::Tick() {
   details_->gossip.Tick();
-  if (details_->tracker.BehindFor() > details_->options.peer_patience) {
+  if (details_->tracker.TimeBehind() > details_->options.peer_patience) {
     details_->watcher.Nudge();
   }
 }
--- a/src/version/intent_api.cc
+++ b/src/version/intent_api.cc
@@ -367,7 +367,7 @@
   }
   return Ok({{"revision", held.revision().value()},
              {"digest", held.digest},
-             {"newest_heard", tracker_.newest_heard().value()},
+             {"newest_heard", tracker_.newest_known().value()},
              {"ready", tracker_.ready()},
              {"service_is_behind", tracker_.service_is_behind()},
              {"forked", tracker_.forked()},
--- a/src/version/plan_service.cc
+++ b/src/version/plan_service.cc
@@ -265,7 +265,7 @@
 std::optional<ConfirmResult> PlanService::Settled(
     const Plan& plan,
     const StoredHead& stored,
-    base::Revision heard_before,
+    base::Revision known_before_read,
     StoreError* last_error) const {
   *last_error = StoreError::kNone;
   const base::Revision head = stored.head.revision;
@@ -273,7 +273,7 @@
       (head == plan.base && stored.head.digest != plan.base_digest)) {
     return Behind();
   }
-  if (head < heard_before) {
+  if (head < known_before_read) {
     return Behind();
   }
   if (head == plan.base) {
@@ -307,7 +307,7 @@
   for (int attempt = 0; attempt < kSwapAttempts; ++attempt) {
     // Taken before the read: a revision learned during the read may be newer
     // than the head it returns.
-    const base::Revision heard = tracker_.newest_heard();
+    const base::Revision heard = tracker_.newest_known();
     const std::optional<StoredHead> stored = store_.ReadHead(&ec);
     if (!stored) {
       break;
@@ -412,7 +412,7 @@
 
 ConfirmResult PlanService::Restore(const Caller& caller) {
   const ConfigSnapshot held = tracker_.GetSnapshot();
-  const bool newest = tracker_.newest_heard() <= held.revision();
+  const bool newest = tracker_.newest_known() <= held.revision();
   if (!newest || held.revision().value() == 0) {
     return {ConfirmOutcome::kConflict,
             base::Revision(0),
--- a/src/version/plan_service.h
+++ b/src/version/plan_service.h
@@ -100,10 +100,11 @@
   bool Save(const Plan& plan, PlanFault* fault) const;
   // Determines from the stored head whether the plan's outcome is already
   // decided; nullopt when the plan can still be committed or `last_error` is
-  // set. `heard_before` is the newest known revision before the head was read.
+  // set. `known_before_read` is the newest known revision before the head was
+  // read.
   std::optional<ConfirmResult> Settled(const Plan& plan,
                                        const StoredHead& stored,
-                                       base::Revision heard_before,
+                                       base::Revision known_before_read,
                                        StoreError* last_error) const;
   ConfirmResult Swap(const Plan& plan, const Caller& caller);
   ConfirmResult TakenEffect(const Plan& plan);
--- a/tests/version/config_tracker_test.cc
+++ b/tests/version/config_tracker_test.cc
@@ -163,7 +163,7 @@
   EXPECT_FALSE(tracker.ready());
   tracker.OfferHead(history.HeadAt(1), ConfigSource::kPeer);
   // A service that lost everything says that nothing was ever accepted.
-  tracker.MarkEmpty();
+  tracker.MarkStoreEmpty();
   EXPECT_FALSE(tracker.ready());
   EXPECT_TRUE(tracker.service_is_behind());
   EXPECT_EQ(tracker.OfferEncodedSnapshot("{}", ConfigSource::kPeer),
