--- a/src/main/daemon_hooks.cc
+++ b/src/main/daemon_hooks.cc
@@ -96,7 +96,7 @@
   hooks.publish = [this](process::ViewItem item) {
     views.Publish(std::move(item));
   };
-  hooks.in_force_facts = [this] {
+  hooks.revision_facts = [this] {
     return views.Snapshot(process::ViewKind::kConfigInForce);
   };
   hooks.member_count = [this] { return views.Members().size(); };
@@ -289,7 +289,7 @@
     fleet.OnFact(item);
   };
   const auto to_configuration = [this](const process::ViewItem& item) {
-    configuration.Hear(item);
+    configuration.HandleFact(item);
   };
   views.Subscribe(process::ViewKind::kTarget,
                   [this](const process::ViewItem& item) {
--- a/src/version/config_gossip.cc
+++ b/src/version/config_gossip.cc
@@ -74,8 +74,8 @@
   hooks_.publish(std::move(item));
 }
 
-void ConfigGossip::TellDelta(base::Revision revision,
-                             const ChainedDelta& delta) {
+void ConfigGossip::PublishDelta(base::Revision revision,
+                                const ChainedDelta& delta) {
   std::string body = EncodeChainedDelta(delta);
   if (body.size() <= kPublishedDeltaBytes) {
     Publish(ViewKind::kConfigDelta,
@@ -87,10 +87,10 @@
   }
   // Too large for one fact: publish a snapshot instead.
   metrics_.GetCounter("lynxglade_config_large_deltas_total").Add();
-  TellWhole(tracker_.GetSnapshot());
+  PublishSnapshot(tracker_.GetSnapshot());
 }
 
-void ConfigGossip::TellWhole(const ConfigSnapshot& snapshot) {
+void ConfigGossip::PublishSnapshot(const ConfigSnapshot& snapshot) {
   const std::string bytes = EncodeSnapshot(snapshot);
   const std::size_t count =
       (bytes.size() + kPublishedPartBytes - 1) / kPublishedPartBytes;
@@ -108,7 +108,7 @@
           HeadBody(snapshot.revision(), snapshot.digest));
 }
 
-void ConfigGossip::Hear(const ViewItem& item) {
+void ConfigGossip::HandleFact(const ViewItem& item) {
   if (item.kind == ViewKind::kConfigDelta) {
     if (const auto delta = DecodeChainedDelta(item.body)) {
       tracker_.OfferDelta(*delta, ConfigSource::kPeer);
@@ -118,11 +118,11 @@
       tracker_.OfferHead(*head, ConfigSource::kPeer);
     }
   } else if (item.key.starts_with(kWholePrefix)) {
-    HearPart(item);
+    HandleSnapshotPart(item);
   }
 }
 
-void ConfigGossip::HearPart(const ViewItem& item) {
+void ConfigGossip::HandleSnapshotPart(const ViewItem& item) {
   const base::Revision revision(static_cast<std::int64_t>(item.version.epoch));
   if (revision <= tracker_.Get()->revision) {
     return;
@@ -196,7 +196,7 @@
           HeadBody(held.revision(), held.digest));
 }
 
-std::optional<InstanceRevision> ConfigGossip::ReadInForce(
+std::optional<InstanceRevision> ConfigGossip::DecodeInstanceRevision(
     const ViewItem& item) {
   const std::optional<ConfigHead> head = ReadHeadBody(item.body);
   if (!head) {
--- a/src/version/config_gossip.h
+++ b/src/version/config_gossip.h
@@ -59,11 +59,11 @@
   ConfigGossip& operator=(const ConfigGossip&) = delete;
 
   // Publish to peers; called from hooks of the tracker and the plan service.
-  void TellDelta(base::Revision revision, const ChainedDelta& delta);
-  void TellWhole(const ConfigSnapshot& snapshot);
+  void PublishDelta(base::Revision revision, const ChainedDelta& delta);
+  void PublishSnapshot(const ConfigSnapshot& snapshot);
 
   // Handles facts of the kinds kConfigHead and kConfigDelta from peers.
-  void Hear(const process::ViewItem& item);
+  void HandleFact(const process::ViewItem& item);
 
   // Call about once a second. Publishes this instance's revision when it
   // changed or before the last published fact expires, at a rate limited by the
@@ -71,7 +71,7 @@
   void Tick();
 
   // Decodes a fact of the kind kConfigInForce; nullopt when malformed.
-  static std::optional<InstanceRevision> ReadInForce(
+  static std::optional<InstanceRevision> DecodeInstanceRevision(
       const process::ViewItem& item);
 
  private:
@@ -82,7 +82,7 @@
     std::map<std::size_t, std::string> parts;
   };
 
-  void HearPart(const process::ViewItem& item);
+  void HandleSnapshotPart(const process::ViewItem& item);
   // Adds a part; returns the snapshot bytes once all parts were received.
   std::optional<std::string> Add(base::Revision revision,
                                  std::size_t index,
--- a/src/version/configuration_plane.cc
+++ b/src/version/configuration_plane.cc
@@ -53,12 +53,13 @@
               options.watcher) {}
 
 ConfigTrackerHooks ConfigurationPlane::Details::MakeTrackerHooks() {
-  return {
-      hooks.clock, [this](const ConfigSnapshot&) { hooks.on_change(); },
-      [this](base::Revision revision, const ChainedDelta& delta) {
-        gossip.TellDelta(revision, delta);
-      },
-      [this](const ConfigSnapshot& snapshot) { gossip.TellWhole(snapshot); }};
+  return {hooks.clock, [this](const ConfigSnapshot&) { hooks.on_change(); },
+          [this](base::Revision revision, const ChainedDelta& delta) {
+            gossip.PublishDelta(revision, delta);
+          },
+          [this](const ConfigSnapshot& snapshot) {
+            gossip.PublishSnapshot(snapshot);
+          }};
 }
 
 ConfigGossipHooks ConfigurationPlane::Details::MakeGossipHooks() {
@@ -70,7 +71,7 @@
   made.fleet = hooks.fleet;
   made.wall_millis = hooks.wall_millis;
   made.on_snapshot = [this](const ConfigSnapshot& held) {
-    gossip.TellWhole(held);
+    gossip.PublishSnapshot(held);
   };
   return made;
 }
@@ -85,8 +86,8 @@
 
 std::vector<InstanceRevision> ConfigurationPlane::Details::Instances() const {
   std::vector<InstanceRevision> rows;
-  for (const process::ViewItem& it : hooks.in_force_facts()) {
-    if (auto row = ConfigGossip::ReadInForce(it)) {
+  for (const process::ViewItem& it : hooks.revision_facts()) {
+    if (auto row = ConfigGossip::DecodeInstanceRevision(it)) {
       rows.push_back(std::move(*row));
     }
   }
@@ -108,8 +109,8 @@
   details_->watcher.Start();
 }
 
-void ConfigurationPlane::Hear(const process::ViewItem& item) {
-  details_->gossip.Hear(item);
+void ConfigurationPlane::HandleFact(const process::ViewItem& item) {
+  details_->gossip.HandleFact(item);
 }
 
 void ConfigurationPlane::Tick() {
--- a/src/version/configuration_plane.h
+++ b/src/version/configuration_plane.h
@@ -46,7 +46,7 @@
   std::function<void()> on_change;
   // ViewService::Publish, and ViewService::Snapshot of kConfigInForce.
   std::function<void(process::ViewItem)> publish;
-  std::function<std::vector<process::ViewItem>()> in_force_facts;
+  std::function<std::vector<process::ViewItem>()> revision_facts;
   std::function<std::size_t()> member_count;
   // Whether this instance should watch the key-value service.
   std::function<bool()> should_watch;
@@ -72,7 +72,7 @@
   // Starts reading and watching. Call once, when the hooks are ready.
   void Start();
   // Handles facts of the kinds kConfigHead and kConfigDelta; does not block.
-  void Hear(const process::ViewItem& item);
+  void HandleFact(const process::ViewItem& item);
   // Call about once a second.
   void Tick();
 
--- a/tests/version/config_gossip_test.cc
+++ b/tests/version/config_gossip_test.cc
@@ -54,9 +54,11 @@
       {[] { return base::Time{}; },
        {},
        [this](base::Revision revision, const ChainedDelta& delta) {
-         gossip.TellDelta(revision, delta);
+         gossip.PublishDelta(revision, delta);
        },
-       [this](const ConfigSnapshot& snapshot) { gossip.TellWhole(snapshot); }},
+       [this](const ConfigSnapshot& snapshot) {
+         gossip.PublishSnapshot(snapshot);
+       }},
       metrics};
   ConfigGossip gossip;
 };
@@ -97,7 +99,7 @@
   Teller fresh(unused);
   while (!items.empty()) {
     const auto n = *rc::gen::inRange<std::size_t>(0, items.size());
-    fresh.gossip.Hear(items[n]);
+    fresh.gossip.HandleFact(items[n]);
     items.erase(items.begin() + static_cast<std::ptrdiff_t>(n));
   }
   RC_ASSERT(fresh.tracker.ready());
@@ -136,8 +138,10 @@
   now += std::chrono::seconds(20);
   gossip.Tick();
   ASSERT_EQ(said.size(), 2u);
-  EXPECT_EQ(ConfigGossip::ReadInForce(said[1])->revision, base::Revision(2));
-  EXPECT_EQ(ConfigGossip::ReadInForce(said[1])->instance.str(), "i1");
+  EXPECT_EQ(ConfigGossip::DecodeInstanceRevision(said[1])->revision,
+            base::Revision(2));
+  EXPECT_EQ(ConfigGossip::DecodeInstanceRevision(said[1])->instance.str(),
+            "i1");
   // The fact expires unless it is said again, as a newer version.
   now += std::chrono::minutes(5);
   gossip.Tick();
@@ -212,7 +216,7 @@
       changed_.notify_all();
     };
     hooks.publish = [this, i](const ViewItem& item) { Spread(i, item); };
-    hooks.in_force_facts = [] { return std::vector<ViewItem>(); };
+    hooks.revision_facts = [] { return std::vector<ViewItem>(); };
     hooks.member_count = [this] { return planes_.size(); };
     // The first watches, the rest hear from it.
     hooks.should_watch = [i] { return i == 0; };
@@ -234,7 +238,7 @@
       }
     }
     for (const std::size_t i : receivers) {
-      planes_[i]->Hear(item);
+      planes_[i]->HandleFact(item);
     }
   }
 
