--- a/src/version/config_watcher.cc
+++ b/src/version/config_watcher.cc
@@ -83,10 +83,10 @@
       std::jthread([this](const std::stop_token& stop) { WatchLoop(stop); });
 }
 
-void ConfigWatcher::Nudge() {
+void ConfigWatcher::TriggerRead() {
   {
     const std::scoped_lock lock(mutex_);
-    nudged_ = true;
+    read_triggered_ = true;
   }
   wake_.notify_all();
 }
@@ -151,7 +151,7 @@
         next = revision + base::Revision(1);
       }
       if (!Take(events) || first) {
-        Nudge();
+        TriggerRead();
       }
       return hooks_.should_watch();
     };
@@ -165,7 +165,7 @@
       // The start revision may have been compacted; use the current one.
       next = base::Revision(0);
     }
-    Sleep(stop, options_.rewatch_pause, false);
+    Sleep(stop, options_.rewatch_delay, false);
   }
 }
 
@@ -189,10 +189,11 @@
 
 void ConfigWatcher::Sleep(const std::stop_token& stop,
                           base::Duration time,
-                          bool nudgeable) {
+                          bool triggerable) {
   std::unique_lock lock(mutex_);
-  wake_.wait_for(lock, stop, time,
-                 [&] { return nudgeable && std::exchange(nudged_, false); });
+  wake_.wait_for(lock, stop, time, [&] {
+    return triggerable && std::exchange(read_triggered_, false);
+  });
 }
 
 }  // namespace lynxglade::version
--- a/src/version/config_watcher.h
+++ b/src/version/config_watcher.h
@@ -32,7 +32,7 @@
   base::Duration other_period = std::chrono::seconds(10);
   base::Duration behind_period = std::chrono::milliseconds(200);
   // Delay before an ended watch is opened again.
-  base::Duration rewatch_pause = std::chrono::milliseconds(200);
+  base::Duration rewatch_delay = std::chrono::milliseconds(200);
 };
 
 struct ConfigWatcherHooks {
@@ -68,7 +68,7 @@
 
   void Start();
   // Triggers an immediate read of the head. Thread-safe; does not block.
-  void Nudge();
+  void TriggerRead();
 
  private:
   void ReadLoop(const std::stop_token& stop);
@@ -78,8 +78,11 @@
   base::Duration NextPeriod() const;
   // Passes watch events to the tracker; returns false when a read is needed.
   bool Take(const std::vector<connection::KvEvent>& events);
-  // Waits for `time` or until stopped; Nudge() ends the wait if `nudgeable`.
-  void Sleep(const std::stop_token& stop, base::Duration time, bool nudgeable);
+  // Waits for `time` or until stopped; TriggerRead() ends the wait if
+  // `nudgeable`.
+  void Sleep(const std::stop_token& stop,
+             base::Duration time,
+             bool triggerable);
 
   const connection::KeyValue& service_;
   const ConfigStore& store_;
@@ -90,7 +93,7 @@
 
   std::mutex mutex_;
   std::condition_variable_any wake_;
-  bool nudged_ = false;
+  bool read_triggered_ = false;
   // Last, so that the threads are joined before other members are destroyed.
   std::jthread reader_;
   std::jthread watcher_;
--- a/src/version/configuration_plane.cc
+++ b/src/version/configuration_plane.cc
@@ -115,8 +115,8 @@
 
 void ConfigurationPlane::Tick() {
   details_->gossip.Tick();
-  if (details_->tracker.TimeBehind() > details_->options.peer_patience) {
-    details_->watcher.Nudge();
+  if (details_->tracker.TimeBehind() > details_->options.peer_timeout) {
+    details_->watcher.TriggerRead();
   }
 }
 
--- a/src/version/configuration_plane.h
+++ b/src/version/configuration_plane.h
@@ -33,7 +33,7 @@
   StoreLimits store;
   ConfigWatcherOptions watcher;
   // Time behind after which the service is read instead of waiting for peers.
-  base::Duration peer_patience = std::chrono::milliseconds(300);
+  base::Duration peer_timeout = std::chrono::milliseconds(300);
 };
 
 // All must be thread-safe; only fetch_from_peer may block.
