--- a/src/connection/caller_front.cc
+++ b/src/connection/caller_front.cc
@@ -138,9 +138,9 @@
     return;
   }
   const auto* intent =
-      version::ServingConfiguration::FindModel(*contract, call->model);
+      version::ServingConfiguration::FindModelIntent(*contract, call->model);
   if (intent == nullptr) {
-    const bool known = configuration->KnowsModel(call->model);
+    const bool known = configuration->ServesModel(call->model);
     Refuse(exchange,
            known ? NotRun(RefusalReason::kNotEntitled,
                           "the contract does not include this model")
@@ -202,8 +202,8 @@
            NotRun(RefusalReason::kUnknownService, "no such plain service"));
     return;
   }
-  if (version::ServingConfiguration::FindPlain(*contract, service->name) ==
-      nullptr) {
+  if (version::ServingConfiguration::FindPlainIntent(
+          *contract, service->name) == nullptr) {
     Refuse(exchange, NotRun(RefusalReason::kNotEntitled,
                             "the contract does not include this service"));
     return;
--- a/src/version/serving_configuration.cc
+++ b/src/version/serving_configuration.cc
@@ -37,13 +37,14 @@
   return it == configuration_.services.end() ? nullptr : &it->second;
 }
 
-const Intent* ServingConfiguration::FindModel(const Contract& contract,
-                                              const base::ModelName& model) {
+const Intent* ServingConfiguration::FindModelIntent(
+    const Contract& contract,
+    const base::ModelName& model) {
   const auto it = std::ranges::find(contract.intents, model, &Intent::model);
   return it == contract.intents.end() ? nullptr : &*it;
 }
 
-const Intent* ServingConfiguration::FindPlain(
+const Intent* ServingConfiguration::FindPlainIntent(
     const Contract& contract,
     const base::ServiceName& service) {
   const auto it =
@@ -53,7 +54,7 @@
   return it == contract.intents.end() ? nullptr : &*it;
 }
 
-bool ServingConfiguration::KnowsModel(const base::ModelName& model) const {
+bool ServingConfiguration::ServesModel(const base::ModelName& model) const {
   return contracts_by_model_.contains(model);
 }
 
--- a/src/version/serving_configuration.h
+++ b/src/version/serving_configuration.h
@@ -28,13 +28,13 @@
 
   // Find the contract's intent for a model or a plain service; null if none.
   // The pointer refers into `contract`.
-  static const Intent* FindModel(const Contract& contract,
-                                 const base::ModelName& model);
-  static const Intent* FindPlain(const Contract& contract,
-                                 const base::ServiceName& service);
+  static const Intent* FindModelIntent(const Contract& contract,
+                                       const base::ModelName& model);
+  static const Intent* FindPlainIntent(const Contract& contract,
+                                       const base::ServiceName& service);
 
   // Whether any contract has an intent for the model.
-  bool KnowsModel(const base::ModelName& model) const;
+  bool ServesModel(const base::ModelName& model) const;
 
  private:
   Configuration configuration_;
