--- a/src/process/retry_loans.h
+++ b/src/process/retry_loans.h
@@ -62,7 +62,8 @@
 
   // Starts to handle requests and loans from peers.
   void Start();
-  // Requests `wanted` arrivals, unless the request interval has not passed.
+  // Requests `arrivals` from peers, unless the last request for the service is
+  // too recent.
   void RequestLoan(const base::ServiceName& service, double arrivals);
 
  private:
--- a/src/process/stage_orders.h
+++ b/src/process/stage_orders.h
@@ -1,10 +1,10 @@
 // Orders engines to change stage (prefill or decode) as the stage plan says.
 //
 // Each engine has at most one order in flight. An order carries the number of
-// orders that the engine had accepted, so a delayed duplicate has no effect,
-// and it is withheld if the engine has restarted since the plan was made. An
-// order without a response is not repeated until the engine would have carried
-// it out.
+// orders that the engine had accepted, so that a delayed duplicate has no
+// effect. It is withheld if the engine has restarted since the plan was made.
+// After an order without a response the engine gets no other one until it would
+// have carried out the lost one.
 #ifndef LYNXGLADE_PROCESS_STAGE_ORDERS_H_
 #define LYNXGLADE_PROCESS_STAGE_ORDERS_H_
 
--- a/src/process/store_port.h
+++ b/src/process/store_port.h
@@ -23,7 +23,7 @@
   kTimeout,
   // The connection was refused or closed. A write may have taken effect.
   kClosed,
-  // Rejected for now: overload, or a rate limit of this instance.
+  // Rejected for now: the store is overloaded or rejects this instance.
   kBusy,
   // The history after the revision has been compacted; list again.
   kHistoryGone,
