--- a/src/process/stage_orders.cc
+++ b/src/process/stage_orders.cc
@@ -21,13 +21,13 @@
 
 std::string_view ToString(OrderResult result) noexcept {
   switch (result) {
-    case OrderResult::kTaken:
+    case OrderResult::kAccepted:
       return "taken";
     case OrderResult::kConflict:
       return "conflict";
     case OrderResult::kFenced:
       return "fenced";
-    case OrderResult::kRefused:
+    case OrderResult::kRejected:
       return "refused";
     case OrderResult::kUnknown:
       break;
--- a/src/process/stage_orders.h
+++ b/src/process/stage_orders.h
@@ -50,14 +50,14 @@
 
 enum class OrderResult {
   // In progress, or the engine is in that stage already.
-  kTaken,
+  kAccepted,
   // Another order was accepted first, or is in progress.
   kConflict,
   // The engine has seen a higher fencing token: another instance now holds the
   // authority.
   kFenced,
   // The engine is another one, or does not support the order.
-  kRefused,
+  kRejected,
   // No response; the engine may have accepted the order or may do so later.
   kUnknown,
 };
--- a/tests/process/stage_orders_test.cc
+++ b/tests/process/stage_orders_test.cc
@@ -47,7 +47,7 @@
                              StageOrder order) -> Awaitable<OrderResult> {
                sent_.push_back({it->entry.id.str(), order});
                before_answer_(it);
-               if (answer_ == OrderResult::kTaken) {
+               if (answer_ == OrderResult::kAccepted) {
                  EngineReport& report = reports_[it->entry.id.str()];
                  report.stage = order.stage;
                  ++report.orders;
@@ -107,7 +107,7 @@
   OrderAuthority authority_;
   std::map<std::string, EngineReport> reports_;
   std::vector<std::pair<std::string, StageOrder>> sent_;
-  OrderResult answer_ = OrderResult::kTaken;
+  OrderResult answer_ = OrderResult::kAccepted;
   // Runs while an order is in flight.
   std::function<void(const EngineHandle&)> before_answer_ =
       [](const EngineHandle&) {};
