--- a/src/process/retry_loans.cc
+++ b/src/process/retry_loans.cc
@@ -71,7 +71,7 @@
 
 std::vector<InstancePeer> RetryLoans::ChoosePeers() const {
   std::vector<InstancePeer> peers = hooks_.peers();
-  const std::size_t n = std::min(options_.max_asked_peers, peers.size());
+  const std::size_t n = std::min(options_.max_peers, peers.size());
   for (std::size_t i = 0; i < n; ++i) {
     const auto j = i + base::UniformBelow(random_, peers.size() - i);
     std::swap(peers[i], peers[j]);
--- a/src/process/retry_loans.h
+++ b/src/process/retry_loans.h
@@ -27,7 +27,7 @@
 
 struct RetryLoansOptions {
   // Peers that get one request, each for the whole missing amount.
-  std::size_t max_asked_peers = 2;
+  std::size_t max_peers = 2;
   // Minimum time between requests for a service: a few round trips. Doubled up
   // to `max_request_interval` after each request without a loan, to limit the
   // traffic while no instance has any to spare.
