--- a/src/process/change_relay.cc
+++ b/src/process/change_relay.cc
@@ -137,7 +137,7 @@
   }
   RelayFault fault{};
   const auto changes =
-      co_await watches_.Answer(query->after, query->wait, &fault);
+      co_await watches_.ServeChanges(query->after, query->wait, &fault);
   auto message = changes ? EncodeChanges(*changes) : std::nullopt;
   if (message) {
     head.status = static_cast<unsigned>(http::status::ok);
--- a/src/process/watch_sharing.cc
+++ b/src/process/watch_sharing.cc
@@ -75,9 +75,10 @@
       clock_(std::move(clock)),
       metrics_(metrics) {}
 
-Awaitable<std::optional<StoreItems>> WatchSharing::Answer(base::Revision after,
-                                                          base::Duration wait,
-                                                          RelayFault* fault) {
+Awaitable<std::optional<StoreItems>> WatchSharing::ServeChanges(
+    base::Revision after,
+    base::Duration wait,
+    RelayFault* fault) {
   const base::Time end = clock_() + wait;
   while (true) {
     const base::Time now = clock_();
--- a/src/process/watch_sharing.h
+++ b/src/process/watch_sharing.h
@@ -97,7 +97,7 @@
   // Serves the query of another instance. Returns nullopt and sets `*fault` if
   // that instance has to query elsewhere.
   connection::event::Awaitable<std::optional<StoreItems>>
-  Answer(base::Revision after, base::Duration wait, RelayFault* fault);
+  ServeChanges(base::Revision after, base::Duration wait, RelayFault* fault);
 
   // Whether watches are currently shared in this zone.
   bool IsSharing() const;
--- a/tests/process/watch_sharing_test.cc
+++ b/tests/process/watch_sharing_test.cc
@@ -169,7 +169,7 @@
       const auto it =
           std::ranges::find(peers_, relay.instance, &InstancePeer::instance);
       auto& watches = zone_[it - peers_.begin()]->watches;
-      const auto changes = co_await watches.Answer(after, wait, fault);
+      const auto changes = co_await watches.ServeChanges(after, wait, fault);
       if (!changes) {
         co_return std::nullopt;
       }
@@ -285,7 +285,7 @@
       loop_,
       [&]() -> Awaitable<void> {
         const auto changes =
-            co_await zone_[at - peers_.begin()]->watches.Answer(
+            co_await zone_[at - peers_.begin()]->watches.ServeChanges(
                 base::Revision(1), std::chrono::seconds(1), &fault);
         answered = changes.has_value();
       },
