--- a/src/process/avoidance_sharing.cc
+++ b/src/process/avoidance_sharing.cc
@@ -88,7 +88,7 @@
                                                        std::string_view bytes) {
     return HandleUpdate(from, bytes);
   });
-  datagrams_.Repeat(options_.period, [this] { SendUpdates(); });
+  datagrams_.CallPeriodically(options_.period, [this] { SendUpdates(); });
 }
 
 void AvoidanceSharing::SendUpdates() {
--- a/src/process/peer_datagrams.cc
+++ b/src/process/peer_datagrams.cc
@@ -65,14 +65,14 @@
   CountOutcome(ec ? "not_sent" : "sent");
 }
 
-void PeerDatagrams::Repeat(base::Duration period,
-                           std::function<void()> callback) {
-  asio::co_spawn(loop_, RepeatLoop(period, std::move(callback)),
+void PeerDatagrams::CallPeriodically(base::Duration period,
+                                     std::function<void()> callback) {
+  asio::co_spawn(loop_, PeriodicLoop(period, std::move(callback)),
                  asio::detached);
 }
 
-Awaitable<void> PeerDatagrams::RepeatLoop(base::Duration period,
-                                          std::function<void()> callback) {
+Awaitable<void> PeerDatagrams::PeriodicLoop(base::Duration period,
+                                            std::function<void()> callback) {
   while (socket_.is_open()) {
     callback();
     co_await SleepFor(loop_, period);
--- a/src/process/peer_datagrams.h
+++ b/src/process/peer_datagrams.h
@@ -56,12 +56,13 @@
   // Sends without blocking; a datagram that cannot be sent at once is dropped.
   void Send(const InstancePeer& to, DatagramKind kind, std::string_view body);
   // Calls `callback` at once and then every `period` while the socket is open.
-  void Repeat(base::Duration period, std::function<void()> callback);
+  void CallPeriodically(base::Duration period, std::function<void()> callback);
 
  private:
   connection::event::Awaitable<void> ReceiveLoop();
-  connection::event::Awaitable<void> RepeatLoop(base::Duration period,
-                                                std::function<void()> callback);
+  connection::event::Awaitable<void> PeriodicLoop(
+      base::Duration period,
+      std::function<void()> callback);
   void Dispatch(std::string_view datagram);
   void CountOutcome(const char* outcome);
 
--- a/src/process/prefill_sharing.cc
+++ b/src/process/prefill_sharing.cc
@@ -104,7 +104,7 @@
       [this](const InstancePeer& from, std::string_view bytes) {
         return HandleReport(from, bytes);
       });
-  datagrams_.Repeat(options_.period, [this] { SendReport(); });
+  datagrams_.CallPeriodically(options_.period, [this] { SendReport(); });
 }
 
 void PrefillSharing::SendReport() {
