--- a/src/process/watch_sharing.cc
+++ b/src/process/watch_sharing.cc
@@ -64,14 +64,14 @@
     ChangeSource& store,
     WatchSharingOptions options,
     std::function<const std::vector<InstancePeer>&()> peers,
-    QueryRelay ask,
+    QueryRelay query_relay,
     base::Clock clock,
     base::Metrics& metrics)
     : loop_(loop),
       store_(store),
       options_(std::move(options)),
       peers_(std::move(peers)),
-      query_relay_(std::move(ask)),
+      query_relay_(std::move(query_relay)),
       clock_(std::move(clock)),
       metrics_(metrics) {}
 
--- a/src/process/watch_sharing.h
+++ b/src/process/watch_sharing.h
@@ -88,7 +88,7 @@
                ChangeSource& store,
                WatchSharingOptions options,
                std::function<const std::vector<InstancePeer>&()> peers,
-               QueryRelay ask,
+               QueryRelay query_relay,
                base::Clock clock,
                base::Metrics& metrics);
   WatchSharing(const WatchSharing&) = delete;
