--- a/tests/process/stage_orders_test.cc
+++ b/tests/process/stage_orders_test.cc
@@ -46,8 +46,8 @@
              .order = [this](EngineHandle it,
                              StageOrder order) -> Awaitable<OrderResult> {
                sent_.push_back({it->entry.id.str(), order});
-               before_answer_(it);
-               if (answer_ == OrderResult::kAccepted) {
+               before_result_(it);
+               if (result_ == OrderResult::kAccepted) {
                  EngineReport& report = reports_[it->entry.id.str()];
                  report.stage = order.stage;
                  ++report.orders;
@@ -55,7 +55,7 @@
                  entry.stage = order.stage;
                  table_.Put(entry, now_);
                }
-               co_return answer_;
+               co_return result_;
              }},
             {.instance = base::InstanceId("me"), .period = milliseconds(1)},
             [] { return std::vector<base::ServiceName>{kService}; },
@@ -107,9 +107,9 @@
   OrderAuthority authority_;
   std::map<std::string, EngineReport> reports_;
   std::vector<std::pair<std::string, StageOrder>> sent_;
-  OrderResult answer_ = OrderResult::kAccepted;
+  OrderResult result_ = OrderResult::kAccepted;
   // Runs while an order is in flight.
-  std::function<void(const EngineHandle&)> before_answer_ =
+  std::function<void(const EngineHandle&)> before_result_ =
       [](const EngineHandle&) {};
   bool idle_ = true;
   // All engines start in decode, so prompts are backlogged.
@@ -142,7 +142,7 @@
 // An engine may carry out an order twelve seconds late, after newer ones: the
 // order carries the count of accepted orders, and its repeat is delayed.
 TEST_F(StageOrdersTest, OrderWithoutResponseIsRepeatedOnlyAfterSettleTime) {
-  answer_ = OrderResult::kUnknown;
+  result_ = OrderResult::kUnknown;
   Start();
   RunUntil(loop_, [this] { return sent_.size() == 4; });
   now_ += seconds(14);
@@ -183,8 +183,8 @@
 // The engine's table entry is rewritten for an unknown service while an order
 // to it is in flight.
 TEST_F(StageOrdersTest, SurvivesAServiceChangeDuringAnOrder) {
-  answer_ = OrderResult::kConflict;
-  before_answer_ = [this](const EngineHandle& it) {
+  result_ = OrderResult::kConflict;
+  before_result_ = [this](const EngineHandle& it) {
     EngineEntry entry = it->entry;
     entry.service = base::ServiceName("unheard-of");
     table_.Put(entry, now_);
