--- a/tests/request/passthrough/engine_picker_test.cc
+++ b/tests/request/passthrough/engine_picker_test.cc
@@ -40,18 +40,18 @@
 }
 
 // A long shared part and a part of its own.
-Prompt Album(const std::string& shared) {
+Prompt SharedPrompt(const std::string& shared) {
   return Prompt{{{shared, 13'300}, {"own", 3'720}}};
 }
 
 constexpr int kPriority = 2;
 
-EnginePick Ask(EnginePicker& picker,
-               const std::vector<EngineHandle>& fleet,
-               const Prompt& prompt,
-               base::Time now = kNow,
-               const std::vector<base::TargetId>& tried = {},
-               int priority = kPriority) {
+EnginePick Pick(EnginePicker& picker,
+                const std::vector<EngineHandle>& fleet,
+                const Prompt& prompt,
+                base::Time now = kNow,
+                const std::vector<base::TargetId>& tried = {},
+                int priority = kPriority) {
   return picker.Pick(
       fleet,
       {.prompt = prompt, .priority = priority, .tried = tried, .now = now});
@@ -69,7 +69,7 @@
 TEST(EnginePicker, LongPromptsArePrefilledAtPrefillEngines) {
   EnginePicker picker = MakePicker();
   const auto fleet = Fleet(4, 2);
-  const EnginePick pick = Ask(picker, fleet, Album("x"));
+  const EnginePick pick = Pick(picker, fleet, SharedPrompt("x"));
   ASSERT_NE(pick.prefill_engine, nullptr);
   EXPECT_EQ(pick.prefill_engine->entry.stage, EngineStage::kPrefill);
   EXPECT_EQ(pick.runner->entry.stage, EngineStage::kDecode);
@@ -86,7 +86,8 @@
     }
   }
   for (int i = 0; i < 200; ++i) {
-    const EnginePick pick = Ask(picker, fleet, Album(std::to_string(i)));
+    const EnginePick pick =
+        Pick(picker, fleet, SharedPrompt(std::to_string(i)));
     EXPECT_NE(pick.prefill_engine, nullptr);
   }
 }
@@ -102,7 +103,7 @@
                       });
   const Prompt draft{{{"shared", 80}, {"own", 140}}};
   for (int i = 0; i < 40; ++i) {
-    ++Ask(picker, fleet, draft).runner->in_flight;
+    ++Pick(picker, fleet, draft).runner->in_flight;
   }
   EXPECT_NEAR(fleet[2]->in_flight, 10, 2);
   EXPECT_NEAR(fleet[3]->in_flight, 30, 2);
@@ -117,7 +118,7 @@
   std::map<base::TargetId, int> taken;
   for (std::uint64_t i = 0; i < kInstances; ++i) {
     const EnginePicker picker = MakePicker(i + 1);
-    const EnginePick pick = picker.Pick(fleet, {.prompt = Album("x"),
+    const EnginePick pick = picker.Pick(fleet, {.prompt = SharedPrompt("x"),
                                                 .priority = kPriority,
                                                 .tried = {},
                                                 .allow_separate_prefill = false,
@@ -135,13 +136,13 @@
   const auto fleet = Fleet(4, 2);
   EnginePicker without_peers = MakePicker();
   const EngineHandle home =
-      Ask(without_peers, fleet, Album("x")).prefill_engine;
+      Pick(without_peers, fleet, SharedPrompt("x")).prefill_engine;
   EnginePicker picker({.zone = base::ZoneId("a")}, prefill_times,
                       base::SeededRandom(1),
                       [&home](const Engine& engine, int, base::Time) {
                         return &engine == home.get() ? 100'000 : 0;
                       });
-  const EnginePick pick = Ask(picker, fleet, Album("x"));
+  const EnginePick pick = Pick(picker, fleet, SharedPrompt("x"));
   EXPECT_NE(pick.prefill_engine, home);
   EXPECT_EQ(pick.fetch_from, home);
   EXPECT_LT(pick.wait, milliseconds(1));
@@ -154,11 +155,11 @@
   const auto fleet = Fleet(2, 1);
   const Prompt question{{{"shop", 350}, {"own", 1'110}}};
   const EngineHandle home =
-      Ask(picker, fleet, question, kNow, {}, /*priority=*/0).prefill_engine;
+      Pick(picker, fleet, question, kNow, {}, /*priority=*/0).prefill_engine;
   ASSERT_NE(home, nullptr);
   home->prefills[kPriority].prefill_tokens = 20'000;
   EXPECT_NE(
-      Ask(picker, fleet, question, kNow, {}, /*priority=*/0).prefill_engine,
+      Pick(picker, fleet, question, kNow, {}, /*priority=*/0).prefill_engine,
       home);
 }
 
@@ -172,27 +173,28 @@
                         return zone == base::ZoneId("b");
                       });
   for (int i = 0; i < 50; ++i) {
-    const EnginePick pick = Ask(picker, fleet, Album(std::to_string(i)));
+    const EnginePick pick =
+        Pick(picker, fleet, SharedPrompt(std::to_string(i)));
     EXPECT_EQ(pick.prefill_engine, fleet[1]);
     EXPECT_EQ(pick.runner, fleet[3]);
   }
   // Engines of the unreachable zone are still used if there are no others.
   fleet.pop_back();
   fleet.erase(fleet.begin() + 1);
-  EXPECT_NE(Ask(picker, fleet, Album("x")).runner, nullptr);
+  EXPECT_NE(Pick(picker, fleet, SharedPrompt("x")).runner, nullptr);
 }
 
 TEST(EnginePicker, DecodeEnginePrefillsIfThereIsNoPrefillEngine) {
   EnginePicker picker = MakePicker();
   const auto fleet = Fleet(0, 3);
-  const EnginePick pick = Ask(picker, fleet, Album("x"));
+  const EnginePick pick = Pick(picker, fleet, SharedPrompt("x"));
   ASSERT_NE(pick.runner, nullptr);
   EXPECT_EQ(pick.prefill_engine, nullptr);
 }
 
 TEST(EnginePicker, NoPickWithoutDecodeEngines) {
   EnginePicker picker = MakePicker();
-  EXPECT_EQ(Ask(picker, Fleet(3, 0), Album("x")).runner, nullptr);
+  EXPECT_EQ(Pick(picker, Fleet(3, 0), SharedPrompt("x")).runner, nullptr);
 }
 
 TEST(EnginePicker, DrainingAndTriedEnginesAreLeftOut) {
@@ -200,7 +202,7 @@
   auto fleet = Fleet(0, 3);
   fleet[0]->entry.draining = true;
   const EnginePick pick =
-      Ask(picker, fleet, Prompt{}, kNow, {fleet[1]->entry.id});
+      Pick(picker, fleet, Prompt{}, kNow, {fleet[1]->entry.id});
   EXPECT_EQ(pick.runner, fleet[2]);
 }
 
@@ -208,9 +210,9 @@
   EnginePicker picker = MakePicker();
   auto fleet = Fleet(0, 2);
   fleet[0]->health.OnFailure(kNow);
-  EXPECT_EQ(Ask(picker, fleet, Prompt{}).runner, fleet[1]);
+  EXPECT_EQ(Pick(picker, fleet, Prompt{}).runner, fleet[1]);
   fleet[1]->health.OnFailure(kNow);
-  EXPECT_NE(Ask(picker, fleet, Prompt{}).runner, nullptr);
+  EXPECT_NE(Pick(picker, fleet, Prompt{}).runner, nullptr);
 }
 
 RC_GTEST_PROP(EnginePicker, InstancesAgreeOnThePrefillEngineOfAPart, ()) {
@@ -218,8 +220,8 @@
   const auto part = *rc::gen::nonEmpty<std::string>();
   EnginePicker one = MakePicker(1);
   EnginePicker two = MakePicker(2);
-  RC_ASSERT(Ask(one, fleet, Album(part)).prefill_engine ==
-            Ask(two, fleet, Album(part)).prefill_engine);
+  RC_ASSERT(Pick(one, fleet, SharedPrompt(part)).prefill_engine ==
+            Pick(two, fleet, SharedPrompt(part)).prefill_engine);
 }
 
 // Only the parts of the engine that left move.
@@ -227,11 +229,12 @@
   auto fleet = Fleet(*rc::gen::inRange(2, 12), 2);
   const auto part = *rc::gen::nonEmpty<std::string>();
   EnginePicker picker = MakePicker();
-  const EngineHandle before = Ask(picker, fleet, Album(part)).prefill_engine;
+  const EngineHandle before =
+      Pick(picker, fleet, SharedPrompt(part)).prefill_engine;
   const auto left = *rc::gen::inRange<std::size_t>(0, fleet.size() - 2);
   RC_PRE(fleet[left] != before);
   fleet[left]->entry.draining = true;
-  RC_ASSERT(Ask(picker, fleet, Album(part)).prefill_engine == before);
+  RC_ASSERT(Pick(picker, fleet, SharedPrompt(part)).prefill_engine == before);
 }
 
 TEST(EnginePicker, EnginesThatPeersAvoidAreLeftOutWhileOthersRemain) {
@@ -243,13 +246,14 @@
                         return avoided.contains(engine.entry.id.str());
                       });
   for (int i = 0; i < 20; ++i) {
-    const EnginePick pick = Ask(picker, fleet, Album(std::to_string(i)));
+    const EnginePick pick =
+        Pick(picker, fleet, SharedPrompt(std::to_string(i)));
     ASSERT_NE(pick.prefill_engine, nullptr);
     EXPECT_EQ(pick.prefill_engine->entry.id.str(), "p1");
   }
   // The only engine that can run it is still used.
   avoided.insert("d0");
-  EXPECT_NE(Ask(picker, fleet, Album("x")).runner, nullptr);
+  EXPECT_NE(Pick(picker, fleet, SharedPrompt("x")).runner, nullptr);
 }
 
 TEST(EnginePicker, SharedPartsSpreadOverThePrefillEngines) {
@@ -258,7 +262,7 @@
   std::map<EngineHandle, int> parts;
   constexpr int kParts = 164;
   for (int i = 0; i < kParts; ++i) {
-    ++parts[Ask(picker, fleet, Album("part" + std::to_string(i)))
+    ++parts[Pick(picker, fleet, SharedPrompt("part" + std::to_string(i)))
                 .prefill_engine];
   }
   EXPECT_EQ(parts.size(), 12U);
@@ -272,11 +276,11 @@
 TEST(EnginePicker, BusyHomeIsAvoidedAndFetchedFrom) {
   EnginePicker picker = MakePicker();
   const auto fleet = Fleet(4, 2);
-  const EnginePick calm = Ask(picker, fleet, Album("x"));
+  const EnginePick calm = Pick(picker, fleet, SharedPrompt("x"));
   EXPECT_EQ(calm.fetch_from, nullptr);
   EXPECT_EQ(calm.prefill_tokens, 3'720);
   calm.prefill_engine->prefills[kPriority].prefill_tokens = 90'000;
-  const EnginePick busy = Ask(picker, fleet, Album("x"));
+  const EnginePick busy = Pick(picker, fleet, SharedPrompt("x"));
   EXPECT_NE(busy.prefill_engine, calm.prefill_engine);
   EXPECT_EQ(busy.fetch_from, calm.prefill_engine);
 }
@@ -286,9 +290,10 @@
 TEST(EnginePicker, RunnerThatPrefillsFetchesTheSharedPart) {
   EnginePicker picker = MakePicker();
   const auto fleet = Fleet(4, 2);
-  const EngineHandle home = Ask(picker, fleet, Album("x")).prefill_engine;
-  const Prompt album = Album("x");
-  const EnginePick pick = picker.Pick(fleet, {.prompt = album,
+  const EngineHandle home =
+      Pick(picker, fleet, SharedPrompt("x")).prefill_engine;
+  const Prompt prompt = SharedPrompt("x");
+  const EnginePick pick = picker.Pick(fleet, {.prompt = prompt,
                                               .tried = {},
                                               .allow_separate_prefill = false,
                                               .now = kNow});
@@ -302,9 +307,10 @@
 TEST(EnginePicker, SlightlyBusyHomeKeepsItsParts) {
   EnginePicker picker = MakePicker();
   const auto fleet = Fleet(4, 2);
-  const EngineHandle home = Ask(picker, fleet, Album("x")).prefill_engine;
+  const EngineHandle home =
+      Pick(picker, fleet, SharedPrompt("x")).prefill_engine;
   home->prefills[kPriority].prefill_tokens = 13'300;
-  EXPECT_EQ(Ask(picker, fleet, Album("x")).prefill_engine, home);
+  EXPECT_EQ(Pick(picker, fleet, SharedPrompt("x")).prefill_engine, home);
 }
 
 // Prefills of other instances show in the wait that this instance's own last
@@ -312,21 +318,24 @@
 TEST(EnginePicker, ObservedWaitCountsForAShortTime) {
   EnginePicker picker = MakePicker();
   const auto fleet = Fleet(4, 2);
-  const EngineHandle home = Ask(picker, fleet, Album("x")).prefill_engine;
+  const EngineHandle home =
+      Pick(picker, fleet, SharedPrompt("x")).prefill_engine;
   home->prefills[kPriority].last_wait = std::chrono::seconds(2);
   home->prefills[kPriority].last_wait_at = kNow;
-  EXPECT_NE(Ask(picker, fleet, Album("x")).prefill_engine, home);
-  EXPECT_EQ(Ask(picker, fleet, Album("x"), kNow + std::chrono::seconds(2))
-                .prefill_engine,
-            home);
+  EXPECT_NE(Pick(picker, fleet, SharedPrompt("x")).prefill_engine, home);
+  EXPECT_EQ(
+      Pick(picker, fleet, SharedPrompt("x"), kNow + std::chrono::seconds(2))
+          .prefill_engine,
+      home);
 }
 
 TEST(EnginePicker, OverduePrefillMarksItsEngineAsBusy) {
   EnginePicker picker = MakePicker();
   const auto fleet = Fleet(4, 2);
-  const EngineHandle home = Ask(picker, fleet, Album("x")).prefill_engine;
+  const EngineHandle home =
+      Pick(picker, fleet, SharedPrompt("x")).prefill_engine;
   home->prefills[kPriority].due.insert(kNow - std::chrono::seconds(2));
-  EXPECT_NE(Ask(picker, fleet, Album("x")).prefill_engine, home);
+  EXPECT_NE(Pick(picker, fleet, SharedPrompt("x")).prefill_engine, home);
 }
 
 // Engines prefill urgent prompts first: less urgent ones do not delay a
@@ -337,11 +346,11 @@
   PrefillQueue& queue = fleet[0]->prefills[1];
   queue.last_wait = milliseconds(700);
   queue.last_wait_at = kNow;
-  EXPECT_EQ(Ask(picker, fleet, Album("x"), kNow, {}, 0).wait,
+  EXPECT_EQ(Pick(picker, fleet, SharedPrompt("x"), kNow, {}, 0).wait,
             base::Duration(0));
-  EXPECT_EQ(Ask(picker, fleet, Album("x"), kNow, {}, 1).wait,
+  EXPECT_EQ(Pick(picker, fleet, SharedPrompt("x"), kNow, {}, 1).wait,
             milliseconds(700));
-  EXPECT_EQ(Ask(picker, fleet, Album("x"), kNow, {}, 2).wait,
+  EXPECT_EQ(Pick(picker, fleet, SharedPrompt("x"), kNow, {}, 2).wait,
             milliseconds(700));
 }
 
@@ -364,7 +373,7 @@
 EngineHandle PickDecodeEngine(const EnginePicker& picker,
                               const std::vector<EngineHandle>& fleet,
                               const std::vector<base::TargetId>& tried) {
-  const Prompt prompt = Album("x");
+  const Prompt prompt = SharedPrompt("x");
   return picker.PickDecodeEngine(
       fleet, *fleet[0], {.prompt = prompt, .tried = tried, .now = kNow});
 }
@@ -400,7 +409,7 @@
   fleet[0]->in_flight = 5;
   fleet[1]->reported = {6, 2, 6};
   fleet[1]->reported_at = kNow;
-  EXPECT_EQ(Ask(picker, fleet, Prompt{}).runner, fleet[2]);
+  EXPECT_EQ(Pick(picker, fleet, Prompt{}).runner, fleet[2]);
 }
 
 }  // namespace
--- a/tests/request/passthrough/engine_table_test.cc
+++ b/tests/request/passthrough/engine_table_test.cc
@@ -52,7 +52,7 @@
   EXPECT_EQ(table.size(), 0U);
 }
 
-EngineEntry Born(const std::string& id, std::int64_t born) {
+EngineEntry EntryBornAt(const std::string& id, std::int64_t born) {
   EngineEntry entry = Entry(id);
   entry.born = base::BornMillis(born);
   return entry;
@@ -61,13 +61,13 @@
 // State learnt about a target belongs to one lifetime of it.
 TEST(EngineTable, NewLifetimeStartsWithoutState) {
   EngineTable table(kGrace);
-  table.Put(Born("a", 1000), kNow - std::chrono::minutes(1));
+  table.Put(EntryBornAt("a", 1000), kNow - std::chrono::minutes(1));
   const EngineHandle before = table.Find(base::TargetId("a"));
   before->in_flight = 3;
   before->prefills[0].prefill_tokens = 5000;
   before->reported = {.running = 9, .waiting = 2, .slots = 64};
   before->health.OnFailure(kNow);
-  table.Put(Born("a", 2000), kNow);
+  table.Put(EntryBornAt("a", 2000), kNow);
   const EngineHandle after = table.Find(base::TargetId("a"));
   ASSERT_NE(after, before);
   EXPECT_EQ(after->in_flight, 0);
@@ -83,9 +83,9 @@
 
 TEST(EngineTable, EarlierOrMissingBirthIsAnotherLifetimeToo) {
   EngineTable table(kGrace);
-  table.Put(Born("a", 2000), kNow);
+  table.Put(EntryBornAt("a", 2000), kNow);
   const EngineHandle first = table.Find(base::TargetId("a"));
-  table.Put(Born("a", 1000), kNow);
+  table.Put(EntryBornAt("a", 1000), kNow);
   const EngineHandle earlier = table.Find(base::TargetId("a"));
   EXPECT_NE(earlier, first);
   table.Put(Entry("a"), kNow);
@@ -115,9 +115,9 @@
 
 TEST(EngineTable, SameLifetimeKeepsItsState) {
   EngineTable table(kGrace);
-  table.Put(Born("a", 1000), kNow);
+  table.Put(EntryBornAt("a", 1000), kNow);
   const EngineHandle before = table.Find(base::TargetId("a"));
-  EngineEntry entry = Born("a", 1000);
+  EngineEntry entry = EntryBornAt("a", 1000);
   entry.draining = true;
   table.Put(entry, kNow);
   EXPECT_EQ(table.Find(base::TargetId("a")), before);
--- a/tests/request/passthrough/prefix_placement_test.cc
+++ b/tests/request/passthrough/prefix_placement_test.cc
@@ -30,7 +30,7 @@
   return engines;
 }
 
-Prompt Album(int n) {
+Prompt SharedPrompt(int n) {
   return Prompt{{{"album" + std::to_string(n), 13'300}, {"own", 3'720}}};
 }
 
@@ -43,8 +43,8 @@
   return usable;
 }
 
-PrefixPlacement Find(const std::vector<EngineHandle>& engines, int album) {
-  return FindPrefixPlacement(Usable(engines), engines, Album(album),
+PrefixPlacement Find(const std::vector<EngineHandle>& engines, int part) {
+  return FindPrefixPlacement(Usable(engines), engines, SharedPrompt(part),
                              kSettleTime, kNow);
 }
 
@@ -67,15 +67,15 @@
 // again while the previous home still holds them.
 TEST(PrefixPlacement, NewHomeFetchesFromThePreviousOne) {
   auto engines = Engines(5);
-  for (int album = 0; album < 50; ++album) {
-    const EngineHandle before = Find(engines, album).home;
+  for (int part = 0; part < 50; ++part) {
+    const EngineHandle before = Find(engines, part).home;
     auto joined = engines;
     joined.push_back(MakeEngine(9));
     joined.back()->stage_since = kNow - seconds(1);
-    const PrefixPlacement placement = Find(joined, album);
+    const PrefixPlacement placement = Find(joined, part);
     EXPECT_EQ(placement.holder, before);
     joined.back()->stage_since = kNow - kSettleTime;
-    EXPECT_EQ(Find(joined, album).holder, Find(joined, album).home);
+    EXPECT_EQ(Find(joined, part).holder, Find(joined, part).home);
   }
 }
 
@@ -111,8 +111,8 @@
       engine->health.OnFailure(kNow);
     }
   }
-  const int album = *rc::gen::inRange(0, 1000);
-  const PrefixPlacement placement = Find(engines, album);
+  const int part = *rc::gen::inRange(0, 1000);
+  const PrefixPlacement placement = Find(engines, part);
   const auto usable = Usable(engines);
   RC_ASSERT((placement.home == nullptr) == usable.empty());
   RC_ASSERT((placement.holder == nullptr) == usable.empty());
@@ -122,7 +122,7 @@
                placement.holder->stage_since == base::Time()));
   }
   std::ranges::reverse(engines);
-  const PrefixPlacement other = Find(engines, album);
+  const PrefixPlacement other = Find(engines, part);
   RC_ASSERT(other.home == placement.home);
   RC_ASSERT(other.holder == placement.holder);
 }
