--- a/src/version/change_request.cc
+++ b/src/version/change_request.cc
@@ -9,7 +9,7 @@
 namespace lynxglade::version {
 namespace {
 
-using details::Below;
+using details::AppendToPointer;
 using details::Fail;
 using details::json;
 using details::JsonReader;
@@ -137,10 +137,11 @@
   const std::string& name = value.begin().key();
   const auto* const verb = std::ranges::find(kVerbs, name, &Verb::name);
   if (verb == std::end(kVerbs)) {
-    return Fail(fault, CodecError::kUnknownMember, Below(where, name),
+    return Fail(fault, CodecError::kUnknownMember, AppendToPointer(where, name),
                 "unknown kind of change");
   }
-  return verb->read(value.begin().value(), Below(where, name), out, fault);
+  return verb->read(value.begin().value(), AppendToPointer(where, name), out,
+                    fault);
 }
 
 // Applies one change. Each overload returns an empty string on success or an
@@ -268,7 +269,8 @@
   return std::ranges::all_of(
       request.changes, [&](const RequestedChange& change) {
         const std::string obstacle = std::visit(Apply{*configuration}, change);
-        const std::string where = Below("/changes", std::to_string(n++));
+        const std::string where =
+            AppendToPointer("/changes", std::to_string(n++));
         return obstacle.empty() ||
                Fail(fault, CodecError::kBadReference, where, obstacle);
       });
--- a/src/version/config_delta.cc
+++ b/src/version/config_delta.cc
@@ -93,9 +93,10 @@
     const json* after = reader.Any("after");
     Edit<Part>& edit = (*edits)[Key(key)];
     return reader.Done() &&
-           ReadSide(before, details::Below(where, "before"), &edit.before,
-                    fault) &&
-           ReadSide(after, details::Below(where, "after"), &edit.after, fault);
+           ReadSide(before, details::AppendToPointer(where, "before"),
+                    &edit.before, fault) &&
+           ReadSide(after, details::AppendToPointer(where, "after"),
+                    &edit.after, fault);
   };
 }
 
--- a/src/version/configuration_codec.cc
+++ b/src/version/configuration_codec.cc
@@ -9,12 +9,14 @@
 namespace lynxglade::version {
 namespace {
 
-using details::Below;
+using details::AppendToPointer;
 using details::Fail;
 
 std::string PlaceOf(const Contract& contract, std::size_t intent) {
-  return Below(Below(Below("/contracts", contract.id.str()), "intents"),
-               std::to_string(intent));
+  return AppendToPointer(
+      AppendToPointer(AppendToPointer("/contracts", contract.id.str()),
+                      "intents"),
+      std::to_string(intent));
 }
 
 bool CheckIntent(const Intent& intent,
@@ -23,11 +25,13 @@
                  CodecFault* fault) {
   const auto service = configuration.services.find(intent.service);
   if (service == configuration.services.end()) {
-    return Fail(fault, CodecError::kBadReference, Below(where, "service"),
+    return Fail(fault, CodecError::kBadReference,
+                AppendToPointer(where, "service"),
                 "unknown service " + intent.service.str());
   }
   if (service->second.engines == intent.model.empty()) {
-    return Fail(fault, CodecError::kBadReference, Below(where, "model"),
+    return Fail(fault, CodecError::kBadReference,
+                AppendToPointer(where, "model"),
                 service->second.engines
                     ? "a model is required for a service of model engines"
                     : "a plain service must not have a model");
@@ -123,7 +127,7 @@
       sums, [](const auto& it) { return it.second > 1 + kShareSlack; });
   return over == sums.end() ||
          Fail(fault, CodecError::kOverCommitted,
-              Below("/services", over->first.str()),
+              AppendToPointer("/services", over->first.str()),
               "the shares on " + over->first.str() + " sum to " +
                   nlohmann::json(over->second).dump() + ", more than 1");
 }
--- a/src/version/details/configuration_json.cc
+++ b/src/version/details/configuration_json.cc
@@ -32,10 +32,10 @@
 
 // The member key of a part must equal its id.
 template <typename Id>
-bool CheckKey(const std::string& key,
-              const Id& id,
-              const std::string& where,
-              CodecFault* fault) {
+bool CheckMemberKey(const std::string& key,
+                    const Id& id,
+                    const std::string& where,
+                    CodecFault* fault) {
   return key == id.str() ||
          Fail(fault, CodecError::kBadReference, where,
               "the member key must equal the id, " + id.str());
@@ -47,7 +47,7 @@
                              const std::string& where) {
     typename Map::mapped_type part;
     if (!FromJson(value, where, &part, fault) ||
-        !CheckKey(key, id_of(part), where, fault)) {
+        !CheckMemberKey(key, id_of(part), where, fault)) {
       return false;
     }
     const auto id = id_of(part);
@@ -65,11 +65,11 @@
                            return std::pair(it.service.str(), it.model.str());
                          });
   std::ranges::sort(names);
-  const auto twice = std::ranges::adjacent_find(names);
-  return twice == names.end() ||
-         Fail(fault, CodecError::kDuplicate, Below(where, "intents"),
-              "two intents for service " + twice->first + ", model '" +
-                  twice->second + "'");
+  const auto duplicate = std::ranges::adjacent_find(names);
+  return duplicate == names.end() ||
+         Fail(fault, CodecError::kDuplicate, AppendToPointer(where, "intents"),
+              "two intents for service " + duplicate->first + ", model '" +
+                  duplicate->second + "'");
 }
 
 bool ParseRole(const std::string& text, OperatorRole* role) {
@@ -158,7 +158,7 @@
     return false;
   }
   if (out->share <= 0) {
-    return Fail(fault, CodecError::kOutOfRange, Below(where, "share"),
+    return Fail(fault, CodecError::kOutOfRange, AppendToPointer(where, "share"),
                 "must be greater than 0");
   }
   out->service = base::ServiceName(std::move(service));
@@ -206,7 +206,7 @@
     return false;
   }
   if (!ParseRole(role, &out->role)) {
-    return Fail(fault, CodecError::kOutOfRange, Below(where, "role"),
+    return Fail(fault, CodecError::kOutOfRange, AppendToPointer(where, "role"),
                 "must be read_only, contract or fleet");
   }
   out->id = base::OperatorId(std::move(id));
--- a/src/version/details/json_reader.cc
+++ b/src/version/details/json_reader.cc
@@ -65,7 +65,7 @@
   return true;
 }
 
-std::string Below(const std::string& where, std::string_view step) {
+std::string AppendToPointer(const std::string& where, std::string_view step) {
   std::string path = where + "/";
   for (const char c : step) {
     if (c == '~') {
@@ -91,10 +91,10 @@
   }
 }
 
-bool JsonReader::Refuse(CodecError error,
+bool JsonReader::Reject(CodecError error,
                         std::string_view name,
                         std::string message) {
-  ok_ = Fail(fault_, error, Below(where_, name), std::move(message));
+  ok_ = Fail(fault_, error, AppendToPointer(where_, name), std::move(message));
   return false;
 }
 
@@ -102,13 +102,13 @@
   if (!ok_) {
     return nullptr;
   }
-  asked_.emplace_back(name);
+  read_members_.emplace_back(name);
   const auto it = object_.find(name);
   if (it != object_.end()) {
     return &*it;
   }
   if (required) {
-    Refuse(CodecError::kMissing, name, "is required");
+    Reject(CodecError::kMissing, name, "is required");
   }
   return nullptr;
 }
@@ -119,12 +119,12 @@
     return;
   }
   if (!value->is_string()) {
-    Refuse(CodecError::kWrongType, name, "must be a string");
+    Reject(CodecError::kWrongType, name, "must be a string");
     return;
   }
   *out = value->get<std::string>();
   if (!IsId(*out)) {
-    Refuse(CodecError::kOutOfRange, name,
+    Reject(CodecError::kOutOfRange, name,
            "must be 1 to 128 letters, digits or ._-:/@+");
   }
 }
@@ -149,12 +149,12 @@
     return;
   }
   if (!value->is_string()) {
-    Refuse(CodecError::kWrongType, name, "must be a string");
+    Reject(CodecError::kWrongType, name, "must be a string");
     return;
   }
   *out = value->get<std::string>();
   if (out->size() > max_bytes) {
-    Refuse(CodecError::kOutOfRange, name,
+    Reject(CodecError::kOutOfRange, name,
            "must be at most " + std::to_string(max_bytes) + " bytes");
   }
 }
@@ -165,7 +165,7 @@
     return;
   }
   if (!value->is_boolean()) {
-    Refuse(CodecError::kWrongType, name, "must be true or false");
+    Reject(CodecError::kWrongType, name, "must be true or false");
     return;
   }
   *out = value->get<bool>();
@@ -189,12 +189,12 @@
     return;
   }
   if (!value->is_number()) {
-    Refuse(CodecError::kWrongType, name, RangeText(low, high));
+    Reject(CodecError::kWrongType, name, RangeText(low, high));
     return;
   }
   *out = value->get<double>();
   if (!std::isfinite(*out) || *out < low || *out > high) {
-    Refuse(CodecError::kOutOfRange, name, RangeText(low, high));
+    Reject(CodecError::kOutOfRange, name, RangeText(low, high));
   }
 }
 
@@ -222,12 +222,12 @@
   const std::string message = "must be an integer from " + std::to_string(low) +
                               " to " + std::to_string(high);
   if (!fits) {
-    Refuse(CodecError::kWrongType, name, message);
+    Reject(CodecError::kWrongType, name, message);
     return;
   }
   *out = value->get<std::int64_t>();
   if (*out < low || *out > high) {
-    Refuse(CodecError::kOutOfRange, name, message);
+    Reject(CodecError::kOutOfRange, name, message);
   }
 }
 
@@ -270,21 +270,21 @@
     return;
   }
   if (value->type() != type) {
-    Refuse(CodecError::kWrongType, name,
+    Reject(CodecError::kWrongType, name,
            type == json::value_t::array ? "must be an array"
                                         : "must be an object");
     return;
   }
   if (value->size() > max_count) {
-    Refuse(CodecError::kTooLarge, name,
+    Reject(CodecError::kTooLarge, name,
            "must have at most " + std::to_string(max_count) + " entries, got " +
                std::to_string(value->size()));
     return;
   }
-  const std::string where = Below(where_, name);
+  const std::string where = AppendToPointer(where_, name);
   const auto items = value->items();
   ok_ = std::all_of(items.begin(), items.end(), [&](const auto& it) {
-    return read(it.key(), it.value(), Below(where, it.key()));
+    return read(it.key(), it.value(), AppendToPointer(where, it.key()));
   });
 }
 
@@ -299,12 +299,13 @@
   const auto items = object_.items();
   const auto it =
       std::find_if(items.begin(), items.end(), [&](const auto& member) {
-        return std::ranges::find(asked_, member.key()) == asked_.end();
+        return std::ranges::find(read_members_, member.key()) ==
+               read_members_.end();
       });
   if (it == items.end()) {
     return true;
   }
-  return Refuse(CodecError::kUnknownMember, it.key(), "unknown member");
+  return Reject(CodecError::kUnknownMember, it.key(), "unknown member");
 }
 
 }  // namespace lynxglade::version::details
--- a/src/version/details/json_reader.h
+++ b/src/version/details/json_reader.h
@@ -34,7 +34,7 @@
           std::string message);
 
 // Appends one reference token, escaped as required, to a JSON pointer.
-std::string Below(const std::string& where, std::string_view step);
+std::string AppendToPointer(const std::string& where, std::string_view step);
 
 // Reads the members of one object. After the first fault, later reads do
 // nothing, so that callers can check ok() or Done() once at the end.
@@ -89,12 +89,12 @@
 
  private:
   const json* Find(const char* name, bool required);
-  bool Refuse(CodecError error, std::string_view name, std::string message);
+  bool Reject(CodecError error, std::string_view name, std::string message);
 
   const json& object_;
   const std::string where_;
   CodecFault* const fault_;
-  std::vector<std::string_view> asked_;
+  std::vector<std::string_view> read_members_;
   bool ok_ = true;
 };
 
