--- a/src/version/plan.cc
+++ b/src/version/plan.cc
@@ -19,7 +19,7 @@
 constexpr std::size_t kMaxChanges =
     kMaxServices + kMaxContracts + kMaxOperators;
 
-std::nullopt_t Refuse(PlanFault* fault,
+std::nullopt_t Reject(PlanFault* fault,
                       PlanError error,
                       std::string where,
                       std::string message) {
@@ -36,7 +36,7 @@
 }
 
 // Services whose shares the delta may affect.
-std::set<base::ServiceName> ServicesTouched(const ConfigDelta& delta) {
+std::set<base::ServiceName> AffectedServices(const ConfigDelta& delta) {
   std::set<base::ServiceName> services;
   for (const auto& [name, edit] : delta.services) {
     services.insert(name);
@@ -97,49 +97,49 @@
 }
 
 // Share arithmetic of all affected services, with warnings.
-struct Arithmetic {
+struct ShareReport {
   json shares = json::array();
   json reloads = json::array();
   json warnings = json::array();
 };
 
-void AddService(const Configuration& wanted,
-                const ConfigDelta& delta,
-                const base::ServiceName& service,
-                const FleetFacts& fleet,
-                Arithmetic* all) {
-  const auto spec = wanted.services.find(service);
-  if (spec == wanted.services.end()) {
+void AddServiceShares(const Configuration& desired,
+                      const ConfigDelta& delta,
+                      const base::ServiceName& service,
+                      const FleetFacts& fleet,
+                      ShareReport* report) {
+  const auto spec = desired.services.find(service);
+  if (spec == desired.services.end()) {
     return;
   }
   const ServiceShares shares =
-      ComputeShares(wanted, service, CountTargets(fleet, service));
-  all->shares.push_back(SharesToJson(shares, delta));
+      ComputeShares(desired, service, CountTargets(fleet, service));
+  report->shares.push_back(SharesToJson(shares, delta));
   if (shares.engines == 0) {
-    all->warnings.push_back("no targets of " + service.str() +
-                            " are in view now");
+    report->warnings.push_back("no targets of " + service.str() +
+                               " are in view now");
     return;
   }
   for (const ShareLine& it : shares.lines) {
     if (it.engines == 0 && delta.contracts.contains(it.contract)) {
-      all->warnings.push_back("the share of " + it.contract.str() + " on " +
-                              service.str() + " is less than one engine");
+      report->warnings.push_back("the share of " + it.contract.str() + " on " +
+                                 service.str() + " is less than one engine");
     }
   }
   if (spec->second.engines) {
     std::ranges::transform(ComputeEngineReloads(shares, fleet.targets),
-                           std::back_inserter(all->reloads), ReloadToJson);
+                           std::back_inserter(report->reloads), ReloadToJson);
   }
 }
 
-Arithmetic Compute(const Configuration& wanted,
-                   const ConfigDelta& delta,
-                   const FleetFacts& fleet) {
-  Arithmetic all;
-  for (const base::ServiceName& it : ServicesTouched(delta)) {
-    AddService(wanted, delta, it, fleet, &all);
+ShareReport ComputeShareReport(const Configuration& desired,
+                               const ConfigDelta& delta,
+                               const FleetFacts& fleet) {
+  ShareReport report;
+  for (const base::ServiceName& it : AffectedServices(delta)) {
+    AddServiceShares(desired, delta, it, fleet, &report);
   }
-  return all;
+  return report;
 }
 
 json ChangesToJson(const std::vector<PlanChange>& changes) {
@@ -151,20 +151,20 @@
   return array;
 }
 
-void WriteText(const Configuration& wanted,
-               const FleetFacts& fleet,
-               Plan* plan) {
-  Arithmetic all = Compute(wanted, plan->delta, fleet);
+void SetTextAndId(const Configuration& desired,
+                  const FleetFacts& fleet,
+                  Plan* plan) {
+  ShareReport report = ComputeShareReport(desired, plan->delta, fleet);
   const double cost =
-      static_cast<double>(all.reloads.size()) * fleet.seconds_per_reload;
+      static_cast<double>(report.reloads.size()) * fleet.seconds_per_reload;
   json text = {{"base", plan->base.value()},
                {"base_digest", plan->base_digest},
                {"delta", EncodeDelta(plan->delta)},
                {"changes", ChangesToJson(plan->changes)},
-               {"shares", std::move(all.shares)},
-               {"engines_touched", std::move(all.reloads)},
+               {"shares", std::move(report.shares)},
+               {"engines_touched", std::move(report.reloads)},
                {"cost_engine_seconds", cost},
-               {"warnings", std::move(all.warnings)},
+               {"warnings", std::move(report.warnings)},
                {"stated_by", plan->requested_by.str()},
                {"note", plan->note}};
   if (plan->rollback_to) {
@@ -174,9 +174,9 @@
   plan->id = base::PlanId(Sha256Hex(plan->text));
 }
 
-bool ReadChanges(details::JsonReader* reader,
-                 std::vector<PlanChange>* changes,
-                 CodecFault* fault) {
+bool DecodeChanges(details::JsonReader* reader,
+                   std::vector<PlanChange>* changes,
+                   CodecFault* fault) {
   reader->Each(
       "changes", json::value_t::array, kMaxChanges,
       [&](const std::string&, const json& it, const std::string& where) {
@@ -220,41 +220,41 @@
   return "not_ready";
 }
 
-std::optional<Plan> MakePlan(const ConfigSnapshot& held,
-                             const Configuration& wanted,
+std::optional<Plan> MakePlan(const ConfigSnapshot& current,
+                             const Configuration& desired,
                              const ChangeRequest& request,
                              const base::OperatorId& requested_by,
                              const FleetFacts& fleet,
                              PlanFault* fault) {
-  CodecFault breach;
-  if (!CheckConfiguration(wanted, &breach)) {
-    const PlanError error = breach.error == CodecError::kOverCommitted
+  CodecFault violation;
+  if (!CheckConfiguration(desired, &violation)) {
+    const PlanError error = violation.error == CodecError::kOverCommitted
                                 ? PlanError::kOverCommitted
                                 : PlanError::kInvalidRequest;
-    return Refuse(fault, error, breach.where, breach.message);
+    return Reject(fault, error, violation.where, violation.message);
   }
-  if (RemovesLastFleetOperator(*held.configuration, wanted)) {
-    return Refuse(
+  if (RemovesLastFleetOperator(*current.configuration, desired)) {
+    return Reject(
         fault, PlanError::kNoFleetOperator, "/operators",
         "the change would remove the last fleet operator that has a key");
   }
   Plan plan;
-  plan.base = held.revision();
-  plan.base_digest = held.digest;
-  plan.delta = MakeDelta(*held.configuration, wanted);
+  plan.base = current.revision();
+  plan.base_digest = current.digest;
+  plan.delta = MakeDelta(*current.configuration, desired);
   if (plan.delta.empty()) {
-    return Refuse(fault, PlanError::kNothingChanges, "",
+    return Reject(fault, PlanError::kNothingChanges, "",
                   "the request does not change the current configuration");
   }
   plan.changes = DescribeDelta(plan.delta);
   plan.requested_by = requested_by;
   plan.note = request.note;
   plan.rollback_to = request.rollback_to;
-  WriteText(wanted, fleet, &plan);
+  SetTextAndId(desired, fleet, &plan);
   if (plan.text.size() > kMaxPlanBytes ||
-      EncodeChainedDelta(MakeChainedDelta(plan.delta, held.digest)).size() >
+      EncodeChainedDelta(MakeChainedDelta(plan.delta, current.digest)).size() >
           kMaxDeltaBytes) {
-    return Refuse(
+    return Reject(
         fault, PlanError::kTooLarge, "",
         "the change is too large for one plan; split it into several");
   }
@@ -282,7 +282,7 @@
     reader.Integer("rollback_to", 0, INT64_MAX, &revision);
     plan.rollback_to = base::Revision(revision);
   }
-  if (!ReadChanges(&reader, &plan.changes, &fault)) {
+  if (!DecodeChanges(&reader, &plan.changes, &fault)) {
     return std::nullopt;
   }
   std::optional<ConfigDelta> delta = DecodeDelta(delta_text, &fault);
@@ -297,26 +297,26 @@
   return plan;
 }
 
-std::optional<Configuration> RollBack(const Configuration& held,
+std::optional<Configuration> RollBack(const Configuration& current,
                                       const std::vector<ChainedDelta>& deltas) {
-  Configuration old = held;
+  Configuration restored = current;
   CodecFault fault;
   const bool undone =
       std::all_of(deltas.rbegin(), deltas.rend(), [&](const ChainedDelta& it) {
         const std::optional<ConfigDelta> delta = DecodeDelta(it.text, &fault);
-        return delta && UndoDelta(*delta, &old);
+        return delta && UndoDelta(*delta, &restored);
       });
   if (!undone) {
     return std::nullopt;
   }
-  old.operators = held.operators;
-  for (auto& [id, contract] : old.contracts) {
-    const auto now = held.contracts.find(id);
-    if (now != held.contracts.end()) {
-      contract.key_hashes = now->second.key_hashes;
+  restored.operators = current.operators;
+  for (auto& [id, contract] : restored.contracts) {
+    const auto current_contract = current.contracts.find(id);
+    if (current_contract != current.contracts.end()) {
+      contract.key_hashes = current_contract->second.key_hashes;
     }
   }
-  return old;
+  return restored;
 }
 
 }  // namespace lynxglade::version
--- a/src/version/plan.h
+++ b/src/version/plan.h
@@ -88,8 +88,8 @@
 
 // Makes the plan that changes `held` into `wanted`. Returns nullopt and fills
 // `fault` when the change is invalid.
-std::optional<Plan> MakePlan(const ConfigSnapshot& held,
-                             const Configuration& wanted,
+std::optional<Plan> MakePlan(const ConfigSnapshot& current,
+                             const Configuration& desired,
                              const ChangeRequest& request,
                              const base::OperatorId& requested_by,
                              const FleetFacts& fleet,
@@ -105,7 +105,7 @@
 // Undoes `deltas` (ordered oldest to newest) on `held`. Operators and key
 // hashes are kept from `held`, so that a rollback does not restore a revoked
 // key. Returns nullopt when the deltas do not apply.
-std::optional<Configuration> RollBack(const Configuration& held,
+std::optional<Configuration> RollBack(const Configuration& current,
                                       const std::vector<ChainedDelta>& deltas);
 
 }  // namespace lynxglade::version
