--- a/src/version/plan_describe.cc
+++ b/src/version/plan_describe.cc
@@ -11,11 +11,11 @@
 namespace lynxglade::version {
 namespace {
 
-std::string Number(double n) {
+std::string FormatNumber(double n) {
   return nlohmann::json(n).dump();
 }
 
-void Add(std::string* text, const std::string& more) {
+void AppendClause(std::string* text, const std::string& more) {
   if (!text->empty()) {
     *text += "; ";
   }
@@ -23,19 +23,22 @@
 }
 
 template <typename T>
-void Compare(const char* name, const T& was, const T& is, std::string* text) {
-  if (was != is) {
-    Add(text, std::string(name) + " " + was + " -> " + is);
+void AppendIfChanged(const char* name,
+                     const T& before,
+                     const T& after,
+                     std::string* text) {
+  if (before != after) {
+    AppendClause(text, std::string(name) + " " + before + " -> " + after);
   }
 }
 
-std::string NameOf(const Intent& intent) {
+std::string IntentName(const Intent& intent) {
   return intent.service.str() +
          (intent.model.empty() ? "" : "/" + intent.model.str());
 }
 
-std::string Terms(const Intent& it) {
-  return "share " + Number(it.share) + ", priority " +
+std::string DescribeTerms(const Intent& it) {
+  return "share " + FormatNumber(it.share) + ", priority " +
          std::to_string(it.priority) +
          (it.version.empty() ? "" : ", version " + it.version.str());
 }
@@ -48,101 +51,108 @@
   return text + "]";
 }
 
-const Intent* Find(const Contract& contract, const Intent& like) {
+const Intent* FindIntent(const Contract& contract, const Intent& key) {
   const auto it = std::ranges::find_if(contract.intents, [&](const auto& have) {
-    return have.service == like.service && have.model == like.model;
+    return have.service == key.service && have.model == key.model;
   });
   return it == contract.intents.end() ? nullptr : &*it;
 }
 
-std::string Differences(const Intent& was, const Intent& is) {
+std::string DescribeDifferences(const Intent& before, const Intent& after) {
   std::string text;
-  Compare("share", Number(was.share), Number(is.share), &text);
-  Compare("priority", std::to_string(was.priority), std::to_string(is.priority),
-          &text);
-  Compare("version", was.version.str(), is.version.str(), &text);
-  Compare("adapters", Join(was.adapters), Join(is.adapters), &text);
+  AppendIfChanged("share", FormatNumber(before.share),
+                  FormatNumber(after.share), &text);
+  AppendIfChanged("priority", std::to_string(before.priority),
+                  std::to_string(after.priority), &text);
+  AppendIfChanged("version", before.version.str(), after.version.str(), &text);
+  AppendIfChanged("adapters", Join(before.adapters), Join(after.adapters),
+                  &text);
   return text;
 }
 
-std::string Differences(const Contract& was, const Contract& is) {
+std::string DescribeDifferences(const Contract& before, const Contract& after) {
   std::string text;
-  for (const Intent& it : is.intents) {
-    const Intent* old = Find(was, it);
+  for (const Intent& it : after.intents) {
+    const Intent* old = FindIntent(before, it);
     if (old == nullptr) {
-      Add(&text, "new intent on " + NameOf(it) + ": " + Terms(it));
+      AppendClause(
+          &text, "new intent on " + IntentName(it) + ": " + DescribeTerms(it));
     } else if (*old != it) {
-      Add(&text, NameOf(it) + ": " + Differences(*old, it));
+      AppendClause(&text,
+                   IntentName(it) + ": " + DescribeDifferences(*old, it));
     }
   }
-  for (const Intent& it : was.intents) {
-    if (Find(is, it) == nullptr) {
-      Add(&text, "no more intent on " + NameOf(it));
+  for (const Intent& it : before.intents) {
+    if (FindIntent(after, it) == nullptr) {
+      AppendClause(&text, "no more intent on " + IntentName(it));
     }
   }
-  Compare("name", was.display_name, is.display_name, &text);
-  Compare("deadline ms", std::to_string(base::ToMillis(was.default_deadline)),
-          std::to_string(base::ToMillis(is.default_deadline)), &text);
-  if (was.key_hashes != is.key_hashes) {
-    Add(&text, "caller keys " + std::to_string(was.key_hashes.size()) + " -> " +
-                   std::to_string(is.key_hashes.size()));
+  AppendIfChanged("name", before.display_name, after.display_name, &text);
+  AppendIfChanged(
+      "deadline ms", std::to_string(base::ToMillis(before.default_deadline)),
+      std::to_string(base::ToMillis(after.default_deadline)), &text);
+  if (before.key_hashes != after.key_hashes) {
+    AppendClause(&text, "caller keys " +
+                            std::to_string(before.key_hashes.size()) + " -> " +
+                            std::to_string(after.key_hashes.size()));
   }
   return text.empty() ? "intents in another order" : text;
 }
 
-std::string Differences(const ServiceSpec& was, const ServiceSpec& is) {
+std::string DescribeDifferences(const ServiceSpec& before,
+                                const ServiceSpec& after) {
   std::string text;
-  Compare("role change price", Number(was.role_change_price),
-          Number(is.role_change_price), &text);
-  Compare("planner", std::string(was.planner_enabled ? "on" : "off"),
-          std::string(is.planner_enabled ? "on" : "off"), &text);
-  Compare("kind", std::string(was.engines ? "engines" : "plain"),
-          std::string(is.engines ? "engines" : "plain"), &text);
+  AppendIfChanged("role change price", FormatNumber(before.role_change_price),
+                  FormatNumber(after.role_change_price), &text);
+  AppendIfChanged("planner", std::string(before.planner_enabled ? "on" : "off"),
+                  std::string(after.planner_enabled ? "on" : "off"), &text);
+  AppendIfChanged("kind", std::string(before.engines ? "engines" : "plain"),
+                  std::string(after.engines ? "engines" : "plain"), &text);
   return text;
 }
 
-std::string Differences(const Operator& was, const Operator& is) {
+std::string DescribeDifferences(const Operator& before, const Operator& after) {
   std::string text;
-  Compare("role", std::string(ToString(was.role)),
-          std::string(ToString(is.role)), &text);
-  if (was.contracts != is.contracts) {
-    Add(&text, "contracts changed");
+  AppendIfChanged("role", std::string(ToString(before.role)),
+                  std::string(ToString(after.role)), &text);
+  if (before.contracts != after.contracts) {
+    AppendClause(&text, "contracts changed");
   }
-  if (was.key_hashes != is.key_hashes) {
-    Add(&text, "keys " + std::to_string(was.key_hashes.size()) + " -> " +
-                   std::to_string(is.key_hashes.size()));
+  if (before.key_hashes != after.key_hashes) {
+    AppendClause(&text, "keys " + std::to_string(before.key_hashes.size()) +
+                            " -> " + std::to_string(after.key_hashes.size()));
   }
   return text;
 }
 
-std::string Summary(const Contract& it) {
+std::string Summarize(const Contract& it) {
   std::string text;
   std::ranges::for_each(it.intents, [&](const Intent& intent) {
-    Add(&text, NameOf(intent) + ": " + Terms(intent));
+    AppendClause(&text, IntentName(intent) + ": " + DescribeTerms(intent));
   });
   return text.empty() ? "no intents" : text;
 }
 
-std::string Summary(const ServiceSpec& it) {
+std::string Summarize(const ServiceSpec& it) {
   return it.engines ? "model engines" : "plain service";
 }
 
-std::string Summary(const Operator& it) {
+std::string Summarize(const Operator& it) {
   return "role " + std::string(ToString(it.role));
 }
 
 template <typename Edits>
-void Describe(const std::string& what,
-              const Edits& edits,
-              std::vector<PlanChange>* changes) {
+void AppendChanges(const std::string& what,
+                   const Edits& edits,
+                   std::vector<PlanChange>* changes) {
   for (const auto& [id, edit] : edits) {
     if (!edit.before) {
-      changes->push_back({"add " + what, id.str(), Summary(*edit.after)});
+      changes->push_back({"add " + what, id.str(), Summarize(*edit.after)});
     } else if (!edit.after) {
-      changes->push_back({"remove " + what, id.str(), Summary(*edit.before)});
+      changes->push_back({"remove " + what, id.str(), Summarize(*edit.before)});
     } else {
-      changes->push_back(
-          {"change " + what, id.str(), Differences(*edit.before, *edit.after)});
+      changes->push_back({"change " + what, id.str(),
+                          DescribeDifferences(*edit.before, *edit.after)});
     }
   }
 }
@@ -151,9 +161,9 @@
 
 std::vector<PlanChange> DescribeDelta(const ConfigDelta& delta) {
   std::vector<PlanChange> changes;
-  Describe("service", delta.services, &changes);
-  Describe("contract", delta.contracts, &changes);
-  Describe("operator", delta.operators, &changes);
+  AppendChanges("service", delta.services, &changes);
+  AppendChanges("contract", delta.contracts, &changes);
+  AppendChanges("operator", delta.operators, &changes);
   return changes;
 }
 
