--- a/src/version/plan_service.cc
+++ b/src/version/plan_service.cc
@@ -20,7 +20,7 @@
 constexpr std::string_view kPlanPrefix = "/lynxglade/plans/";
 constexpr base::Revision kOne{1};
 // Read and compare-and-swap rounds before the outcome is reported unknown.
-constexpr int kSwapAttempts = 4;
+constexpr int kCommitAttempts = 4;
 constexpr int kRefreshAttempts = 2;
 constexpr int kSaveAttempts = 4;
 constexpr std::size_t kMaxAuditChanges = 50;
@@ -30,24 +30,24 @@
   return std::string(kPlanPrefix) + id.str();
 }
 
-std::nullopt_t Refuse(PlanFault* fault, PlanError error, std::string message) {
+std::nullopt_t Reject(PlanFault* fault, PlanError error, std::string message) {
   *fault = {error, "", std::move(message)};
   return std::nullopt;
 }
 
-std::string PlanOf(const std::string& audit) {
+std::string PlanIdOfAudit(const std::string& audit) {
   const json value = json::parse(audit, nullptr, false);
   return value.is_object() ? value.value("plan", std::string()) : std::string();
 }
 
-ConfirmResult Conflict(std::vector<std::string> since) {
+ConfirmResult ConflictResult(std::vector<std::string> since) {
   return {ConfirmOutcome::kConflict, base::Revision(0),
           "another change was committed since the plan was made; make a new "
           "plan",
           std::move(since)};
 }
 
-ConfirmResult Behind() {
+ConfirmResult ServiceBehindResult() {
   return {
       ConfirmOutcome::kServiceBehind,
       base::Revision(0),
@@ -111,18 +111,19 @@
   return true;
 }
 
-std::optional<Configuration> PlanService::Wanted(const ChangeRequest& request,
-                                                 PlanFault* fault) const {
+std::optional<Configuration> PlanService::DesiredConfiguration(
+    const ChangeRequest& request,
+    PlanFault* fault) const {
   if (request.rollback_to) {
     return ConfigurationAt(*request.rollback_to, fault);
   }
-  Configuration wanted = *tracker_.Get();
-  CodecFault breach;
-  if (!ApplyChangeRequest(request, &wanted, &breach)) {
-    *fault = {PlanError::kInvalidRequest, breach.where, breach.message};
+  Configuration desired = *tracker_.Get();
+  CodecFault violation;
+  if (!ApplyChangeRequest(request, &desired, &violation)) {
+    *fault = {PlanError::kInvalidRequest, violation.where, violation.message};
     return std::nullopt;
   }
-  return wanted;
+  return desired;
 }
 
 std::optional<Plan> PlanService::Create(const ChangeRequest& request,
@@ -131,19 +132,20 @@
   if (!Refresh(fault)) {
     return std::nullopt;
   }
-  const ConfigSnapshot held = tracker_.GetSnapshot();
-  const std::optional<Configuration> wanted = Wanted(request, fault);
-  if (!wanted) {
+  const ConfigSnapshot current = tracker_.GetSnapshot();
+  const std::optional<Configuration> desired =
+      DesiredConfiguration(request, fault);
+  if (!desired) {
     return std::nullopt;
   }
   std::optional<Plan> plan =
-      MakePlan(held, *wanted, request, caller.id, hooks_.fleet(), fault);
+      MakePlan(current, *desired, request, caller.id, hooks_.fleet(), fault);
   if (!plan) {
     return std::nullopt;
   }
   std::string reason;
   if (!MayChange(caller, plan->delta, &reason)) {
-    return Refuse(fault, PlanError::kNotPermitted, reason);
+    return Reject(fault, PlanError::kNotPermitted, reason);
   }
   if (!Save(*plan, fault)) {
     return std::nullopt;
@@ -169,7 +171,7 @@
       break;
     }
   }
-  Refuse(fault, PlanError::kUnavailable,
+  Reject(fault, PlanError::kUnavailable,
          "the key-value service: " + std::string(connection::ToString(ec)));
   return false;
 }
@@ -179,7 +181,7 @@
   KvError ec = KvError::kNone;
   const std::optional<KvRange> range = service_.Get(PlanKey(id), &ec);
   if (!range) {
-    return Refuse(
+    return Reject(
         fault, PlanError::kUnavailable,
         "the key-value service: " + std::string(connection::ToString(ec)));
   }
@@ -189,7 +191,7 @@
   }
   // The digest of an altered value does not match its key.
   if (!plan || plan->id != id) {
-    return Refuse(fault, PlanError::kUnknownPlan,
+    return Reject(fault, PlanError::kUnknownPlan,
                   "no plan " + id.str() + "; it may have expired");
   }
   return plan;
@@ -200,7 +202,7 @@
   const std::optional<KvRange> range =
       service_.List(std::string(kPlanPrefix), kMaxListedPlans, &ec);
   if (!range) {
-    return Refuse(
+    return Reject(
         fault, PlanError::kUnavailable,
         "the key-value service: " + std::string(connection::ToString(ec)));
   }
@@ -213,7 +215,8 @@
   return plans;
 }
 
-std::string PlanService::AuditOf(const Plan& plan, const Caller& caller) const {
+std::string PlanService::MakeAuditRecord(const Plan& plan,
+                                         const Caller& caller) const {
   json changes = json::array();
   json contracts = json::array();
   for (const PlanChange& it : plan.changes) {
@@ -259,10 +262,10 @@
   if (!MayChange(caller, plan->delta, &reason)) {
     return {ConfirmOutcome::kNotPermitted, base::Revision(0), reason, {}};
   }
-  return Swap(*plan, caller);
+  return CommitPlan(*plan, caller);
 }
 
-std::optional<ConfirmResult> PlanService::Settled(
+std::optional<ConfirmResult> PlanService::CheckDecided(
     const Plan& plan,
     const StoredHead& stored,
     base::Revision known_before_read,
@@ -271,10 +274,10 @@
   const base::Revision head = stored.head.revision;
   if (head < plan.base ||
       (head == plan.base && stored.head.digest != plan.base_digest)) {
-    return Behind();
+    return ServiceBehindResult();
   }
   if (head < known_before_read) {
-    return Behind();
+    return ServiceBehindResult();
   }
   if (head == plan.base) {
     return std::nullopt;
@@ -284,7 +287,7 @@
   if (!audit) {
     return std::nullopt;
   }
-  if (PlanOf(*audit) == plan.id.str()) {
+  if (PlanIdOfAudit(*audit) == plan.id.str()) {
     return ConfirmResult{ConfirmOutcome::kAlreadyInForce,
                          plan.base + kOne,
                          "the plan is in force",
@@ -294,115 +297,119 @@
       std::max(plan.base.value(), head.value() - kMaxChangesSince));
   auto since = store_.ReadAudits(from, head, last_error);
   *last_error = StoreError::kNone;
-  return Conflict(since ? std::move(*since) : std::vector<std::string>());
+  return ConflictResult(since ? std::move(*since) : std::vector<std::string>());
 }
 
-ConfirmResult PlanService::Swap(const Plan& plan, const Caller& caller) {
+ConfirmResult PlanService::CommitPlan(const Plan& plan, const Caller& caller) {
   const ChainedDelta delta = MakeChainedDelta(plan.delta, plan.base_digest);
-  const std::string audit = AuditOf(plan, caller);
+  const std::string audit = MakeAuditRecord(plan, caller);
   StoreError ec = StoreError::kNone;
   // Whether a write may have taken effect; a later failure must then be
   // reported as unknown rather than unavailable.
-  bool sent = false;
-  for (int attempt = 0; attempt < kSwapAttempts; ++attempt) {
+  bool maybe_committed = false;
+  for (int attempt = 0; attempt < kCommitAttempts; ++attempt) {
     // Taken before the read: a revision learned during the read may be newer
     // than the head it returns.
-    const base::Revision heard = tracker_.newest_known();
+    const base::Revision known = tracker_.newest_known();
     const std::optional<StoredHead> stored = store_.ReadHead(&ec);
     if (!stored) {
       break;
     }
-    std::optional<ConfirmResult> settled = Settled(plan, *stored, heard, &ec);
-    if (settled) {
+    std::optional<ConfirmResult> decided =
+        CheckDecided(plan, *stored, known, &ec);
+    if (decided) {
       // An earlier attempt of this call committed the plan but its response was
       // lost.
-      if (settled->outcome == ConfirmOutcome::kAlreadyInForce && sent) {
-        return TakenEffect(plan);
+      if (decided->outcome == ConfirmOutcome::kAlreadyInForce &&
+          maybe_committed) {
+        return OnCommitted(plan);
       }
-      return std::move(*settled);
+      return std::move(*decided);
     }
     if (ec != StoreError::kNone) {
       break;
     }
     if (store_.IsSnapshotRequired(stored->head)) {
-      SnapshotWhenDue();
+      WriteSnapshotIfDue();
       ec = StoreError::kUnavailable;
       continue;
     }
     // A retry after a lost response compares against the same head revision, so
     // at most one attempt takes effect.
     if (store_.CommitDelta(*stored, plan.delta.revision, delta, audit, &ec)) {
-      return TakenEffect(plan);
+      return OnCommitted(plan);
     }
-    sent = sent || ec == StoreError::kAmbiguous;
+    maybe_committed = maybe_committed || ec == StoreError::kAmbiguous;
     if (ec != StoreError::kAmbiguous && ec != StoreError::kConflict) {
       break;
     }
   }
-  return {sent ? ConfirmOutcome::kUnknown : ConfirmOutcome::kUnavailable,
-          base::Revision(0),
-          sent ? "the response of the key-value service was lost; confirm "
-                 "again, the plan cannot take effect twice"
-               : "the plan was not committed; the key-value service: " +
-                     std::string(ToString(ec)),
-          {}};
+  return {
+      maybe_committed ? ConfirmOutcome::kUnknown : ConfirmOutcome::kUnavailable,
+      base::Revision(0),
+      maybe_committed
+          ? "the response of the key-value service was lost; confirm "
+            "again, the plan cannot take effect twice"
+          : "the plan was not committed; the key-value service: " +
+                std::string(ToString(ec)),
+      {}};
 }
 
-ConfirmResult PlanService::TakenEffect(const Plan& plan) {
+ConfirmResult PlanService::OnCommitted(const Plan& plan) {
   const ChainedDelta delta = MakeChainedDelta(plan.delta, plan.base_digest);
   const OfferResult result = tracker_.OfferDelta(delta, ConfigSource::kLocal);
   base::Log(base::LogLevel::kInfo, "plan_in_force",
             {{"plan", plan.id.str()},
              {"revision", plan.delta.revision.value()},
              {"here", ToString(result)}});
-  SnapshotWhenDue();
+  WriteSnapshotIfDue();
   return {ConfirmOutcome::kInForce,
           plan.delta.revision,
           "the plan is in force",
           {}};
 }
 
-void PlanService::SnapshotWhenDue() const {
+void PlanService::WriteSnapshotIfDue() const {
   StoreError ec = StoreError::kNone;
   const std::optional<StoredHead> stored = store_.ReadHead(&ec);
   if (!stored || !store_.IsSnapshotDue(stored->head)) {
     return;
   }
   PlanFault fault;
-  const bool current = Refresh(&fault);
-  const ConfigSnapshot held = tracker_.GetSnapshot();
-  if (!current || !store_.WriteSnapshot(held, &ec)) {
+  const bool refreshed = Refresh(&fault);
+  const ConfigSnapshot current = tracker_.GetSnapshot();
+  if (!refreshed || !store_.WriteSnapshot(current, &ec)) {
     // Retried after the next change.
     base::Log(base::LogLevel::kWarning, "config_snapshot_failed",
               {{"reason", ToString(ec)}});
     return;
   }
   if (hooks_.on_snapshot) {
-    hooks_.on_snapshot(held);
+    hooks_.on_snapshot(current);
   }
 }
 
 std::optional<Configuration> PlanService::ConfigurationAt(
     base::Revision revision,
     PlanFault* fault) const {
-  const std::shared_ptr<const Configuration> held = tracker_.Get();
-  if (revision > held->revision) {
-    return Refuse(
+  const std::shared_ptr<const Configuration> current = tracker_.Get();
+  if (revision > current->revision) {
+    return Reject(
         fault, PlanError::kNoSuchRevision,
-        "the newest revision is " + std::to_string(held->revision.value()));
+        "the newest revision is " + std::to_string(current->revision.value()));
   }
   StoreError ec = StoreError::kNone;
-  const auto deltas = store_.ReadDeltas(revision, held->revision, &ec);
+  const auto deltas = store_.ReadDeltas(revision, current->revision, &ec);
   if (!deltas && ec != StoreError::kCorrupt) {
-    return Refuse(fault, PlanError::kUnavailable,
+    return Reject(fault, PlanError::kUnavailable,
                   "the key-value service: " + std::string(ToString(ec)));
   }
   std::optional<Configuration> old;
   if (deltas) {
-    old = RollBack(*held, *deltas);
+    old = RollBack(*current, *deltas);
   }
   if (!old) {
-    return Refuse(fault, PlanError::kNoSuchRevision,
+    return Reject(fault, PlanError::kNoSuchRevision,
                   "the changes since revision " +
                       std::to_string(revision.value()) +
                       " are no longer retained");
@@ -411,16 +418,16 @@
 }
 
 ConfirmResult PlanService::Restore(const Caller& caller) {
-  const ConfigSnapshot held = tracker_.GetSnapshot();
-  const bool newest = tracker_.newest_known() <= held.revision();
-  if (!newest || held.revision().value() == 0) {
+  const ConfigSnapshot current = tracker_.GetSnapshot();
+  const bool newest = tracker_.newest_known() <= current.revision();
+  if (!newest || current.revision().value() == 0) {
     return {ConfirmOutcome::kConflict,
             base::Revision(0),
             "this instance does not hold the newest configuration",
             {}};
   }
   const std::string audit =
-      details::Canonical({{"revision", held.revision().value()},
+      details::Canonical({{"revision", current.revision().value()},
                           {"plan", ""},
                           {"confirmed_by", caller.id.str()},
                           {"note", "put back into a service that had lost it"},
@@ -429,14 +436,14 @@
                           {"contracts", json::array()},
                           {"fleet", true}});
   StoreError ec = StoreError::kNone;
-  if (store_.Restore(held, audit, &ec)) {
-    base::Log(
-        base::LogLevel::kWarning, "config_restored",
-        {{"revision", held.revision().value()}, {"operator", caller.id.str()}});
+  if (store_.Restore(current, audit, &ec)) {
+    base::Log(base::LogLevel::kWarning, "config_restored",
+              {{"revision", current.revision().value()},
+               {"operator", caller.id.str()}});
     PlanFault fault;
     Refresh(&fault);
     return {ConfirmOutcome::kInForce,
-            held.revision(),
+            current.revision(),
             "the configuration was written back to the key-value service",
             {}};
   }
--- a/src/version/plan_service.h
+++ b/src/version/plan_service.h
@@ -95,21 +95,22 @@
 
  private:
   bool Refresh(PlanFault* fault) const;
-  std::optional<Configuration> Wanted(const ChangeRequest& request,
-                                      PlanFault* fault) const;
+  std::optional<Configuration> DesiredConfiguration(
+      const ChangeRequest& request,
+      PlanFault* fault) const;
   bool Save(const Plan& plan, PlanFault* fault) const;
   // Determines from the stored head whether the plan's outcome is already
   // decided; nullopt when the plan can still be committed or `last_error` is
   // set. `known_before_read` is the newest known revision before the head was
   // read.
-  std::optional<ConfirmResult> Settled(const Plan& plan,
-                                       const StoredHead& stored,
-                                       base::Revision known_before_read,
-                                       StoreError* last_error) const;
-  ConfirmResult Swap(const Plan& plan, const Caller& caller);
-  ConfirmResult TakenEffect(const Plan& plan);
-  void SnapshotWhenDue() const;
-  std::string AuditOf(const Plan& plan, const Caller& caller) const;
+  std::optional<ConfirmResult> CheckDecided(const Plan& plan,
+                                            const StoredHead& stored,
+                                            base::Revision known_before_read,
+                                            StoreError* last_error) const;
+  ConfirmResult CommitPlan(const Plan& plan, const Caller& caller);
+  ConfirmResult OnCommitted(const Plan& plan);
+  void WriteSnapshotIfDue() const;
+  std::string MakeAuditRecord(const Plan& plan, const Caller& caller) const;
 
   const connection::KeyValue& service_;
   const ConfigStore& store_;
