--- a/src/version/share_arithmetic.cc
+++ b/src/version/share_arithmetic.cc
@@ -11,11 +11,11 @@
 namespace {
 
 // Rounding tolerance: a quota this close below an integer counts as it.
-constexpr double kQuotaSlack = 1e-9;
+constexpr double kQuotaTolerance = 1e-9;
 
-using Load = std::pair<base::ModelName, base::ModelVersion>;
+using EngineModel = std::pair<base::ModelName, base::ModelVersion>;
 
-Load LoadOf(const TargetFact& target) {
+EngineModel ModelOf(const TargetFact& target) {
   return {target.model, target.version};
 }
 
@@ -23,25 +23,26 @@
 
 std::vector<int> AllocateByLargestRemainder(const std::vector<double>& shares,
                                             int seats) {
-  std::vector<int> dealt(shares.size());
+  std::vector<int> allocated(shares.size());
   std::vector<double> remainders(shares.size());
   for (std::size_t i = 0; i < shares.size(); ++i) {
     const double quota = shares[i] * seats;
-    dealt[i] = static_cast<int>(std::floor(quota + kQuotaSlack));
-    remainders[i] = quota - dealt[i];
+    allocated[i] = static_cast<int>(std::floor(quota + kQuotaTolerance));
+    remainders[i] = quota - allocated[i];
   }
   const double sum = std::accumulate(shares.begin(), shares.end(), 0.0);
-  const int wanted = static_cast<int>(std::lround(std::min(sum, 1.0) * seats));
-  const int left = wanted - std::accumulate(dealt.begin(), dealt.end(), 0);
+  const int desired = static_cast<int>(std::lround(std::min(sum, 1.0) * seats));
+  const int remaining =
+      desired - std::accumulate(allocated.begin(), allocated.end(), 0);
   std::vector<std::size_t> order(shares.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
   std::ranges::stable_sort(order, [&](std::size_t a, std::size_t b) {
     return remainders[a] > remainders[b];
   });
-  for (int i = 0; i < left && i < static_cast<int>(order.size()); ++i) {
-    ++dealt[order[static_cast<std::size_t>(i)]];
+  for (int i = 0; i < remaining && i < static_cast<int>(order.size()); ++i) {
+    ++allocated[order[static_cast<std::size_t>(i)]];
   }
-  return dealt;
+  return allocated;
 }
 
 ServiceShares ComputeShares(const Configuration& configuration,
@@ -60,27 +61,27 @@
   std::ranges::transform(shares.lines, std::back_inserter(parts),
                          &ShareLine::share);
   parts.push_back(std::max(0.0, 1.0 - shares.sum));
-  const std::vector<int> dealt = AllocateByLargestRemainder(parts, engines);
+  const std::vector<int> allocated = AllocateByLargestRemainder(parts, engines);
   for (std::size_t i = 0; i < shares.lines.size(); ++i) {
-    shares.lines[i].engines = dealt[i];
+    shares.lines[i].engines = allocated[i];
   }
-  shares.free_engines = dealt.back();
+  shares.free_engines = allocated.back();
   return shares;
 }
 
 std::vector<EngineReload> ComputeEngineReloads(
-    const ServiceShares& wanted,
+    const ServiceShares& desired,
     const std::vector<TargetFact>& targets) {
-  std::map<Load, int> missing;
-  for (const ShareLine& it : wanted.lines) {
+  std::map<EngineModel, int> missing;
+  for (const ShareLine& it : desired.lines) {
     missing[{it.model, it.version}] += it.engines;
   }
   std::vector<TargetFact> spare;
   for (const TargetFact& it : targets) {
-    if (it.service != wanted.service) {
+    if (it.service != desired.service) {
       continue;
     }
-    const auto need = missing.find(LoadOf(it));
+    const auto need = missing.find(ModelOf(it));
     if (need != missing.end() && need->second > 0) {
       --need->second;
     } else {
@@ -89,9 +90,9 @@
   }
   std::vector<EngineReload> reloads;
   auto next = spare.begin();
-  for (const auto& [load, n] : missing) {
+  for (const auto& [model_version, n] : missing) {
     for (int i = 0; i < n && next != spare.end(); ++i, ++next) {
-      reloads.push_back({*next, load.first, load.second});
+      reloads.push_back({*next, model_version.first, model_version.second});
     }
   }
   return reloads;
--- a/src/version/share_arithmetic.h
+++ b/src/version/share_arithmetic.h
@@ -62,7 +62,7 @@
 // engines allocated to it. Engines that already run a required model keep it.
 // This is an estimate; the engines are chosen when the change is carried out.
 std::vector<EngineReload> ComputeEngineReloads(
-    const ServiceShares& wanted,
+    const ServiceShares& desired,
     const std::vector<TargetFact>& targets);
 
 }  // namespace lynxglade::version
--- a/tests/version/plan_test.cc
+++ b/tests/version/plan_test.cc
@@ -268,10 +268,10 @@
   for (const int it : parts) {
     shares.push_back(static_cast<double>(it) / sum);
   }
-  const std::vector<int> dealt = AllocateByLargestRemainder(shares, seats);
-  RC_ASSERT(std::accumulate(dealt.begin(), dealt.end(), 0) == seats);
+  const std::vector<int> allocated = AllocateByLargestRemainder(shares, seats);
+  RC_ASSERT(std::accumulate(allocated.begin(), allocated.end(), 0) == seats);
   for (std::size_t i = 0; i < shares.size(); ++i) {
-    RC_ASSERT(std::abs(dealt[i] - shares[i] * seats) < 1.0 + 1e-6);
+    RC_ASSERT(std::abs(allocated[i] - shares[i] * seats) < 1.0 + 1e-6);
   }
 }
 
