--- a/src/version/config_store.cc
+++ b/src/version/config_store.cc
@@ -22,7 +22,7 @@
 constexpr std::string_view kSnapshotPrefix = "/lynxglade/config_snapshot/";
 constexpr std::string_view kCompactionPrefix = "/lynxglade/config_compaction/";
 constexpr std::string_view kAuditPrefix = "/lynxglade/audit/";
-constexpr int kPointAttempts = 4;
+constexpr int kHeadUpdateAttempts = 4;
 
 // Zero-padded, so that keys sort numerically.
 std::string Padded(std::int64_t n) {
@@ -47,16 +47,16 @@
   return SnapshotPrefix(snapshot) + Padded(part);
 }
 
-void DeleteParts(base::Revision snapshot,
-                 int parts,
-                 std::vector<KvWrite>* writes) {
+void AppendPartDeletions(base::Revision snapshot,
+                         int parts,
+                         std::vector<KvWrite>* writes) {
   for (int i = 0; i < parts; ++i) {
     writes->push_back({PartKey(snapshot, i), std::nullopt, {}});
   }
 }
 
 template <typename T>
-std::optional<T> Corrupt(StoreError* last_error) {
+std::optional<T> CorruptResult(StoreError* last_error) {
   *last_error = StoreError::kCorrupt;
   return std::nullopt;
 }
@@ -127,7 +127,7 @@
   const KvEntry& entry = range->entries.front();
   std::optional<ConfigHead> head = DecodeHead(entry.value);
   if (!head) {
-    return Corrupt<StoredHead>(last_error);
+    return CorruptResult<StoredHead>(last_error);
   }
   return StoredHead{std::move(*head), entry.mod_revision};
 }
@@ -150,19 +150,19 @@
     }
     if (range->entries.empty()) {
       // Deleted since the head was read; a newer snapshot exists.
-      return Corrupt<ConfigSnapshot>(last_error);
+      return CorruptResult<ConfigSnapshot>(last_error);
     }
     bytes += range->entries.front().value;
   }
   CodecFault fault;
-  std::optional<ConfigSnapshot> held = DecodeSnapshot(bytes, &fault);
-  if (!held || held->revision() != head.snapshot) {
-    return Corrupt<ConfigSnapshot>(last_error);
+  std::optional<ConfigSnapshot> snapshot = DecodeSnapshot(bytes, &fault);
+  if (!snapshot || snapshot->revision() != head.snapshot) {
+    return CorruptResult<ConfigSnapshot>(last_error);
   }
-  return held;
+  return snapshot;
 }
 
-std::optional<std::vector<std::string>> ConfigStore::ReadNumbered(
+std::optional<std::vector<std::string>> ConfigStore::ReadRange(
     std::string_view prefix,
     base::Revision from,
     base::Revision to,
@@ -177,10 +177,10 @@
     // Listing returns the whole bucket. Read individually when only a few
     // values are needed, or when the listing fails because the bucket is too
     // large.
-    const bool few = last - next < limits_.max_single_reads;
+    const bool is_short = last - next < limits_.max_single_reads;
     const bool read =
-        (!few && ReadBucket(prefix, next, last, &values, last_error)) ||
-        ReadOneByOne(prefix, next, last, &values, last_error);
+        (!is_short && ReadBucket(prefix, next, last, &values, last_error)) ||
+        ReadIndividually(prefix, next, last, &values, last_error);
     if (!read) {
       return std::nullopt;
     }
@@ -213,11 +213,11 @@
   return true;
 }
 
-bool ConfigStore::ReadOneByOne(std::string_view prefix,
-                               std::int64_t first,
-                               std::int64_t last,
-                               std::vector<std::string>* values,
-                               StoreError* last_error) const {
+bool ConfigStore::ReadIndividually(std::string_view prefix,
+                                   std::int64_t first,
+                                   std::int64_t last,
+                                   std::vector<std::string>* values,
+                                   StoreError* last_error) const {
   const std::string bucket =
       BucketPrefix(prefix, first / limits_.snapshot_every);
   for (std::int64_t n = first; n <= last; ++n) {
@@ -243,19 +243,19 @@
   if (to <= from) {
     return deltas;
   }
-  const auto values = ReadNumbered(kDeltaPrefix, from, to, last_error);
+  const auto values = ReadRange(kDeltaPrefix, from, to, last_error);
   if (!values) {
     return std::nullopt;
   }
   for (const std::string& it : *values) {
     std::optional<ChainedDelta> delta = DecodeChainedDelta(it);
     if (!delta) {
-      return Corrupt<std::vector<ChainedDelta>>(last_error);
+      return CorruptResult<std::vector<ChainedDelta>>(last_error);
     }
     deltas.push_back(std::move(*delta));
   }
   if (static_cast<std::int64_t>(deltas.size()) != (to - from).value()) {
-    return Corrupt<std::vector<ChainedDelta>>(last_error);
+    return CorruptResult<std::vector<ChainedDelta>>(last_error);
   }
   return deltas;
 }
@@ -268,7 +268,7 @@
   if (to <= from) {
     return std::vector<std::string>();
   }
-  return ReadNumbered(kAuditPrefix, from, to, last_error);
+  return ReadRange(kAuditPrefix, from, to, last_error);
 }
 
 std::optional<std::string> ConfigStore::ReadAudit(
@@ -341,10 +341,10 @@
          std::min(2 * limits_.snapshot_every, limits_.deltas_kept);
 }
 
-bool ConfigStore::WriteParts(const ConfigSnapshot& held,
-                             int* parts,
-                             StoreError* last_error) const {
-  const std::string bytes = EncodeSnapshot(held);
+bool ConfigStore::WriteSnapshotParts(const ConfigSnapshot& snapshot,
+                                     int* parts,
+                                     StoreError* last_error) const {
+  const std::string bytes = EncodeSnapshot(snapshot);
   const std::size_t n =
       (bytes.size() + limits_.part_bytes - 1) / limits_.part_bytes;
   *parts = static_cast<int>(n);
@@ -352,7 +352,8 @@
   // found and deleted. Concurrent writers of a revision write equal bytes.
   KvError ec = KvError::kNone;
   if (!service_.Commit(
-          {}, {{CompactionKey(held.revision()), std::to_string(n), {}}}, &ec)) {
+          {}, {{CompactionKey(snapshot.revision()), std::to_string(n), {}}},
+          &ec)) {
     *last_error = ToStoreError(ec);
     return false;
   }
@@ -360,7 +361,7 @@
     const std::string part =
         bytes.substr(i * limits_.part_bytes, limits_.part_bytes);
     if (!service_.Commit(
-            {}, {{PartKey(held.revision(), static_cast<int>(i)), part, {}}},
+            {}, {{PartKey(snapshot.revision(), static_cast<int>(i)), part, {}}},
             &ec)) {
       *last_error = ToStoreError(ec);
       return false;
@@ -369,52 +370,55 @@
   return true;
 }
 
-void ConfigStore::DropParts(base::Revision snapshot, int parts) const {
+void ConfigStore::DeleteSnapshotParts(base::Revision snapshot,
+                                      int parts) const {
   std::vector<KvWrite> writes = {{CompactionKey(snapshot), std::nullopt, {}}};
-  DeleteParts(snapshot, parts, &writes);
+  AppendPartDeletions(snapshot, parts, &writes);
   KvError ec = KvError::kNone;
   service_.Commit({}, writes, &ec);
 }
 
-bool ConfigStore::PointHeadAt(const ConfigSnapshot& held,
-                              int parts,
-                              StoreError* last_error) const {
+bool ConfigStore::PointHeadAtSnapshot(const ConfigSnapshot& snapshot,
+                                      int parts,
+                                      StoreError* last_error) const {
   KvError ec = KvError::kNone;
-  const auto begun = service_.List(std::string(kCompactionPrefix), 0, &ec);
-  if (!begun) {
+  const auto pending_snapshots =
+      service_.List(std::string(kCompactionPrefix), 0, &ec);
+  if (!pending_snapshots) {
     *last_error = ToStoreError(ec);
     return false;
   }
-  for (int attempt = 0; attempt < kPointAttempts; ++attempt) {
+  for (int attempt = 0; attempt < kHeadUpdateAttempts; ++attempt) {
     const std::optional<StoredHead> stored = ReadHead(last_error);
     if (!stored) {
       return false;
     }
-    if (stored->head.snapshot >= held.revision()) {
-      if (stored->head.snapshot > held.revision()) {
-        DropParts(held.revision(), parts);
+    if (stored->head.snapshot >= snapshot.revision()) {
+      if (stored->head.snapshot > snapshot.revision()) {
+        DeleteSnapshotParts(snapshot.revision(), parts);
       }
       return true;
     }
-    if (stored->head.revision < held.revision()) {
+    if (stored->head.revision < snapshot.revision()) {
       *last_error = StoreError::kConflict;
       return false;
     }
     ConfigHead head = stored->head;
-    head.snapshot = held.revision();
+    head.snapshot = snapshot.revision();
     head.snapshot_parts = parts;
     head.write_id = base::RandomHexId(random_);
     std::vector<KvWrite> writes = {
         {std::string(kHeadKey), EncodeHead(head), {}}};
-    DeleteParts(stored->head.snapshot, stored->head.snapshot_parts, &writes);
-    for (const KvEntry& it : begun->entries) {
+    AppendPartDeletions(stored->head.snapshot, stored->head.snapshot_parts,
+                        &writes);
+    for (const KvEntry& it : pending_snapshots->entries) {
       const std::int64_t revision =
           std::atoll(it.key.c_str() + kCompactionPrefix.size());
-      if (revision < held.revision().value()) {
-        DeleteParts(base::Revision(revision), std::atoi(it.value.c_str()),
-                    &writes);
+      if (revision < snapshot.revision().value()) {
+        AppendPartDeletions(base::Revision(revision),
+                            std::atoi(it.value.c_str()), &writes);
       }
-      if (revision <= held.revision().value()) {
+      if (revision <= snapshot.revision().value()) {
         writes.push_back({it.key, std::nullopt, {}});
       }
     }
@@ -429,36 +433,37 @@
   return false;
 }
 
-bool ConfigStore::WriteSnapshot(const ConfigSnapshot& held,
+bool ConfigStore::WriteSnapshot(const ConfigSnapshot& snapshot,
                                 StoreError* last_error) const {
   *last_error = StoreError::kNone;
   int parts = 0;
-  return WriteParts(held, &parts, last_error) &&
-         PointHeadAt(held, parts, last_error);
+  return WriteSnapshotParts(snapshot, &parts, last_error) &&
+         PointHeadAtSnapshot(snapshot, parts, last_error);
 }
 
-bool ConfigStore::Restore(const ConfigSnapshot& held,
+bool ConfigStore::Restore(const ConfigSnapshot& snapshot,
                           const std::string& audit,
                           StoreError* last_error) const {
   const std::optional<StoredHead> stored = ReadHead(last_error);
   if (!stored) {
     return false;
   }
-  if (stored->head.revision >= held.revision()) {
+  if (stored->head.revision >= snapshot.revision()) {
     *last_error = StoreError::kConflict;
     return false;
   }
   int parts = 0;
-  if (!WriteParts(held, &parts, last_error)) {
+  if (!WriteSnapshotParts(snapshot, &parts, last_error)) {
     return false;
   }
-  const ConfigHead head{held.revision(), held.digest, held.revision(), parts,
-                        base::RandomHexId(random_)};
+  const ConfigHead head{snapshot.revision(), snapshot.digest,
+                        snapshot.revision(), parts, base::RandomHexId(random_)};
   std::vector<KvWrite> writes = {
       {std::string(kHeadKey), EncodeHead(head), {}},
-      {AuditKey(held.revision()), audit, {}},
-      {CompactionKey(held.revision()), std::nullopt, {}}};
-  DeleteParts(stored->head.snapshot, stored->head.snapshot_parts, &writes);
+      {AuditKey(snapshot.revision()), audit, {}},
+      {CompactionKey(snapshot.revision()), std::nullopt, {}}};
+  AppendPartDeletions(stored->head.snapshot, stored->head.snapshot_parts,
+                      &writes);
   KvError ec = KvError::kNone;
   const auto result = service_.Commit(
       {{std::string(kHeadKey), stored->mod_revision}}, writes, &ec);
--- a/src/version/config_store.h
+++ b/src/version/config_store.h
@@ -116,27 +116,28 @@
   bool IsSnapshotRequired(const ConfigHead& head) const noexcept;
   // Writes a snapshot of `held`, points the head at it and deletes the previous
   // snapshot. Idempotent and safe to run concurrently.
-  bool WriteSnapshot(const ConfigSnapshot& held, StoreError* last_error) const;
+  bool WriteSnapshot(const ConfigSnapshot& snapshot,
+                     StoreError* last_error) const;
 
   // Writes `held` back to a key-value service that lost it, as the new head
   // with its own snapshot. Fails with kConflict unless the stored head is
   // older.
-  bool Restore(const ConfigSnapshot& held,
+  bool Restore(const ConfigSnapshot& snapshot,
                const std::string& audit,
                StoreError* last_error) const;
 
  private:
-  bool WriteParts(const ConfigSnapshot& held,
-                  int* parts,
-                  StoreError* last_error) const;
-  bool PointHeadAt(const ConfigSnapshot& held,
-                   int parts,
-                   StoreError* last_error) const;
+  bool WriteSnapshotParts(const ConfigSnapshot& snapshot,
+                          int* parts,
+                          StoreError* last_error) const;
+  bool PointHeadAtSnapshot(const ConfigSnapshot& snapshot,
+                           int parts,
+                           StoreError* last_error) const;
   // Deletes unreferenced snapshot parts; best effort.
-  void DropParts(base::Revision snapshot, int parts) const;
+  void DeleteSnapshotParts(base::Revision snapshot, int parts) const;
   std::string DeltaKey(base::Revision revision) const;
   std::string AuditKey(base::Revision revision) const;
-  std::optional<std::vector<std::string>> ReadNumbered(
+  std::optional<std::vector<std::string>> ReadRange(
       std::string_view prefix,
       base::Revision from,
       base::Revision to,
@@ -147,11 +148,11 @@
                   std::int64_t last,
                   std::vector<std::string>* values,
                   StoreError* last_error) const;
-  bool ReadOneByOne(std::string_view prefix,
-                    std::int64_t first,
-                    std::int64_t last,
-                    std::vector<std::string>* values,
-                    StoreError* last_error) const;
+  bool ReadIndividually(std::string_view prefix,
+                        std::int64_t first,
+                        std::int64_t last,
+                        std::vector<std::string>* values,
+                        StoreError* last_error) const;
 
   const connection::KeyValue& service_;
   const base::RandomSource random_;
