--- a/src/version/config_delta.cc
+++ b/src/version/config_delta.cc
@@ -15,8 +15,8 @@
 constexpr base::Revision kOne{1};
 
 template <typename Key, typename Part>
-std::map<Key, Edit<Part>> Compare(const std::map<Key, Part>& from,
-                                  const std::map<Key, Part>& to) {
+std::map<Key, Edit<Part>> DiffParts(const std::map<Key, Part>& from,
+                                    const std::map<Key, Part>& to) {
   std::map<Key, Edit<Part>> edits;
   for (const auto& [key, part] : from) {
     const auto it = to.find(key);
@@ -35,23 +35,24 @@
 }
 
 template <typename Key, typename Part>
-bool Fits(const std::map<Key, Edit<Part>>& edits,
-          const std::map<Key, Part>& parts,
-          std::optional<Part> Edit<Part>::* expected) {
+bool Matches(const std::map<Key, Edit<Part>>& edits,
+             const std::map<Key, Part>& parts,
+             std::optional<Part> Edit<Part>::* expected) {
   return std::ranges::all_of(edits, [&](const auto& entry) {
     const auto it = parts.find(entry.first);
-    const std::optional<Part>& want = entry.second.*expected;
-    return it == parts.end() ? !want : want && *want == it->second;
+    const std::optional<Part>& expected_part = entry.second.*expected;
+    return it == parts.end() ? !expected_part
+                             : expected_part && *expected_part == it->second;
   });
 }
 
 template <typename Key, typename Part>
-void Write(const std::map<Key, Edit<Part>>& edits,
-           std::optional<Part> Edit<Part>::* wanted,
-           std::map<Key, Part>* parts) {
+void WriteSide(const std::map<Key, Edit<Part>>& edits,
+               std::optional<Part> Edit<Part>::* side,
+               std::map<Key, Part>* parts) {
   for (const auto& [key, edit] : edits) {
-    if (edit.*wanted) {
-      parts->insert_or_assign(key, *(edit.*wanted));
+    if (edit.*side) {
+      parts->insert_or_assign(key, *(edit.*side));
     } else {
       parts->erase(key);
     }
@@ -103,42 +104,47 @@
 }  // namespace
 
 ConfigDelta MakeDelta(const Configuration& from, const Configuration& to) {
-  return {from.revision + kOne, Compare(from.services, to.services),
-          Compare(from.contracts, to.contracts),
-          Compare(from.operators, to.operators)};
+  return {from.revision + kOne, DiffParts(from.services, to.services),
+          DiffParts(from.contracts, to.contracts),
+          DiffParts(from.operators, to.operators)};
 }
 
 bool ApplyDelta(const ConfigDelta& delta, Configuration* configuration) {
-  const bool fits =
-      configuration->revision + kOne == delta.revision &&
-      Fits(delta.services, configuration->services,
-           &Edit<ServiceSpec>::before) &&
-      Fits(delta.contracts, configuration->contracts,
-           &Edit<Contract>::before) &&
-      Fits(delta.operators, configuration->operators, &Edit<Operator>::before);
-  if (!fits) {
+  const bool matches = configuration->revision + kOne == delta.revision &&
+                       Matches(delta.services, configuration->services,
+                               &Edit<ServiceSpec>::before) &&
+                       Matches(delta.contracts, configuration->contracts,
+                               &Edit<Contract>::before) &&
+                       Matches(delta.operators, configuration->operators,
+                               &Edit<Operator>::before);
+  if (!matches) {
     return false;
   }
-  Write(delta.services, &Edit<ServiceSpec>::after, &configuration->services);
-  Write(delta.contracts, &Edit<Contract>::after, &configuration->contracts);
-  Write(delta.operators, &Edit<Operator>::after, &configuration->operators);
+  WriteSide(delta.services, &Edit<ServiceSpec>::after,
+            &configuration->services);
+  WriteSide(delta.contracts, &Edit<Contract>::after, &configuration->contracts);
+  WriteSide(delta.operators, &Edit<Operator>::after, &configuration->operators);
   configuration->revision = delta.revision;
   return true;
 }
 
 bool UndoDelta(const ConfigDelta& delta, Configuration* configuration) {
-  const bool fits =
-      configuration->revision == delta.revision &&
-      Fits(delta.services, configuration->services,
-           &Edit<ServiceSpec>::after) &&
-      Fits(delta.contracts, configuration->contracts, &Edit<Contract>::after) &&
-      Fits(delta.operators, configuration->operators, &Edit<Operator>::after);
-  if (!fits) {
+  const bool matches = configuration->revision == delta.revision &&
+                       Matches(delta.services, configuration->services,
+                               &Edit<ServiceSpec>::after) &&
+                       Matches(delta.contracts, configuration->contracts,
+                               &Edit<Contract>::after) &&
+                       Matches(delta.operators, configuration->operators,
+                               &Edit<Operator>::after);
+  if (!matches) {
     return false;
   }
-  Write(delta.services, &Edit<ServiceSpec>::before, &configuration->services);
-  Write(delta.contracts, &Edit<Contract>::before, &configuration->contracts);
-  Write(delta.operators, &Edit<Operator>::before, &configuration->operators);
+  WriteSide(delta.services, &Edit<ServiceSpec>::before,
+            &configuration->services);
+  WriteSide(delta.contracts, &Edit<Contract>::before,
+            &configuration->contracts);
+  WriteSide(delta.operators, &Edit<Operator>::before,
+            &configuration->operators);
   configuration->revision -= kOne;
   return true;
 }
--- a/src/version/config_head.cc
+++ b/src/version/config_head.cc
@@ -86,10 +86,10 @@
   return chained;
 }
 
-std::string EncodeSnapshot(const ConfigSnapshot& held) {
+std::string EncodeSnapshot(const ConfigSnapshot& snapshot) {
   return details::Canonical(
-      {{"configuration", details::ToJson(*held.configuration)},
-       {"digest", held.digest}});
+      {{"configuration", details::ToJson(*snapshot.configuration)},
+       {"digest", snapshot.digest}});
 }
 
 std::optional<ConfigSnapshot> DecodeSnapshot(std::string_view bytes,
@@ -98,11 +98,11 @@
   if (!details::ParseObject(bytes, kMaxConfigurationBytes, &value, fault)) {
     return std::nullopt;
   }
-  ConfigSnapshot held;
+  ConfigSnapshot snapshot;
   Configuration configuration;
   details::JsonReader reader(value, "", fault);
   const json* inner = reader.Any("configuration");
-  reader.OptionalText("digest", kMaxDigestBytes, &held.digest);
+  reader.OptionalText("digest", kMaxDigestBytes, &snapshot.digest);
   const bool read =
       reader.Done() && inner != nullptr &&
       details::FromJson(*inner, "/configuration", &configuration, fault) &&
@@ -110,9 +110,9 @@
   if (!read) {
     return std::nullopt;
   }
-  held.configuration =
+  snapshot.configuration =
       std::make_shared<const Configuration>(std::move(configuration));
-  return held;
+  return snapshot;
 }
 
 }  // namespace lynxglade::version
--- a/src/version/config_head.h
+++ b/src/version/config_head.h
@@ -64,7 +64,7 @@
 std::optional<ChainedDelta> DecodeChainedDelta(std::string_view text);
 
 // Encodes a full configuration for storage and for peers.
-std::string EncodeSnapshot(const ConfigSnapshot& held);
+std::string EncodeSnapshot(const ConfigSnapshot& snapshot);
 std::optional<ConfigSnapshot> DecodeSnapshot(std::string_view bytes,
                                              CodecFault* fault);
 
