--- a/src/version/config_tracker.cc
+++ b/src/version/config_tracker.cc
@@ -46,7 +46,7 @@
 ConfigTracker::ConfigTracker(ConfigTrackerHooks hooks, base::Metrics& metrics)
     : hooks_(std::move(hooks)),
       metrics_(metrics),
-      current_(state_.held.configuration) {}
+      current_(state_.current.configuration) {}
 
 OfferResult ConfigTracker::OfferHead(
     const ConfigHead& head,
@@ -55,11 +55,12 @@
   OfferResult result = OfferResult::kKnown;
   {
     const std::scoped_lock lock(mutex_);
-    const base::Revision held = state_.held.revision();
-    if (head.revision > held) {
+    const base::Revision current = state_.current.revision();
+    if (head.revision > current) {
       result = OfferResult::kAhead;
-      Hear(head.revision);
-    } else if (head.revision == held && head.digest != state_.held.digest) {
+      NoteRevision(head.revision);
+    } else if (head.revision == current &&
+               head.digest != state_.current.digest) {
       result = OfferResult::kForked;
     } else if (held_before_read && head.revision < *held_before_read) {
       result = OfferResult::kOlder;
@@ -70,7 +71,7 @@
       state_.forked = result == OfferResult::kForked;
     }
   }
-  return Count("head", head.revision, source, result);
+  return RecordResult("head", head.revision, source, result);
 }
 
 OfferResult ConfigTracker::OfferDelta(const ChainedDelta& delta,
@@ -79,42 +80,43 @@
   const std::optional<ConfigDelta> parsed = DecodeDelta(delta.text, &fault);
   if (!parsed ||
       delta.digest != ChainDigest(delta.previous_digest, delta.text)) {
-    return Count("delta", base::Revision(0), source, OfferResult::kMalformed);
+    return RecordResult("delta", base::Revision(0), source,
+                        OfferResult::kMalformed);
   }
-  std::vector<Taken> taken;
+  std::vector<AppliedDelta> applied;
   OfferResult result = OfferResult::kKnown;
   {
     const std::scoped_lock lock(mutex_);
-    result = TakeDelta(delta, *parsed, source, &taken);
+    result = HandleDelta(delta, *parsed, source, &applied);
   }
-  Announce(taken);
-  return Count("delta", parsed->revision, source, result);
+  NotifyApplied(applied);
+  return RecordResult("delta", parsed->revision, source, result);
 }
 
-OfferResult ConfigTracker::TakeDelta(const ChainedDelta& delta,
-                                     const ConfigDelta& parsed,
-                                     ConfigSource source,
-                                     std::vector<Taken>* taken) {
-  const base::Revision held = state_.held.revision();
-  if (parsed.revision <= held) {
+OfferResult ConfigTracker::HandleDelta(const ChainedDelta& delta,
+                                       const ConfigDelta& parsed,
+                                       ConfigSource source,
+                                       std::vector<AppliedDelta>* applied) {
+  const base::Revision current = state_.current.revision();
+  if (parsed.revision <= current) {
     const bool same =
-        parsed.revision < held || delta.digest == state_.held.digest;
+        parsed.revision < current || delta.digest == state_.current.digest;
     return same ? OfferResult::kKnown : OfferResult::kForked;
   }
-  Hear(parsed.revision);
-  if (parsed.revision > held + kOne) {
-    state_.early.insert_or_assign(parsed.revision, delta);
+  NoteRevision(parsed.revision);
+  if (parsed.revision > current + kOne) {
+    state_.buffered.insert_or_assign(parsed.revision, delta);
     // Keep the oldest, which apply first; a reload covers the rest.
-    if (state_.early.size() > kPublishedDeltas) {
-      state_.early.erase(std::prev(state_.early.end()));
+    if (state_.buffered.size() > kPublishedDeltas) {
+      state_.buffered.erase(std::prev(state_.buffered.end()));
     }
     return OfferResult::kAhead;
   }
   const OfferResult result = ApplyNext(delta, parsed);
   if (result == OfferResult::kApplied) {
-    taken->push_back({parsed.revision, delta});
-    ApplyEarly(taken);
-    Settle();
+    applied->push_back({parsed.revision, delta});
+    ApplyBuffered(applied);
+    FinishUpdate();
   } else if (source == ConfigSource::kService) {
     state_.forked = true;
   }
@@ -123,67 +125,67 @@
 
 OfferResult ConfigTracker::ApplyNext(const ChainedDelta& delta,
                                      const ConfigDelta& parsed) {
-  if (delta.previous_digest != state_.held.digest) {
+  if (delta.previous_digest != state_.current.digest) {
     return OfferResult::kForked;
   }
-  auto next = std::make_shared<Configuration>(*state_.held.configuration);
+  auto next = std::make_shared<Configuration>(*state_.current.configuration);
   if (!ApplyDelta(parsed, next.get())) {
     return OfferResult::kForked;
   }
-  state_.held = {std::move(next), delta.digest};
+  state_.current = {std::move(next), delta.digest};
   return OfferResult::kApplied;
 }
 
-void ConfigTracker::ApplyEarly(std::vector<Taken>* taken) {
+void ConfigTracker::ApplyBuffered(std::vector<AppliedDelta>* applied) {
   CodecFault fault;
-  auto it = state_.early.find(state_.held.revision() + kOne);
-  while (it != state_.early.end()) {
+  auto it = state_.buffered.find(state_.current.revision() + kOne);
+  while (it != state_.buffered.end()) {
     const std::optional<ConfigDelta> parsed =
         DecodeDelta(it->second.text, &fault);
-    const bool applied =
+    const bool is_applied =
         parsed && ApplyNext(it->second, *parsed) == OfferResult::kApplied;
-    if (!applied) {
+    if (!is_applied) {
       // Belongs to a different history; the correct delta may still arrive.
-      state_.early.erase(it);
+      state_.buffered.erase(it);
       return;
     }
-    taken->push_back({it->first, std::move(it->second)});
-    state_.early.erase(it);
-    it = state_.early.find(state_.held.revision() + kOne);
+    applied->push_back({it->first, std::move(it->second)});
+    state_.buffered.erase(it);
+    it = state_.buffered.find(state_.current.revision() + kOne);
   }
 }
 
 OfferResult ConfigTracker::OfferSnapshot(const ConfigSnapshot& snapshot,
                                          ConfigSource source) {
   OfferResult result = OfferResult::kApplied;
-  std::vector<Taken> taken;
+  std::vector<AppliedDelta> applied;
   {
     const std::scoped_lock lock(mutex_);
-    const base::Revision held = state_.held.revision();
-    if (snapshot.revision() < held) {
+    const base::Revision current = state_.current.revision();
+    if (snapshot.revision() < current) {
       result = OfferResult::kOlder;
-    } else if (snapshot.revision() == held && held.value() > 0) {
-      result = snapshot.digest == state_.held.digest ? OfferResult::kKnown
-                                                     : OfferResult::kForked;
+    } else if (snapshot.revision() == current && current.value() > 0) {
+      result = snapshot.digest == state_.current.digest ? OfferResult::kKnown
+                                                        : OfferResult::kForked;
     } else if (snapshot.revision().value() == 0) {
       result = OfferResult::kKnown;
     } else {
-      Hear(snapshot.revision());
-      state_.held = snapshot;
-      ApplyEarly(&taken);
-      Settle();
+      NoteRevision(snapshot.revision());
+      state_.current = snapshot;
+      ApplyBuffered(&applied);
+      FinishUpdate();
     }
   }
   if (result == OfferResult::kApplied) {
     if (hooks_.on_snapshot) {
       hooks_.on_snapshot(snapshot);
     }
-    Announce(taken);
-    if (taken.empty() && hooks_.on_applied) {
+    NotifyApplied(applied);
+    if (applied.empty() && hooks_.on_applied) {
       hooks_.on_applied(GetSnapshot());
     }
   }
-  return Count("whole", snapshot.revision(), source, result);
+  return RecordResult("whole", snapshot.revision(), source, result);
 }
 
 OfferResult ConfigTracker::OfferEncodedSnapshot(std::string_view bytes,
@@ -191,7 +193,8 @@
   CodecFault fault;
   const std::optional<ConfigSnapshot> snapshot = DecodeSnapshot(bytes, &fault);
   if (!snapshot) {
-    return Count("whole", base::Revision(0), source, OfferResult::kMalformed);
+    return RecordResult("whole", base::Revision(0), source,
+                        OfferResult::kMalformed);
   }
   return OfferSnapshot(*snapshot, source);
 }
@@ -202,7 +205,7 @@
 
 ConfigSnapshot ConfigTracker::GetSnapshot() const {
   const std::scoped_lock lock(mutex_);
-  return state_.held;
+  return state_.current;
 }
 
 bool ConfigTracker::ready() const {
@@ -227,12 +230,12 @@
 
 bool ConfigTracker::behind() const {
   const std::scoped_lock lock(mutex_);
-  return state_.newest_known > state_.held.revision();
+  return state_.newest_known > state_.current.revision();
 }
 
 base::Duration ConfigTracker::TimeBehind() const {
   const std::scoped_lock lock(mutex_);
-  if (state_.newest_known <= state_.held.revision()) {
+  if (state_.newest_known <= state_.current.revision()) {
     return base::Duration::zero();
   }
   return hooks_.clock() - state_.behind_since;
@@ -248,31 +251,32 @@
   return state_.forked;
 }
 
-void ConfigTracker::Hear(base::Revision revision) {
+void ConfigTracker::NoteRevision(base::Revision revision) {
   if (revision <= state_.newest_known) {
     return;
   }
-  if (state_.newest_known <= state_.held.revision()) {
+  if (state_.newest_known <= state_.current.revision()) {
     state_.behind_since = hooks_.clock();
   }
   state_.newest_known = revision;
 }
 
-void ConfigTracker::Settle() {
-  const base::Revision held = state_.held.revision();
-  state_.early.erase(state_.early.begin(), state_.early.upper_bound(held));
-  state_.ready = state_.ready || held >= state_.newest_known;
+void ConfigTracker::FinishUpdate() {
+  const base::Revision current = state_.current.revision();
+  state_.buffered.erase(state_.buffered.begin(),
+                        state_.buffered.upper_bound(current));
+  state_.ready = state_.ready || current >= state_.newest_known;
   state_.service_is_behind = false;
   state_.forked = false;
-  current_.store(state_.held.configuration);
+  current_.store(state_.current.configuration);
 }
 
-void ConfigTracker::Announce(const std::vector<Taken>& taken) {
-  if (taken.empty()) {
+void ConfigTracker::NotifyApplied(const std::vector<AppliedDelta>& applied) {
+  if (applied.empty()) {
     return;
   }
   if (hooks_.on_delta) {
-    for (const Taken& it : taken) {
+    for (const AppliedDelta& it : applied) {
       hooks_.on_delta(it.revision, it.delta);
     }
   }
@@ -281,10 +285,10 @@
   }
 }
 
-OfferResult ConfigTracker::Count(std::string_view what,
-                                 base::Revision revision,
-                                 ConfigSource source,
-                                 OfferResult result) {
+OfferResult ConfigTracker::RecordResult(std::string_view what,
+                                        base::Revision revision,
+                                        ConfigSource source,
+                                        OfferResult result) {
   base::Counter& counter =
       metrics_.GetCounter("lynxglade_config_offers_total",
                           {{"what", std::string(what)},
@@ -292,10 +296,10 @@
                            {"result", std::string(ToString(result))}});
   // Logs the first rejection of each kind and then every kLogEvery-th.
   constexpr std::uint64_t kLogEvery = 64;
-  const bool loud = result == OfferResult::kOlder ||
-                    result == OfferResult::kForked ||
-                    result == OfferResult::kMalformed;
-  if (loud && counter.Get() % kLogEvery == 0) {
+  const bool is_rejected = result == OfferResult::kOlder ||
+                           result == OfferResult::kForked ||
+                           result == OfferResult::kMalformed;
+  if (is_rejected && counter.Get() % kLogEvery == 0) {
     base::Log(base::LogLevel::kError, "config_refused",
               {{"what", what},
                {"source", ToString(source)},
--- a/src/version/config_tracker.h
+++ b/src/version/config_tracker.h
@@ -109,35 +109,35 @@
 
  private:
   struct State {
-    ConfigSnapshot held;
+    ConfigSnapshot current;
     bool ready = false;
     base::Revision newest_known{0};
     base::Time behind_since{};
     bool service_is_behind = false;
     bool forked = false;
     // Deltas that arrived before their predecessors, by revision.
-    std::map<base::Revision, ChainedDelta> early;
+    std::map<base::Revision, ChainedDelta> buffered;
   };
-  struct Taken {
+  struct AppliedDelta {
     base::Revision revision;
     ChainedDelta delta;
   };
 
   // All require the lock.
-  OfferResult TakeDelta(const ChainedDelta& delta,
-                        const ConfigDelta& parsed,
-                        ConfigSource source,
-                        std::vector<Taken>* taken);
+  OfferResult HandleDelta(const ChainedDelta& delta,
+                          const ConfigDelta& parsed,
+                          ConfigSource source,
+                          std::vector<AppliedDelta>* applied);
   OfferResult ApplyNext(const ChainedDelta& delta, const ConfigDelta& parsed);
-  void ApplyEarly(std::vector<Taken>* taken);
-  void Hear(base::Revision revision);
-  void Settle();
-
-  void Announce(const std::vector<Taken>& taken);
-  OfferResult Count(std::string_view what,
-                    base::Revision revision,
-                    ConfigSource source,
-                    OfferResult result);
+  void ApplyBuffered(std::vector<AppliedDelta>* applied);
+  void NoteRevision(base::Revision revision);
+  void FinishUpdate();
+
+  void NotifyApplied(const std::vector<AppliedDelta>& applied);
+  OfferResult RecordResult(std::string_view what,
+                           base::Revision revision,
+                           ConfigSource source,
+                           OfferResult result);
 
   const ConfigTrackerHooks hooks_;
   base::Metrics& metrics_;
