--- a/src/version/config_watcher.cc
+++ b/src/version/config_watcher.cc
@@ -10,14 +10,14 @@
 using connection::KvEvent;
 
 // Relative jitter of read intervals, so that instances do not synchronise.
-constexpr double kJitter = 0.25;
+constexpr double kJitterFraction = 0.25;
 
 // Reads and applies the deltas up to the head. Returns false when the read
 // fails or a delta does not apply.
-bool TakeDeltas(const ConfigStore& store,
-                const ConfigHead& head,
-                ConfigTracker* tracker,
-                StoreError* last_error) {
+bool ApplyDeltas(const ConfigStore& store,
+                 const ConfigHead& head,
+                 ConfigTracker* tracker,
+                 StoreError* last_error) {
   const auto deltas =
       store.ReadDeltas(tracker->Get()->revision, head.revision, last_error);
   return deltas && std::ranges::all_of(*deltas, [&](const ChainedDelta& it) {
@@ -33,7 +33,7 @@
 bool RefreshConfig(const ConfigStore& store,
                    ConfigTracker* tracker,
                    StoreError* last_error) {
-  const base::Revision held = tracker->Get()->revision;
+  const base::Revision current = tracker->Get()->revision;
   const std::optional<StoredHead> stored = store.ReadHead(last_error);
   if (!stored) {
     return false;
@@ -43,11 +43,11 @@
     return true;
   }
   const OfferResult offered =
-      tracker->OfferHead(stored->head, ConfigSource::kService, held);
+      tracker->OfferHead(stored->head, ConfigSource::kService, current);
   if (offered != OfferResult::kAhead) {
     return true;
   }
-  if (held < stored->head.snapshot) {
+  if (current < stored->head.snapshot) {
     const std::optional<ConfigSnapshot> snapshot =
         store.ReadSnapshot(stored->head, last_error);
     if (!snapshot) {
@@ -55,7 +55,7 @@
     }
     tracker->OfferSnapshot(*snapshot, ConfigSource::kService);
   }
-  return TakeDeltas(store, stored->head, tracker, last_error);
+  return ApplyDeltas(store, stored->head, tracker, last_error);
 }
 
 ConfigWatcher::ConfigWatcher(const connection::KeyValue& service,
@@ -94,7 +94,7 @@
 void ConfigWatcher::ReadLoop(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     ReadOnce();
-    Sleep(stop, NextPeriod(), true);
+    Wait(stop, NextPeriod(), true);
   }
 }
 
@@ -106,11 +106,11 @@
                   {{"result", std::string(ToString(ec))}})
       .Add();
   if (!read && (!tracker_.ready() || tracker_.behind())) {
-    AskPeer();
+    FetchFromPeer();
   }
 }
 
-void ConfigWatcher::AskPeer() {
+void ConfigWatcher::FetchFromPeer() {
   if (!hooks_.fetch_from_peer) {
     return;
   }
@@ -127,7 +127,7 @@
     period = options_.watcher_period;
   }
   const double factor =
-      1.0 + kJitter * (2 * base::UniformReal(hooks_.random) - 1);
+      1.0 + kJitterFraction * (2 * base::UniformReal(hooks_.random) - 1);
   return std::chrono::duration_cast<base::Duration>(period * factor);
 }
 
@@ -138,19 +138,19 @@
   while (!stop.stop_requested()) {
     if (!hooks_.should_watch()) {
       next = base::Revision(0);
-      Sleep(stop, options_.watcher_period, false);
+      Wait(stop, options_.watcher_period, false);
       continue;
     }
     // A change accepted between the last read and the start of the watch is
     // found only by a read after the watch is established.
-    bool stands = false;
+    bool established = false;
     const auto on_events = [&](const std::vector<KvEvent>& events,
                                base::Revision revision) {
-      const bool first = !std::exchange(stands, true);
+      const bool first = !std::exchange(established, true);
       if (revision.value() > 0) {
         next = revision + base::Revision(1);
       }
-      if (!Take(events) || first) {
+      if (!HandleEvents(events) || first) {
         TriggerRead();
       }
       return hooks_.should_watch();
@@ -165,11 +165,11 @@
       // The start revision may have been compacted; use the current one.
       next = base::Revision(0);
     }
-    Sleep(stop, options_.rewatch_delay, false);
+    Wait(stop, options_.rewatch_delay, false);
   }
 }
 
-bool ConfigWatcher::Take(const std::vector<KvEvent>& events) {
+bool ConfigWatcher::HandleEvents(const std::vector<KvEvent>& events) {
   // Offers heads after deltas, so that a head that is ahead means a gap.
   std::vector<ConfigHead> heads;
   for (const KvEvent& it : events) {
@@ -187,9 +187,9 @@
   return !tracker_.behind();
 }
 
-void ConfigWatcher::Sleep(const std::stop_token& stop,
-                          base::Duration time,
-                          bool triggerable) {
+void ConfigWatcher::Wait(const std::stop_token& stop,
+                         base::Duration time,
+                         bool triggerable) {
   std::unique_lock lock(mutex_);
   wake_.wait_for(lock, stop, time, [&] {
     return triggerable && std::exchange(read_triggered_, false);
--- a/src/version/config_watcher.h
+++ b/src/version/config_watcher.h
@@ -74,15 +74,13 @@
   void ReadLoop(const std::stop_token& stop);
   void WatchLoop(const std::stop_token& stop);
   void ReadOnce();
-  void AskPeer();
+  void FetchFromPeer();
   base::Duration NextPeriod() const;
   // Passes watch events to the tracker; returns false when a read is needed.
-  bool Take(const std::vector<connection::KvEvent>& events);
+  bool HandleEvents(const std::vector<connection::KvEvent>& events);
   // Waits for `time` or until stopped; TriggerRead() ends the wait if
   // `nudgeable`.
-  void Sleep(const std::stop_token& stop,
-             base::Duration time,
-             bool triggerable);
+  void Wait(const std::stop_token& stop, base::Duration time, bool triggerable);
 
   const connection::KeyValue& service_;
   const ConfigStore& store_;
