--- a/src/version/config_gossip.cc
+++ b/src/version/config_gossip.cc
@@ -14,15 +14,16 @@
 using process::ViewKind;
 
 constexpr std::string_view kHeadKey = "head";
-constexpr std::string_view kWholePrefix = "whole/";
+constexpr std::string_view kSnapshotPrefix = "whole/";
 // Bounds the memory that a peer can make this instance use.
 constexpr std::size_t kMaxParts = kMaxConfigurationBytes / kPublishedPartBytes;
 constexpr std::size_t kMaxBodyBytes = 4 * kPublishedPartBytes;
 // Refreshes this instance's revision fact before it expires.
-constexpr base::Duration kTellAgain = std::chrono::minutes(5);
+constexpr base::Duration kRepublishInterval = std::chrono::minutes(5);
 // Minimum interval between revision facts of an instance, per known member; it
 // limits all instances together to five facts per second.
-constexpr base::Duration kTellPeriodPerMember = std::chrono::milliseconds(200);
+constexpr base::Duration kPublishIntervalPerMember =
+    std::chrono::milliseconds(200);
 
 std::string HeadBody(base::Revision revision, const std::string& digest) {
   return details::Canonical(
@@ -96,7 +97,7 @@
       (bytes.size() + kPublishedPartBytes - 1) / kPublishedPartBytes;
   for (std::size_t i = 0; i < count; ++i) {
     Publish(ViewKind::kConfigHead,
-            std::string(kWholePrefix) + std::to_string(i),
+            std::string(kSnapshotPrefix) + std::to_string(i),
             VersionOf(snapshot.revision()),
             details::Canonical({{"count", count},
                                 {"index", i},
@@ -117,7 +118,7 @@
     if (const auto head = ReadHeadBody(item.body)) {
       tracker_.OfferHead(*head, ConfigSource::kPeer);
     }
-  } else if (item.key.starts_with(kWholePrefix)) {
+  } else if (item.key.starts_with(kSnapshotPrefix)) {
     HandleSnapshotPart(item);
   }
 }
@@ -142,17 +143,17 @@
   if (!reader.Done()) {
     return;
   }
-  const auto bytes = Add(revision, static_cast<std::size_t>(index),
-                         static_cast<std::size_t>(count), std::move(text));
+  const auto bytes = AddPart(revision, static_cast<std::size_t>(index),
+                             static_cast<std::size_t>(count), std::move(text));
   if (bytes) {
     tracker_.OfferEncodedSnapshot(*bytes, ConfigSource::kPeer);
   }
 }
 
-std::optional<std::string> ConfigGossip::Add(base::Revision revision,
-                                             std::size_t index,
-                                             std::size_t count,
-                                             std::string text) {
+std::optional<std::string> ConfigGossip::AddPart(base::Revision revision,
+                                                 std::size_t index,
+                                                 std::size_t count,
+                                                 std::string text) {
   const std::scoped_lock lock(mutex_);
   if (revision < assembly_.revision) {
     return std::nullopt;
@@ -173,27 +174,29 @@
 }
 
 void ConfigGossip::Tick() {
-  const ConfigSnapshot held = tracker_.GetSnapshot();
+  const ConfigSnapshot current = tracker_.GetSnapshot();
   const base::Time now = hooks_.clock();
   const auto members = static_cast<std::int64_t>(hooks_.member_count());
   {
     const std::scoped_lock lock(mutex_);
-    const base::Duration since = now - told_at_;
-    const bool first = told_.value() == 0 && held.revision().value() > 0;
-    const bool changed =
-        held.revision() > told_ && since >= kTellPeriodPerMember * members;
-    const bool again = told_.value() > 0 && since >= kTellAgain;
-    if (!first && !changed && !again) {
+    const base::Duration since = now - published_at_;
+    const bool first =
+        published_revision_.value() == 0 && current.revision().value() > 0;
+    const bool changed = current.revision() > published_revision_ &&
+                         since >= kPublishIntervalPerMember * members;
+    const bool refresh =
+        published_revision_.value() > 0 && since >= kRepublishInterval;
+    if (!first && !changed && !refresh) {
       return;
     }
-    told_ = held.revision();
-    told_at_ = now;
+    published_revision_ = current.revision();
+    published_at_ = now;
   }
-  process::ViewVersion version = VersionOf(held.revision());
+  process::ViewVersion version = VersionOf(current.revision());
   version.sequence =
       static_cast<std::uint64_t>(base::ToMillis(now.time_since_epoch()));
   Publish(ViewKind::kConfigInForce, instance_.str(), version,
-          HeadBody(held.revision(), held.digest));
+          HeadBody(current.revision(), current.digest));
 }
 
 std::optional<InstanceRevision> ConfigGossip::DecodeInstanceRevision(
--- a/src/version/config_gossip.h
+++ b/src/version/config_gossip.h
@@ -84,10 +84,10 @@
 
   void HandleSnapshotPart(const process::ViewItem& item);
   // Adds a part; returns the snapshot bytes once all parts were received.
-  std::optional<std::string> Add(base::Revision revision,
-                                 std::size_t index,
-                                 std::size_t count,
-                                 std::string text);
+  std::optional<std::string> AddPart(base::Revision revision,
+                                     std::size_t index,
+                                     std::size_t count,
+                                     std::string text);
   void Publish(process::ViewKind kind,
                std::string key,
                process::ViewVersion version,
@@ -99,8 +99,8 @@
   base::Metrics& metrics_;
   std::mutex mutex_;
   Assembly assembly_;
-  base::Revision told_{0};
-  base::Time told_at_{};
+  base::Revision published_revision_{0};
+  base::Time published_at_{};
 };
 
 }  // namespace lynxglade::version
--- a/src/version/configuration_plane.cc
+++ b/src/version/configuration_plane.cc
@@ -70,8 +70,8 @@
   PlanServiceHooks made;
   made.fleet = hooks.fleet;
   made.wall_millis = hooks.wall_millis;
-  made.on_snapshot = [this](const ConfigSnapshot& held) {
-    gossip.PublishSnapshot(held);
+  made.on_snapshot = [this](const ConfigSnapshot& snapshot) {
+    gossip.PublishSnapshot(snapshot);
   };
   return made;
 }
