--- a/src/process/desired_state.cc
+++ b/src/process/desired_state.cc
@@ -14,7 +14,7 @@
 
 // Absorbs rounding errors: a share of 0.1 + 0.2 of 10 engines must not round up
 // to 4.
-constexpr double kShareSlack = 1e-9;
+constexpr double kShareTolerance = 1e-9;
 
 struct ModelKey {
   base::ModelName model;
@@ -83,7 +83,7 @@
     const double exact = total > 0 ? group.share / total * engines
                                    : static_cast<double>(engines) /
                                          static_cast<double>(groups->size());
-    group.quota = static_cast<int>(std::floor(exact + kShareSlack));
+    group.quota = static_cast<int>(std::floor(exact + kShareTolerance));
     group.remainder = exact - group.quota;
   }
   while (TotalQuota(*groups) < engines) {
@@ -179,7 +179,7 @@
   const double share =
       std::min(1.0, TotalShare(GroupsOf(configuration, service)));
   const int wanted =
-      static_cast<int>(std::ceil(share * fleet_size - kShareSlack));
+      static_cast<int>(std::ceil(share * fleet_size - kShareTolerance));
   return std::clamp(wanted, 0, std::max(0, fleet_size - max_unavailable));
 }
 
--- a/src/version/configuration_codec.cc
+++ b/src/version/configuration_codec.cc
@@ -12,7 +12,7 @@
 using details::AppendToPointer;
 using details::Fail;
 
-std::string PlaceOf(const Contract& contract, std::size_t intent) {
+std::string IntentPointer(const Contract& contract, std::size_t intent) {
   return AppendToPointer(
       AppendToPointer(AppendToPointer("/contracts", contract.id.str()),
                       "intents"),
@@ -44,7 +44,8 @@
     const Contract& contract = entry.second;
     std::size_t n = 0;
     return std::ranges::all_of(contract.intents, [&](const Intent& it) {
-      return CheckIntent(it, PlaceOf(contract, n++), configuration, fault);
+      return CheckIntent(it, IntentPointer(contract, n++), configuration,
+                         fault);
     });
   });
 }
@@ -123,13 +124,14 @@
     return false;
   }
   const auto sums = SumShares(configuration);
-  const auto over = std::ranges::find_if(
-      sums, [](const auto& it) { return it.second > 1 + kShareSlack; });
-  return over == sums.end() ||
+  const auto over_committed = std::ranges::find_if(
+      sums, [](const auto& it) { return it.second > 1 + kShareTolerance; });
+  return over_committed == sums.end() ||
          Fail(fault, CodecError::kOverCommitted,
-              AppendToPointer("/services", over->first.str()),
-              "the shares on " + over->first.str() + " sum to " +
-                  nlohmann::json(over->second).dump() + ", more than 1");
+              AppendToPointer("/services", over_committed->first.str()),
+              "the shares on " + over_committed->first.str() + " sum to " +
+                  nlohmann::json(over_committed->second).dump() +
+                  ", more than 1");
 }
 
 }  // namespace lynxglade::version
--- a/src/version/configuration_codec.h
+++ b/src/version/configuration_codec.h
@@ -29,7 +29,7 @@
 inline constexpr base::Duration kMinDeadline = std::chrono::milliseconds(1);
 inline constexpr base::Duration kMaxDeadline = std::chrono::hours(1);
 // Rounding tolerance for sums of shares.
-inline constexpr double kShareSlack = 1e-9;
+inline constexpr double kShareTolerance = 1e-9;
 
 enum class CodecError {
   kNone,
--- a/src/version/intent_api.cc
+++ b/src/version/intent_api.cc
@@ -22,7 +22,7 @@
 constexpr std::string_view kConfigPath = "/v1/admin/config";
 constexpr std::string_view kContractsPath = "/v1/admin/contracts";
 constexpr std::string_view kAuditPath = "/v1/admin/audit";
-constexpr std::string_view kConfirmStep = "/confirm";
+constexpr std::string_view kConfirmSuffix = "/confirm";
 constexpr std::size_t kShownDigestDigits = 12;
 constexpr std::int64_t kDefaultAudits = 50;
 constexpr std::int64_t kMaxAudits = 1000;
@@ -76,7 +76,7 @@
   return 503;
 }
 
-ApiAnswer Refused(const PlanFault& fault) {
+ApiAnswer PlanErrorAnswer(const PlanFault& fault) {
   const json error = {{"code", ToString(fault.error)},
                       {"message", fault.message},
                       {"where", fault.where}};
@@ -114,8 +114,8 @@
          });
 }
 
-json ReadableAudits(const Caller& caller,
-                    const std::vector<std::string>& audits) {
+json VisibleAudits(const Caller& caller,
+                   const std::vector<std::string>& audits) {
   json shown = json::array();
   for (const std::string& it : audits) {
     json audit = json::parse(it, nullptr, false);
@@ -159,10 +159,10 @@
 
 std::optional<std::int64_t> QueryNumber(const ApiCall& call,
                                         const std::string& name,
-                                        std::int64_t otherwise) {
+                                        std::int64_t default_value) {
   const auto it = call.query.find(name);
   if (it == call.query.end()) {
-    return otherwise;
+    return default_value;
   }
   const std::string& text = it->second;
   std::int64_t n = 0;
@@ -227,8 +227,8 @@
     return write ? CreatePlan(call, caller) : NoSuchPath();
   }
   std::string rest = call.path.substr(kPlansPath.size() + 1);
-  if (write && rest.ends_with(kConfirmStep)) {
-    rest.resize(rest.size() - kConfirmStep.size());
+  if (write && rest.ends_with(kConfirmSuffix)) {
+    rest.resize(rest.size() - kConfirmSuffix.size());
     return Confirm(base::PlanId(std::move(rest)), caller);
   }
   return read ? ShowPlan(base::PlanId(std::move(rest)), caller) : NoSuchPath();
@@ -236,15 +236,15 @@
 
 ApiAnswer IntentApi::CreatePlan(const ApiCall& call,
                                 const Caller& caller) const {
-  CodecFault breach;
+  CodecFault violation;
   PlanFault fault;
   const std::optional<ChangeRequest> request =
-      ParseChangeRequest(call.body, &breach);
+      ParseChangeRequest(call.body, &violation);
   std::optional<Plan> plan;
   if (request) {
     plan = plans_.Create(*request, caller, &fault);
   } else {
-    fault = {PlanError::kInvalidRequest, breach.where, breach.message};
+    fault = {PlanError::kInvalidRequest, violation.where, violation.message};
   }
   metrics_
       .GetCounter(
@@ -252,7 +252,7 @@
           {{"result", plan ? "made" : std::string(ToString(fault.error))}})
       .Add();
   if (!plan) {
-    return Refused(fault);
+    return PlanErrorAnswer(fault);
   }
   return {201, details::Canonical(PlanToJson(*plan))};
 }
@@ -261,7 +261,7 @@
   PlanFault fault;
   const auto plans = plans_.List(&fault);
   if (!plans) {
-    return Refused(fault);
+    return PlanErrorAnswer(fault);
   }
   const base::Revision now = tracker_.Get()->revision;
   json list = json::array();
@@ -283,11 +283,11 @@
   PlanFault fault;
   const auto plan = plans_.Find(id, &fault);
   if (!plan) {
-    return Refused(fault);
+    return PlanErrorAnswer(fault);
   }
   if (!MaySee(caller, plan->delta)) {
-    return Refused({PlanError::kUnknownPlan, "",
-                    "no plan " + id.str() + "; it may have expired"});
+    return PlanErrorAnswer({PlanError::kUnknownPlan, "",
+                            "no plan " + id.str() + "; it may have expired"});
   }
   return Ok(PlanToJson(*plan));
 }
@@ -299,11 +299,11 @@
       .GetCounter("lynxglade_confirms_total",
                   {{"result", std::string(ToString(result.outcome))}})
       .Add();
-  return Confirmed(result, caller);
+  return ConfirmAnswer(result, caller);
 }
 
-ApiAnswer IntentApi::Confirmed(const ConfirmResult& result,
-                               const Caller& caller) const {
+ApiAnswer IntentApi::ConfirmAnswer(const ConfirmResult& result,
+                                   const Caller& caller) const {
   const int status = StatusOf(result.outcome);
   if (status == 200) {
     return Ok({{"result", ToString(result.outcome)},
@@ -313,7 +313,7 @@
       {"error",
        {{"code", ToString(result.outcome)}, {"message", result.message}}}};
   if (result.outcome == ConfirmOutcome::kConflict) {
-    body["changed_since"] = ReadableAudits(caller, result.since);
+    body["changed_since"] = VisibleAudits(caller, result.since);
   }
   return {status, details::Canonical(body)};
 }
@@ -348,7 +348,7 @@
   PlanFault fault;
   const auto old = plans_.ConfigurationAt(base::Revision(*revision), &fault);
   if (!old) {
-    return Refused(fault);
+    return PlanErrorAnswer(fault);
   }
   json body = VisibleJson(*old, caller);
   body["revision"] = *revision;
@@ -356,17 +356,17 @@
 }
 
 ApiAnswer IntentApi::ShowStatus() const {
-  const ConfigSnapshot held = tracker_.GetSnapshot();
+  const ConfigSnapshot current = tracker_.GetSnapshot();
   json rows = json::array();
   for (const InstanceRevision& it : hooks_.instances()) {
     rows.push_back({{"instance", it.instance.str()},
                     {"revision", it.revision.value()},
                     {"age_ms", base::ToMillis(hooks_.clock() - it.as_of)},
-                    {"forked", it.revision == held.revision() &&
-                                   it.digest != held.digest}});
+                    {"forked", it.revision == current.revision() &&
+                                   it.digest != current.digest}});
   }
-  return Ok({{"revision", held.revision().value()},
-             {"digest", held.digest},
+  return Ok({{"revision", current.revision().value()},
+             {"digest", current.digest},
              {"newest_heard", tracker_.newest_known().value()},
              {"ready", tracker_.ready()},
              {"service_is_behind", tracker_.service_is_behind()},
@@ -379,7 +379,7 @@
     return ApiError(403, "not_permitted",
                     "only a fleet operator may restore the configuration");
   }
-  return Confirmed(plans_.Restore(caller), caller);
+  return ConfirmAnswer(plans_.Restore(caller), caller);
 }
 
 ApiAnswer IntentApi::ShowContracts(const Caller& caller) const {
@@ -411,10 +411,11 @@
   const auto audits =
       store_.ReadAudits(base::Revision(from), base::Revision(to), &ec);
   if (!audits) {
-    return Refused({PlanError::kUnavailable, "",
-                    "the key-value service: " + std::string(ToString(ec))});
+    return PlanErrorAnswer(
+        {PlanError::kUnavailable, "",
+         "the key-value service: " + std::string(ToString(ec))});
   }
-  return Ok({{"audit", ReadableAudits(caller, *audits)}});
+  return Ok({{"audit", VisibleAudits(caller, *audits)}});
 }
 
 }  // namespace lynxglade::version
--- a/src/version/intent_api.h
+++ b/src/version/intent_api.h
@@ -57,7 +57,7 @@
   Answer Restore(const Caller& caller) const;
   Answer ShowContracts(const Caller& caller) const;
   Answer ShowAudit(const Call& call, const Caller& caller) const;
-  Answer Confirmed(const ConfirmResult& result, const Caller& caller) const;
+  Answer ConfirmAnswer(const ConfirmResult& result, const Caller& caller) const;
 
   const OperatorAccess& access_;
   PlanService& plans_;
--- a/src/version/operator_access.cc
+++ b/src/version/operator_access.cc
@@ -17,7 +17,7 @@
 }
 
 // Compares every hash, so that the time does not reveal which one matches.
-bool OwnsKey(const Operator& op, const std::string& digest) {
+bool HasKey(const Operator& op, const std::string& digest) {
   return std::ranges::count_if(op.key_hashes, [&](const std::string& it) {
            return EqualInConstantTime(it, digest);
          }) > 0;
@@ -35,24 +35,25 @@
   const auto old_shares = SharesOf(before);
   return std::ranges::any_of(SharesOf(after), [&](const auto& it) {
     const auto old = old_shares.find(it.first);
-    const double had = old == old_shares.end() ? 0 : old->second;
-    return it.second > had + kShareSlack;
+    const double old_share = old == old_shares.end() ? 0 : old->second;
+    return it.second > old_share + kShareTolerance;
   });
 }
 
-int MostUrgent(const Contract& contract, const base::ServiceName& service) {
-  int most = kMaxPriority;
+int MostUrgentPriority(const Contract& contract,
+                       const base::ServiceName& service) {
+  int most_urgent = kMaxPriority;
   for (const Intent& it : contract.intents) {
     if (it.service == service) {
-      most = std::min(most, it.priority);
+      most_urgent = std::min(most_urgent, it.priority);
     }
   }
-  return most;
+  return most_urgent;
 }
 
-bool RaisesUrgency(const Contract& before, const Contract& after) {
+bool RaisesPriority(const Contract& before, const Contract& after) {
   return std::ranges::any_of(after.intents, [&](const Intent& it) {
-    return it.priority < MostUrgent(before, it.service);
+    return it.priority < MostUrgentPriority(before, it.service);
   });
 }
 
@@ -73,7 +74,7 @@
         "only a fleet operator may raise the share of contract " + id.str();
     return false;
   }
-  if (RaisesUrgency(*edit.before, *edit.after)) {
+  if (RaisesPriority(*edit.before, *edit.after)) {
     *reason =
         "only a fleet operator may raise the priority of contract " + id.str();
     return false;
@@ -103,7 +104,7 @@
   const std::shared_ptr<const Configuration> configuration = current_();
   std::optional<Caller> found;
   for (const auto& [id, op] : configuration->operators) {
-    if (OwnsKey(op, digest)) {
+    if (HasKey(op, digest)) {
       found = Caller{id, op.role, op.contracts};
     }
   }
