--- a/src/version/change_request.cc
+++ b/src/version/change_request.cc
@@ -15,10 +15,10 @@
 using details::JsonReader;
 
 // Reads the argument of one kind of change.
-using ReadChange = bool (*)(const json& value,
-                            const std::string& where,
-                            RequestedChange* out,
-                            CodecFault* fault);
+using ChangeReader = bool (*)(const json& value,
+                              const std::string& where,
+                              RequestedChange* out,
+                              CodecFault* fault);
 
 template <typename Change, auto kMember>
 bool ReadPart(const json& value,
@@ -109,12 +109,12 @@
   return reader.Done();
 }
 
-struct Verb {
+struct ChangeKind {
   std::string_view name;
-  ReadChange read;
+  ChangeReader read;
 };
 
-constexpr Verb kVerbs[] = {
+constexpr ChangeKind kChangeKinds[] = {
     {"upsert_contract", &ReadPart<UpsertContract, &UpsertContract::contract>},
     {"remove_contract", &ReadName<RemoveContract, &RemoveContract::contract>},
     {"upsert_intent", &ReadUpsertIntent},
@@ -135,18 +135,19 @@
                 "must be an object with one member, the kind of change");
   }
   const std::string& name = value.begin().key();
-  const auto* const verb = std::ranges::find(kVerbs, name, &Verb::name);
-  if (verb == std::end(kVerbs)) {
+  const auto* const kind =
+      std::ranges::find(kChangeKinds, name, &ChangeKind::name);
+  if (kind == std::end(kChangeKinds)) {
     return Fail(fault, CodecError::kUnknownMember, AppendToPointer(where, name),
                 "unknown kind of change");
   }
-  return verb->read(value.begin().value(), AppendToPointer(where, name), out,
+  return kind->read(value.begin().value(), AppendToPointer(where, name), out,
                     fault);
 }
 
 // Applies one change. Each overload returns an empty string on success or an
 // error message.
-struct Apply {
+struct ApplyChange {
   Configuration& configuration;
 
   std::string operator()(const UpsertContract& it) const {
@@ -164,9 +165,9 @@
       return "unknown contract " + it.contract.str();
     }
     std::vector<Intent>& intents = contract->second.intents;
-    const auto same = Find(intents, it.intent.service, it.intent.model);
-    if (same != intents.end()) {
-      *same = it.intent;
+    const auto existing = Find(intents, it.intent.service, it.intent.model);
+    if (existing != intents.end()) {
+      *existing = it.intent;
       return {};
     }
     if (intents.size() >= kMaxIntentsPerContract) {
@@ -182,12 +183,12 @@
       return "unknown contract " + it.contract.str();
     }
     std::vector<Intent>& intents = contract->second.intents;
-    const auto same = Find(intents, it.service, it.model);
-    if (same == intents.end()) {
+    const auto existing = Find(intents, it.service, it.model);
+    if (existing == intents.end()) {
       return "the contract has no intent for service " + it.service.str() +
              ", model '" + it.model.str() + "'";
     }
-    intents.erase(same);
+    intents.erase(existing);
     return {};
   }
   std::string operator()(const UpsertService& it) const {
@@ -268,11 +269,12 @@
   std::size_t n = 0;
   return std::ranges::all_of(
       request.changes, [&](const RequestedChange& change) {
-        const std::string obstacle = std::visit(Apply{*configuration}, change);
+        const std::string error =
+            std::visit(ApplyChange{*configuration}, change);
         const std::string where =
             AppendToPointer("/changes", std::to_string(n++));
-        return obstacle.empty() ||
-               Fail(fault, CodecError::kBadReference, where, obstacle);
+        return error.empty() ||
+               Fail(fault, CodecError::kBadReference, where, error);
       });
 }
 
