--- a/src/version/config_store.h
+++ b/src/version/config_store.h
@@ -114,12 +114,12 @@
   // further changes are accepted.
   bool IsSnapshotDue(const ConfigHead& head) const noexcept;
   bool IsSnapshotRequired(const ConfigHead& head) const noexcept;
-  // Writes a snapshot of `held`, points the head at it and deletes the previous
+  // Writes `snapshot`, points the head at it and deletes the previous
   // snapshot. Idempotent and safe to run concurrently.
   bool WriteSnapshot(const ConfigSnapshot& snapshot,
                      StoreError* last_error) const;
 
-  // Writes `held` back to a key-value service that lost it, as the new head
+  // Writes `snapshot` back to a key-value service that lost it, as the new head
   // with its own snapshot. Fails with kConflict unless the stored head is
   // older.
   bool Restore(const ConfigSnapshot& snapshot,
--- a/src/version/config_tracker.cc
+++ b/src/version/config_tracker.cc
@@ -106,7 +106,8 @@
   NoteRevision(parsed.revision);
   if (parsed.revision > current + kOne) {
     state_.buffered.insert_or_assign(parsed.revision, delta);
-    // Keep the oldest, which apply first; a reload covers the rest.
+    // Keeps the lowest revisions, which apply first; a later read of the
+    // service covers the rest.
     if (state_.buffered.size() > kPublishedDeltas) {
       state_.buffered.erase(std::prev(state_.buffered.end()));
     }
--- a/src/version/plan.h
+++ b/src/version/plan.h
@@ -86,8 +86,8 @@
   double seconds_per_reload = 30;
 };
 
-// Makes the plan that changes `held` into `wanted`. Returns nullopt and fills
-// `fault` when the change is invalid.
+// Makes the plan that changes `current` into `desired`. Returns nullopt and
+// fills `fault` when the change is invalid.
 std::optional<Plan> MakePlan(const ConfigSnapshot& current,
                              const Configuration& desired,
                              const ChangeRequest& request,
@@ -102,8 +102,8 @@
 // Describes a delta in words, one entry per changed part.
 std::vector<PlanChange> DescribeDelta(const ConfigDelta& delta);
 
-// Undoes `deltas` (ordered oldest to newest) on `held`. Operators and key
-// hashes are kept from `held`, so that a rollback does not restore a revoked
+// Undoes `deltas` (ordered oldest to newest) on `current`. Operators and key
+// hashes are kept from `current`, so that a rollback does not restore a revoked
 // key. Returns nullopt when the deltas do not apply.
 std::optional<Configuration> RollBack(const Configuration& current,
                                       const std::vector<ChainedDelta>& deltas);
--- a/src/version/share_arithmetic.cc
+++ b/src/version/share_arithmetic.cc
@@ -10,7 +10,7 @@
 namespace lynxglade::version {
 namespace {
 
-// Rounding tolerance: a quota this close below an integer counts as it.
+// Rounding tolerance: a quota this little below an integer is rounded up.
 constexpr double kQuotaTolerance = 1e-9;
 
 using EngineModel = std::pair<base::ModelName, base::ModelVersion>;
@@ -31,9 +31,9 @@
     remainders[i] = quota - allocated[i];
   }
   const double sum = std::accumulate(shares.begin(), shares.end(), 0.0);
-  const int desired = static_cast<int>(std::lround(std::min(sum, 1.0) * seats));
+  const int total = static_cast<int>(std::lround(std::min(sum, 1.0) * seats));
   const int remaining =
-      desired - std::accumulate(allocated.begin(), allocated.end(), 0);
+      total - std::accumulate(allocated.begin(), allocated.end(), 0);
   std::vector<std::size_t> order(shares.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
   std::ranges::stable_sort(order, [&](std::size_t a, std::size_t b) {
