--- a/tests/version/config_gossip_test.cc
+++ b/tests/version/config_gossip_test.cc
@@ -1,5 +1,4 @@
-// How a configuration spreads: by watch, by peers, to an instance that starts
-// while the key-value service is down.
+// Tests of distributing the configuration by watch and by gossip.
 #include "version/config_gossip.h"
 
 #include <condition_variable>
@@ -24,7 +23,7 @@
 using process::ViewItem;
 using process::ViewKind;
 
-// The newest fact under each key, as the views keep them.
+// The newest fact per key, as kept by the views.
 struct Facts {
   std::map<std::pair<ViewKind, std::string>, ViewItem> newest;
 
@@ -39,9 +38,9 @@
   }
 };
 
-// A tracker whose facts go into a store.
-struct Teller {
-  explicit Teller(Facts& facts)
+// A tracker that publishes its facts to `facts`.
+struct Publisher {
+  explicit Publisher(Facts& facts)
       : gossip(base::InstanceId("teller"),
                tracker,
                {[] { return base::Time{}; },
@@ -63,13 +62,13 @@
   ConfigGossip gossip;
 };
 
-// What peers hold in their views is enough for an instance that cannot reach
-// the service, whatever order the facts come in.
-RC_GTEST_PROP(ConfigGossipTest, FreshInstanceLearnsAllFromFacts, ()) {
+// An instance that cannot reach the key-value service loads the configuration
+// from the facts in peers' views, whatever their order.
+RC_GTEST_PROP(ConfigGossipTest, NewInstanceLoadsConfigurationFromFacts, ()) {
   Facts facts;
-  Teller teller(facts);
+  Publisher publisher(facts);
   Configuration now = SampleConfiguration();
-  // Large enough for several parts.
+  // Large enough for several snapshot parts.
   now.contracts.begin()->second.display_name = std::string(200, 'x');
   for (int i = 0; i < 800; ++i) {
     const base::ContractId id("filler" + std::to_string(i));
@@ -78,16 +77,17 @@
   const bool from_snapshot = *rc::gen::arbitrary<bool>();
   if (from_snapshot) {
     now.revision = base::Revision(300);
-    teller.tracker.OfferSnapshot(
+    publisher.tracker.OfferSnapshot(
         {std::make_shared<const Configuration>(now), "digest"},
         ConfigSource::kService);
     RC_ASSERT(facts.newest.contains({ViewKind::kConfigHead, "whole/1"}));
   }
   for (int i = *rc::gen::inRange(1, 6); i > 0; --i) {
-    const ConfigSnapshot held = teller.tracker.GetSnapshot();
+    const ConfigSnapshot current = publisher.tracker.GetSnapshot();
     Mutate(&now);
-    teller.tracker.OfferDelta(
-        MakeChainedDelta(MakeDelta(*held.configuration, now), held.digest),
+    publisher.tracker.OfferDelta(
+        MakeChainedDelta(MakeDelta(*current.configuration, now),
+                         current.digest),
         ConfigSource::kLocal);
   }
 
@@ -96,7 +96,7 @@
     items.push_back(item);
   }
   Facts unused;
-  Teller fresh(unused);
+  Publisher fresh(unused);
   while (!items.empty()) {
     const auto n = *rc::gen::inRange<std::size_t>(0, items.size());
     fresh.gossip.HandleFact(items[n]);
@@ -104,52 +104,53 @@
   }
   RC_ASSERT(fresh.tracker.ready());
   RC_ASSERT(fresh.tracker.GetSnapshot().digest ==
-            teller.tracker.GetSnapshot().digest);
-  RC_ASSERT(*fresh.tracker.Get() == *teller.tracker.Get());
+            publisher.tracker.GetSnapshot().digest);
+  RC_ASSERT(*fresh.tracker.Get() == *publisher.tracker.Get());
 }
 
-TEST(ConfigGossipTest, InstanceSaysWhatItHoldsAtABoundedRate) {
+TEST(ConfigGossipTest, RevisionIsPublishedAtBoundedRate) {
   base::Metrics metrics;
   ConfigTracker tracker{{[] { return base::Time{}; }, {}, {}, {}}, metrics};
   base::Time now{std::chrono::hours(1)};
-  std::vector<ViewItem> said;
-  ConfigGossip gossip(
-      base::InstanceId("i1"), tracker,
-      {[&] { return now; }, [&](ViewItem it) { said.push_back(std::move(it)); },
-       [] { return std::size_t{100}; }},
-      metrics);
+  std::vector<ViewItem> published;
+  ConfigGossip gossip(base::InstanceId("i1"), tracker,
+                      {[&] { return now; },
+                       [&](ViewItem it) { published.push_back(std::move(it)); },
+                       [] { return std::size_t{100}; }},
+                      metrics);
   const auto change = [&] {
-    const ConfigSnapshot held = tracker.GetSnapshot();
-    Configuration next = *held.configuration;
-    next.services[base::ServiceName(std::to_string(said.size()))].name =
-        base::ServiceName(std::to_string(said.size()));
-    tracker.OfferDelta(
-        MakeChainedDelta(MakeDelta(*held.configuration, next), held.digest),
-        ConfigSource::kLocal);
+    const ConfigSnapshot current = tracker.GetSnapshot();
+    Configuration next = *current.configuration;
+    next.services[base::ServiceName(std::to_string(published.size()))].name =
+        base::ServiceName(std::to_string(published.size()));
+    tracker.OfferDelta(MakeChainedDelta(MakeDelta(*current.configuration, next),
+                                        current.digest),
+                       ConfigSource::kLocal);
   };
   gossip.Tick();
-  EXPECT_TRUE(said.empty());
+  EXPECT_TRUE(published.empty());
   change();
   gossip.Tick();
-  ASSERT_EQ(said.size(), 1u);
+  ASSERT_EQ(published.size(), 1u);
   change();
   gossip.Tick();
-  EXPECT_EQ(said.size(), 1u);
+  EXPECT_EQ(published.size(), 1u);
   now += std::chrono::seconds(20);
   gossip.Tick();
-  ASSERT_EQ(said.size(), 2u);
-  EXPECT_EQ(ConfigGossip::DecodeInstanceRevision(said[1])->revision,
+  ASSERT_EQ(published.size(), 2u);
+  EXPECT_EQ(ConfigGossip::DecodeInstanceRevision(published[1])->revision,
             base::Revision(2));
-  EXPECT_EQ(ConfigGossip::DecodeInstanceRevision(said[1])->instance.str(),
+  EXPECT_EQ(ConfigGossip::DecodeInstanceRevision(published[1])->instance.str(),
             "i1");
-  // The fact expires unless it is said again, as a newer version.
+  // The fact is republished with a newer version before it expires.
   now += std::chrono::minutes(5);
   gossip.Tick();
-  ASSERT_EQ(said.size(), 3u);
-  EXPECT_GT(said[2].version, said[1].version);
+  ASSERT_EQ(published.size(), 3u);
+  EXPECT_GT(published[2].version, published[1].version);
 }
 
-// Planes with their threads, on one service and one bus of facts.
+// Configuration planes with their threads, one fake key-value service and
+// simulated gossip.
 class Fleet {
  public:
   explicit Fleet(std::size_t n) : kv_(base::BootClock::now) {
@@ -168,13 +169,14 @@
   fakes::FakeKv& kv() { return kv_; }
   static std::string Name(std::size_t i) { return "i" + std::to_string(i); }
 
-  // Instances that the bus does not reach.
+  // Excludes an instance from gossip.
   void CutFromPeers(std::size_t i) {
     const std::scoped_lock lock(mutex_);
     cut_.insert(i);
   }
 
-  // Blocks until all of these hold the revision; the test's timeout bounds it.
+  // Blocks until all given instances have the revision, bounded by the test's
+  // timeout.
   void Await(std::vector<std::size_t> instances, std::int64_t revision) {
     std::unique_lock lock(mutex_);
     changed_.wait(lock, [&] {
@@ -184,7 +186,7 @@
     });
   }
 
-  // States and confirms through one instance.
+  // Creates and confirms a plan on one instance.
   void Put(std::size_t i, const std::string& request) {
     const auto made =
         at(i).Handle({"POST", "/v1/admin/plans", {}, request, "boot"});
@@ -200,7 +202,8 @@
     ConfigurationPlaneOptions options;
     options.instance = base::InstanceId(Name(i));
     options.bootstrap_key = "boot";
-    // So long that no period brings a change: only watches and peers do.
+    // Periodic reads are disabled in effect; changes arrive only by watch or
+    // gossip.
     options.watcher.watcher_period = std::chrono::hours(1);
     options.watcher.other_period = std::chrono::hours(1);
     return options;
@@ -215,16 +218,16 @@
       const std::scoped_lock lock(mutex_);
       changed_.notify_all();
     };
-    hooks.publish = [this, i](const ViewItem& item) { Spread(i, item); };
+    hooks.publish = [this, i](const ViewItem& item) { Deliver(i, item); };
     hooks.revision_facts = [] { return std::vector<ViewItem>(); };
     hooks.member_count = [this] { return planes_.size(); };
-    // The first watches, the rest hear from it.
+    // Only the first instance watches; the others rely on gossip.
     hooks.should_watch = [i] { return i == 0; };
     hooks.fleet = [] { return FleetFacts{}; };
     return hooks;
   }
 
-  void Spread(std::size_t from, const ViewItem& item) {
+  void Deliver(std::size_t from, const ViewItem& item) {
     std::vector<std::size_t> receivers;
     {
       const std::scoped_lock lock(mutex_);
@@ -252,7 +255,7 @@
   std::vector<std::unique_ptr<ConfigurationPlane>> planes_;
 };
 
-TEST(ConfigurationPlaneTest, ChangeReachesPeersThatCannotReachTheService) {
+TEST(ConfigurationPlaneTest, ChangeReachesInstanceCutOffFromTheService) {
   Fleet fleet(4);
   fleet.kv().Cut(Fleet::Name(3));
   for (std::size_t i = 0; i < 4; ++i) {
@@ -266,14 +269,14 @@
   EXPECT_TRUE(fleet.at(3).ready());
 }
 
-TEST(ConfigurationPlaneTest, WatcherThatHearsNoPeerSeesTheChange) {
+TEST(ConfigurationPlaneTest, WatcherWithoutPeersReceivesChange) {
   Fleet fleet(2);
   fleet.CutFromPeers(0);
   fleet.Start(0);
   fleet.Start(1);
   fleet.Put(1, Basics());
   fleet.Await({0}, 1);
-  // The watch outlives an outage.
+  // The watch recovers after an outage.
   fleet.kv().ApplyFaults({{"unreachable", -1}});
   fleet.kv().ApplyFaults({{"unreachable", 0}});
   fleet.Put(1, ShareOf("parish", 0.2));
--- a/tests/version/config_tracker_test.cc
+++ b/tests/version/config_tracker_test.cc
@@ -12,7 +12,7 @@
 namespace lynxglade::version {
 namespace {
 
-// A history of accepted configurations.
+// A sequence of accepted configurations with the deltas between them.
 struct History {
   std::vector<ConfigSnapshot> states{ConfigSnapshot{}};
   // deltas[i] leads from states[i] to states[i + 1].
@@ -42,21 +42,21 @@
 
 struct Fixture {
   base::Metrics metrics;
-  std::vector<base::Revision> taken;
-  std::vector<base::Revision> passed_on;
+  std::vector<base::Revision> applied;
+  std::vector<base::Revision> published;
   ConfigTracker tracker{
       {[] { return base::Time{}; },
-       [this](const ConfigSnapshot& it) { taken.push_back(it.revision()); },
+       [this](const ConfigSnapshot& it) { applied.push_back(it.revision()); },
        [this](base::Revision revision, const ChainedDelta&) {
-         passed_on.push_back(revision);
+         published.push_back(revision);
        },
        {}},
       metrics};
 };
 
-// Heads, deltas and wholes of one history in any order, twice, and of other
-// histories and garbage in between.
-RC_GTEST_PROP(ConfigTrackerTest, OnlyMovesForwardOnTheTrueHistory, ()) {
+// Offers heads, deltas and snapshots in random order, repeatedly and mixed with
+// corrupted deltas.
+RC_GTEST_PROP(ConfigTrackerTest, RevisionOnlyIncreasesAlongTheHistory, ()) {
   History history;
   const auto length = *rc::gen::inRange<std::size_t>(1, 12);
   for (std::size_t i = 0; i < length; ++i) {
@@ -84,15 +84,15 @@
       default:
         tracker.OfferDelta(history.deltas[n], ConfigSource::kPeer);
     }
-    const ConfigSnapshot held = tracker.GetSnapshot();
-    RC_ASSERT(held.revision() >= last);
-    last = held.revision();
+    const ConfigSnapshot current = tracker.GetSnapshot();
+    RC_ASSERT(current.revision() >= last);
+    last = current.revision();
     const auto at = static_cast<std::size_t>(last.value());
-    RC_ASSERT(held.digest == history.states[at].digest);
-    RC_ASSERT(*held.configuration == *history.states[at].configuration);
-    RC_ASSERT(*tracker.Get() == *held.configuration);
+    RC_ASSERT(current.digest == history.states[at].digest);
+    RC_ASSERT(*current.configuration == *history.states[at].configuration);
+    RC_ASSERT(*tracker.Get() == *current.configuration);
   }
-  // All deltas once more, in reverse order, bring it to the end.
+  // Offering all deltas in reverse order reaches the newest revision.
   for (auto it = history.deltas.rbegin(); it != history.deltas.rend(); ++it) {
     tracker.OfferDelta(*it, ConfigSource::kPeer);
   }
@@ -100,12 +100,12 @@
             static_cast<std::int64_t>(length));
   RC_ASSERT(!tracker.behind());
   RC_ASSERT(tracker.ready());
-  RC_ASSERT(std::ranges::is_sorted(fixture.taken));
-  RC_ASSERT(std::ranges::adjacent_find(fixture.passed_on) ==
-            fixture.passed_on.end());
+  RC_ASSERT(std::ranges::is_sorted(fixture.applied));
+  RC_ASSERT(std::ranges::adjacent_find(fixture.published) ==
+            fixture.published.end());
 }
 
-TEST(ConfigTrackerTest, OlderHeadOfTheServiceIsRefusedAndCounted) {
+TEST(ConfigTrackerTest, OlderHeadFromServiceIsRejectedAndCounted) {
   History history;
   history.Grow();
   Configuration next = *history.states.back().configuration;
@@ -114,7 +114,7 @@
   Fixture fixture;
   ConfigTracker& tracker = fixture.tracker;
   tracker.OfferSnapshot(history.states[2], ConfigSource::kPeer);
-  // An answer to a question asked earlier is late, not older.
+  // A head read before the current revision was applied is late, not older.
   EXPECT_EQ(tracker.OfferHead(history.HeadAt(1), ConfigSource::kService,
                               base::Revision(1)),
             OfferResult::kKnown);
@@ -130,19 +130,19 @@
             1u);
 }
 
-TEST(ConfigTrackerTest, AnotherHistoryIsRefused) {
+TEST(ConfigTrackerTest, DifferentHistoryIsRejected) {
   History history;
   history.Grow();
   History other = history;
   Configuration next = *history.states.back().configuration;
   next.contracts.erase(base::ContractId("parish"));
   history.Add(next);
-  Configuration strange = *other.states.back().configuration;
-  strange.contracts.erase(base::ContractId("archive"));
-  other.Add(strange);
-  // Touches only what both histories have in common.
-  strange.services.begin()->second.role_change_price = 99;
-  other.Add(strange);
+  Configuration diverging = *other.states.back().configuration;
+  diverging.contracts.erase(base::ContractId("archive"));
+  other.Add(diverging);
+  // Changes only a part that both histories have in common.
+  diverging.services.begin()->second.role_change_price = 99;
+  other.Add(diverging);
 
   Fixture fixture;
   ConfigTracker& tracker = fixture.tracker;
@@ -155,14 +155,14 @@
   EXPECT_EQ(tracker.GetSnapshot().digest, history.states[2].digest);
 }
 
-TEST(ConfigTrackerTest, FreshInstanceIsNotReadyBeforeItHasOne) {
+TEST(ConfigTrackerTest, NewInstanceIsNotReadyWithoutConfiguration) {
   History history;
   history.Grow();
   Fixture fixture;
   ConfigTracker& tracker = fixture.tracker;
   EXPECT_FALSE(tracker.ready());
   tracker.OfferHead(history.HeadAt(1), ConfigSource::kPeer);
-  // A service that lost everything says that nothing was ever accepted.
+  // A service that lost all data reports that nothing was ever accepted.
   tracker.MarkStoreEmpty();
   EXPECT_FALSE(tracker.ready());
   EXPECT_TRUE(tracker.service_is_behind());
--- a/tests/version/configuration_test.cc
+++ b/tests/version/configuration_test.cc
@@ -1,4 +1,4 @@
-// Text of configurations and deltas.
+// Tests of encoding configurations and deltas.
 #include <string>
 
 #include <gtest/gtest.h>
@@ -27,9 +27,8 @@
   RC_ASSERT(*read == configuration);
 }
 
-// Every value replaced by one that does not belong there is refused, with its
-// place.
-TEST(ConfigurationCodecTest, FaultsHaveReasonAndPlace) {
+// Invalid values are rejected with an error code and their location.
+TEST(ConfigurationCodecTest, FaultsHaveCodeAndLocation) {
   struct Case {
     const char* place;
     json value;
@@ -52,21 +51,21 @@
       {"/services/llm/role_change_price", -1, CodecError::kOutOfRange},
       {"/contracts/archive/default_deadline_ms", 0, CodecError::kOutOfRange},
   };
-  const json whole = json::parse(EncodeConfiguration(SampleConfiguration()));
+  const json valid = json::parse(EncodeConfiguration(SampleConfiguration()));
   for (const Case& it : cases) {
-    json broken = whole;
+    json broken = valid;
     broken[json::json_pointer(it.place)] = it.value;
     CodecFault fault;
     EXPECT_FALSE(DecodeConfiguration(broken.dump(), &fault)) << it.place;
     EXPECT_EQ(fault.error, it.error) << it.place << ": " << fault.message;
     const std::string expected = it.place;
-    // A name that does not match is found where the part stands.
+    // A mismatched id is reported at the part that contains it.
     EXPECT_TRUE(expected.starts_with(fault.where)) << fault.where;
     EXPECT_EQ(fault.message.find("secret"), std::string::npos);
   }
 }
 
-TEST(ConfigurationCodecTest, OverCommitmentIsRefused) {
+TEST(ConfigurationCodecTest, OverCommitmentIsRejected) {
   Configuration configuration = SampleConfiguration();
   Contract& parish = configuration.contracts[base::ContractId("parish")];
   parish.intents[0].share = 0.5;
@@ -78,8 +77,8 @@
   EXPECT_EQ(fault.where, "/services/llm");
 }
 
-// Whatever bytes come, reading ends with a verdict.
-RC_GTEST_PROP(ConfigurationCodecTest, DamagedTextIsRefusedOrRead, ()) {
+// Decoding corrupted text either succeeds or reports a fault.
+RC_GTEST_PROP(ConfigurationCodecTest, CorruptedTextIsRejectedOrDecoded, ()) {
   std::string text = EncodeConfiguration(SampleConfiguration());
   const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
   text[at] = *rc::gen::arbitrary<char>();
@@ -88,7 +87,7 @@
   RC_ASSERT(read.has_value() == (fault.error == CodecError::kNone));
 }
 
-RC_GTEST_PROP(ConfigDeltaTest, AppliesUndoesAndSurvivesItsText, ()) {
+RC_GTEST_PROP(ConfigDeltaTest, AppliesUndoesAndRoundTrips, ()) {
   Configuration from = SampleConfiguration();
   from.revision = base::Revision(41);
   Configuration to = from;
@@ -105,7 +104,7 @@
   Configuration moved = from;
   RC_ASSERT(ApplyDelta(*read, &moved));
   RC_ASSERT(moved == to);
-  // It applies to nothing but what it was made on.
+  // A delta applies only to the state it was made from.
   RC_ASSERT(!ApplyDelta(*read, &moved));
   RC_ASSERT(UndoDelta(*read, &moved));
   RC_ASSERT(moved == from);
@@ -119,7 +118,7 @@
   }
 }
 
-TEST(ChainedDeltaTest, AlteredTextIsNotRead) {
+TEST(ChainedDeltaTest, ModifiedTextIsRejected) {
   const ConfigDelta delta = MakeDelta(Configuration(), SampleConfiguration());
   const std::string text = EncodeChainedDelta(MakeChainedDelta(delta, ""));
   EXPECT_TRUE(DecodeChainedDelta(text));
--- a/tests/version/instance.h
+++ b/tests/version/instance.h
@@ -1,4 +1,4 @@
-// Several instances on one stand-in key-value service.
+// Test instances that share one fake key-value service.
 #ifndef LYNXGLADE_TESTS_VERSION_INSTANCE_H_
 #define LYNXGLADE_TESTS_VERSION_INSTANCE_H_
 
@@ -20,7 +20,7 @@
                                  OperatorRole::kFleet,
                                  {}};
 
-// One instance: its own client, store and tracker, on a shared service.
+// One instance with its own client, store and tracker.
 struct Instance {
   Instance(fakes::FakeKv& kv, std::uint64_t seed, StoreLimits limits)
       : inner(fakes::MakeInProcessTransport(kv)),
@@ -47,7 +47,7 @@
     return RefreshConfig(store, &tracker, &ec);
   }
 
-  // Runs before each call: what others do meanwhile.
+  // Runs before each call to the service; simulates concurrent activity.
   std::function<void()> before_call;
   base::Metrics metrics;
   connection::KvTransport inner;
@@ -57,7 +57,7 @@
   PlanService plans;
 };
 
-// Few enough that histories of a test compact and expire several times.
+// Small limits, so that a test's history is compacted and expires repeatedly.
 inline constexpr StoreLimits kSmall{4, 12, 1000, 400, 2};
 
 struct Instances {
@@ -68,12 +68,12 @@
   }
   Instance& at(std::size_t n) { return *instances[n]; }
 
-  // States and confirms through one instance; the new revision.
+  // Creates and confirms a plan on one instance; returns the new revision.
   base::Revision Put(std::size_t n, const std::string& request) {
     PlanFault fault;
-    CodecFault breach;
-    const auto parsed = ParseChangeRequest(request, &breach);
-    EXPECT_TRUE(parsed) << breach.where << breach.message;
+    CodecFault violation;
+    const auto parsed = ParseChangeRequest(request, &violation);
+    EXPECT_TRUE(parsed) << violation.where << violation.message;
     const auto plan = at(n).plans.Create(*parsed, kFleetCaller, &fault);
     EXPECT_TRUE(plan) << fault.message;
     const auto result = at(n).plans.Confirm(plan->id, kFleetCaller);
--- a/tests/version/intent_api_test.cc
+++ b/tests/version/intent_api_test.cc
@@ -43,7 +43,7 @@
     EXPECT_TRUE(json::accept(answer.body)) << answer.body;
     return answer;
   }
-  // States a plan and confirms it: the status of the step that ended it.
+  // Creates and confirms a plan; returns the status of the last step.
   int Put(const std::string& key, const std::string& request) {
     const auto made = Call("POST", "/v1/admin/plans", key, request);
     if (made.status != 201) {
@@ -69,7 +69,7 @@
                 metrics};
 };
 
-TEST(IntentApiTest, KeysDecideWhatIsDoneAndSeen) {
+TEST(IntentApiTest, OperatorKeyLimitsActionsAndVisibility) {
   Fixture f;
   const std::string config = "/v1/admin/config";
   EXPECT_EQ(f.Call("GET", config, "").status, 401);
@@ -95,7 +95,7 @@
   EXPECT_EQ(audit[0].at("contracts"), json({"archive"}));
 }
 
-TEST(IntentApiTest, NoAnswerShowsAKeyOrItsDigest) {
+TEST(IntentApiTest, AnswersContainNoKeyOrDigest) {
   Fixture f;
   for (const char* path : {"/v1/admin/config", "/v1/admin/contracts",
                            "/v1/admin/audit", "/v1/admin/plans"}) {
@@ -103,14 +103,14 @@
     EXPECT_EQ(body.find(Sha256Hex("ana")), std::string::npos) << path;
     EXPECT_EQ(body.find(Sha256Hex("leo")), std::string::npos) << path;
   }
-  const auto refused = f.Call(
+  const auto rejected = f.Call(
       "POST", "/v1/admin/plans", "ana",
       R"({"changes":[{"upsert_contract":{"id":"x","key_hashes":["s3cret"]}}]})");
-  EXPECT_EQ(refused.status, 422);
-  EXPECT_EQ(refused.body.find("s3cret"), std::string::npos) << refused.body;
+  EXPECT_EQ(rejected.status, 422);
+  EXPECT_EQ(rejected.body.find("s3cret"), std::string::npos) << rejected.body;
 }
 
-TEST(IntentApiTest, RefusalsSayWhatAndWhere) {
+TEST(IntentApiTest, RejectionsReportCodeAndLocation) {
   Fixture f;
   const auto code = [&](const std::string& body) {
     const auto answer = f.Call("POST", "/v1/admin/plans", "ana", body);
@@ -130,15 +130,16 @@
   EXPECT_EQ(code(R"({"rollback_to":77})"), "404 no_such_revision ");
 }
 
-TEST(IntentApiTest, ConflictTellsWhatChanged) {
+TEST(IntentApiTest, ConflictReportsChangesSinceBase) {
   Fixture f;
   const auto made =
       f.Call("POST", "/v1/admin/plans", "ana", ShareOf("parish", 0.1));
   const std::string id = json::parse(made.body).at("id");
   EXPECT_EQ(f.Put("ana", ShareOf("parish", 0.2)), 200);
-  const auto lost = f.Call("POST", "/v1/admin/plans/" + id + "/confirm", "ana");
-  EXPECT_EQ(lost.status, 409);
-  const json body = json::parse(lost.body);
+  const auto conflict =
+      f.Call("POST", "/v1/admin/plans/" + id + "/confirm", "ana");
+  EXPECT_EQ(conflict.status, 409);
+  const json body = json::parse(conflict.body);
   EXPECT_EQ(body.at("error").at("code"), "conflict");
   EXPECT_EQ(body.at("changed_since").size(), 1u);
   EXPECT_EQ(f.Call("GET", "/v1/admin/plans/" + id, "ana").status, 200);
--- a/tests/version/plan_test.cc
+++ b/tests/version/plan_test.cc
@@ -1,4 +1,4 @@
-// Plans: arithmetic, who may, racing operators, lost answers, lost service.
+// Tests of plans, share arithmetic and operator permissions.
 #include "version/plan.h"
 
 #include <algorithm>
@@ -21,19 +21,21 @@
 
 using nlohmann::json;
 
-// Operators state and confirm plans through any instance while answers and
-// calls are lost. Whatever they are told must be true, and the history one
-// line.
-RC_GTEST_PROP(PlanServiceTest, RacingOperatorsWithLostAnswers, ()) {
+// Guards against wrong confirmation results and divergent histories when
+// operators create and confirm plans on several instances while requests and
+// responses of the key-value service are lost.
+RC_GTEST_PROP(PlanServiceTest,
+              ConcurrentOperatorsWithLostResponsesKeepOneHistory,
+              ()) {
   Instances fixture;
   fixture.Put(0, Basics());
   std::vector<base::PlanId> plans;
-  // The revision that a plan took effect at, as told.
-  std::map<base::PlanId, base::Revision> told;
+  // Revision at which a plan took effect, as reported by Confirm().
+  std::map<base::PlanId, base::Revision> reported;
   std::map<std::size_t, base::Revision> last;
   const StoreError none = StoreError::kNone;
 
-  const auto heal = [&] {
+  const auto clear_faults = [&] {
     fixture.kv.ApplyFaults({{"lose_answer", 0},
                             {"lose_request", 0},
                             {"unreachable", 0},
@@ -41,10 +43,10 @@
   };
   const auto in_force = [&](const base::PlanId& id) {
     StoreError ec = none;
-    Instance judge(fixture.kv, 99, kSmall);
-    const auto head = judge.store.ReadHead(&ec);
+    Instance observer(fixture.kv, 99, kSmall);
+    const auto head = observer.store.ReadHead(&ec);
     const auto audits =
-        judge.store.ReadAudits(base::Revision(0), head->head.revision, &ec);
+        observer.store.ReadAudits(base::Revision(0), head->head.revision, &ec);
     return std::ranges::count_if(*audits, [&](const std::string& it) {
       return json::parse(it).at("plan") == id.str();
     });
@@ -56,52 +58,52 @@
     const int fault_count = *rc::gen::inRange(1, 4);
     const char* const kinds[] = {"lose_answer", "lose_request", "unreachable",
                                  "unavailable"};
-    const auto break_service = [&] {
+    const auto inject_faults = [&] {
       if (fault_kind < 4) {
         fixture.kv.ApplyFaults({{kinds[fault_kind], fault_count}});
       }
     };
     if (plans.empty() || *rc::gen::inRange(0, 2) == 0) {
-      CodecFault breach;
+      CodecFault violation;
       const auto request = ParseChangeRequest(
-          ShareOf("parish", *rc::gen::inRange(1, 500) / 1000.0), &breach);
+          ShareOf("parish", *rc::gen::inRange(1, 500) / 1000.0), &violation);
       PlanFault fault;
-      break_service();
+      inject_faults();
       if (const auto plan =
               fixture.at(n).plans.Create(*request, kFleetCaller, &fault)) {
         plans.push_back(plan->id);
       }
-      heal();
+      clear_faults();
     } else {
       const base::PlanId id = *rc::gen::elementOf(plans);
       const auto before = in_force(id);
-      // Another operator confirms another plan between two calls of this one.
-      const base::PlanId rival = *rc::gen::elementOf(plans);
-      // Or the service goes away after it lost an answer.
-      const bool goes_away = fault_kind == 0;
+      // Another operator confirms another plan between two calls of this one,
+      const base::PlanId concurrent_plan = *rc::gen::elementOf(plans);
+      // or the service becomes unreachable after it lost a response.
+      const bool becomes_unreachable = fault_kind == 0;
       int calls = *rc::gen::inRange(0, 6);
       fixture.at(n).before_call = [&] {
         if (calls-- != 0) {
           return;
         }
-        if (goes_away) {
+        if (becomes_unreachable) {
           fixture.kv.ApplyFaults({{"unreachable", -1}});
-        } else if (rival != id) {
-          fixture.at((n + 1) % 3).plans.Confirm(rival, kFleetCaller);
+        } else if (concurrent_plan != id) {
+          fixture.at((n + 1) % 3).plans.Confirm(concurrent_plan, kFleetCaller);
         }
       };
-      break_service();
+      inject_faults();
       const ConfirmResult result =
           fixture.at(n).plans.Confirm(id, kFleetCaller);
       fixture.at(n).before_call = nullptr;
-      heal();
+      clear_faults();
       switch (result.outcome) {
         case ConfirmOutcome::kInForce:
-          RC_ASSERT(!told.contains(id));
+          RC_ASSERT(!reported.contains(id));
           [[fallthrough]];
         case ConfirmOutcome::kAlreadyInForce:
           RC_ASSERT(in_force(id) == 1);
-          told[id] = result.revision;
+          reported[id] = result.revision;
           break;
         case ConfirmOutcome::kConflict:
           RC_ASSERT(in_force(id) == 0);
@@ -118,8 +120,8 @@
     last[n] = held;
   }
 
-  heal();
-  // Every instance, and one that starts now, come to the same configuration.
+  clear_faults();
+  // All instances, including a new one, converge on one configuration.
   Instance fresh(fixture.kv, 100, kSmall);
   RC_ASSERT(fresh.Refresh());
   for (auto& it : fixture.instances) {
@@ -130,7 +132,7 @@
     RC_ASSERT(!it->tracker.forked());
     RC_ASSERT(!it->tracker.service_is_behind());
   }
-  // One audit record a revision, one plan each.
+  // Each revision has one audit record, each with a different plan.
   StoreError ec = none;
   const base::Revision head = fresh.tracker.Get()->revision;
   const auto audits = fresh.store.ReadAudits(base::Revision(0), head, &ec);
@@ -143,41 +145,41 @@
     RC_ASSERT(seen.insert(audit.at("plan")).second);
   }
   RC_ASSERT(revision == head.value());
-  for (const auto& [id, at] : told) {
+  for (const auto& [id, at] : reported) {
     RC_ASSERT(json::parse((*audits)[static_cast<std::size_t>(at.value() - 1)])
                   .at("plan") == id.str());
   }
 }
 
-TEST(PlanServiceTest, SecondOperatorIsToldWhatChanged) {
+TEST(PlanServiceTest, ConflictReportsChangesSinceBase) {
   Instances fixture;
   fixture.Put(0, Basics());
-  CodecFault breach;
+  CodecFault violation;
   PlanFault fault;
-  const auto mine = fixture.at(1).plans.Create(
-      *ParseChangeRequest(ShareOf("parish", 0.1), &breach), kFleetCaller,
+  const auto first = fixture.at(1).plans.Create(
+      *ParseChangeRequest(ShareOf("parish", 0.1), &violation), kFleetCaller,
       &fault);
-  const auto theirs = fixture.at(2).plans.Create(
-      *ParseChangeRequest(ShareOf("parish", 0.2), &breach), kFleetCaller,
+  const auto second = fixture.at(2).plans.Create(
+      *ParseChangeRequest(ShareOf("parish", 0.2), &violation), kFleetCaller,
       &fault);
-  ASSERT_TRUE(mine && theirs);
-  EXPECT_EQ(fixture.at(0).plans.Confirm(theirs->id, kFleetCaller).outcome,
+  ASSERT_TRUE(first && second);
+  EXPECT_EQ(fixture.at(0).plans.Confirm(second->id, kFleetCaller).outcome,
             ConfirmOutcome::kInForce);
-  const auto lost = fixture.at(1).plans.Confirm(mine->id, kFleetCaller);
-  EXPECT_EQ(lost.outcome, ConfirmOutcome::kConflict);
-  ASSERT_EQ(lost.since.size(), 1u);
-  EXPECT_EQ(json::parse(lost.since[0]).at("plan"), theirs->id.str());
-  EXPECT_EQ(fixture.at(2).plans.Confirm(theirs->id, kFleetCaller).outcome,
+  const auto conflict = fixture.at(1).plans.Confirm(first->id, kFleetCaller);
+  EXPECT_EQ(conflict.outcome, ConfirmOutcome::kConflict);
+  ASSERT_EQ(conflict.since.size(), 1u);
+  EXPECT_EQ(json::parse(conflict.since[0]).at("plan"), second->id.str());
+  EXPECT_EQ(fixture.at(2).plans.Confirm(second->id, kFleetCaller).outcome,
             ConfirmOutcome::kAlreadyInForce);
 }
 
-TEST(PlanServiceTest, AlteredPlanIsUnknown) {
+TEST(PlanServiceTest, ModifiedPlanIsUnknown) {
   Instances fixture;
   fixture.Put(0, Basics());
-  CodecFault breach;
+  CodecFault violation;
   PlanFault fault;
   const auto plan = fixture.at(0).plans.Create(
-      *ParseChangeRequest(ShareOf("parish", 0.1), &breach), kFleetCaller,
+      *ParseChangeRequest(ShareOf("parish", 0.1), &violation), kFleetCaller,
       &fault);
   std::string altered = plan->text;
   altered.replace(altered.find("0.1"), 3, "0.4");
@@ -188,27 +190,27 @@
             ConfirmOutcome::kUnknownPlan);
 }
 
-TEST(PlanServiceTest, OverCommitmentIsRefusedAtPlanTime) {
+TEST(PlanServiceTest, OverCommitmentIsRejectedAtPlanTime) {
   Instances fixture;
   fixture.Put(0, Basics());
-  CodecFault breach;
+  CodecFault violation;
   PlanFault fault;
   EXPECT_FALSE(fixture.at(0).plans.Create(
-      *ParseChangeRequest(ShareOf("parish", 0.6), &breach), kFleetCaller,
+      *ParseChangeRequest(ShareOf("parish", 0.6), &violation), kFleetCaller,
       &fault));
   EXPECT_EQ(fault.error, PlanError::kOverCommitted);
 }
 
-TEST(PlanServiceTest, ServiceThatLostChangesIsNoticedAndRestored) {
+TEST(PlanServiceTest, StoreThatLostChangesIsDetectedAndRestored) {
   Instances fixture;
   fixture.Put(0, Basics());
   fixture.kv.ApplyFaults({{"save_copy", true}});
   fixture.Put(0, ShareOf("parish", 0.1));
   fixture.Put(1, ShareOf("parish", 0.2));
-  CodecFault breach;
+  CodecFault violation;
   PlanFault fault;
   const auto plan = fixture.at(1).plans.Create(
-      *ParseChangeRequest(ShareOf("parish", 0.3), &breach), kFleetCaller,
+      *ParseChangeRequest(ShareOf("parish", 0.3), &violation), kFleetCaller,
       &fault);
   ASSERT_TRUE(plan);
   fixture.kv.ApplyFaults({{"load_copy", true}});
@@ -218,11 +220,11 @@
   EXPECT_TRUE(holder.Refresh());
   EXPECT_TRUE(holder.tracker.service_is_behind());
   EXPECT_EQ(holder.tracker.GetSnapshot().digest, digest);
-  EXPECT_FALSE(
-      holder.plans.Create(*ParseChangeRequest(ShareOf("parish", 0.4), &breach),
-                          kFleetCaller, &fault));
+  EXPECT_FALSE(holder.plans.Create(
+      *ParseChangeRequest(ShareOf("parish", 0.4), &violation), kFleetCaller,
+      &fault));
   EXPECT_EQ(fault.error, PlanError::kNotReady);
-  // An instance that holds less must not put its own state back.
+  // An instance with an older configuration must not restore it.
   fixture.at(0).tracker.OfferHead(
       {holder.tracker.Get()->revision, digest, {}, 0, ""}, ConfigSource::kPeer);
   EXPECT_EQ(fixture.at(0).plans.Restore(kFleetCaller).outcome,
@@ -238,7 +240,7 @@
             fixture.at(0).tracker.GetSnapshot().digest);
 }
 
-TEST(PlanServiceTest, RollbackIsANewPlanAndBringsNoKeysBack) {
+TEST(PlanServiceTest, RollbackCreatesNewRevisionWithoutRevokedKeys) {
   Instances fixture;
   fixture.Put(0, Basics());
   const std::string hash = Sha256Hex("withdrawn");
@@ -258,7 +260,7 @@
   EXPECT_EQ(fault.error, PlanError::kNoSuchRevision);
 }
 
-RC_GTEST_PROP(ShareArithmeticTest, LargestRemainderKeepsQuota, ()) {
+RC_GTEST_PROP(ShareArithmeticTest, AllocationIsWithinOneSeatOfQuota, ()) {
   const auto parts = *rc::gen::container<std::vector<int>>(
       *rc::gen::inRange<std::size_t>(1, 20), rc::gen::inRange(0, 1000));
   const int sum = std::accumulate(parts.begin(), parts.end(), 0);
@@ -275,7 +277,7 @@
   }
 }
 
-TEST(ShareArithmeticTest, OnlyEnginesThatRunTheWrongModelAreTouched) {
+TEST(ShareArithmeticTest, OnlyEnginesWithAnotherModelAreReloaded) {
   Configuration configuration = SampleConfiguration();
   configuration.contracts[base::ContractId("parish")].intents = {
       SampleIntent(0.5, "m2")};
@@ -294,7 +296,7 @@
   EXPECT_EQ(reloads[0].model, base::ModelName("m2"));
 }
 
-TEST(OperatorAccessTest, RolesBoundWhatMayChange) {
+TEST(OperatorAccessTest, RoleLimitsPermittedChanges) {
   Configuration configuration = SampleConfiguration();
   const base::ContractId archive("archive");
   const Caller own{base::OperatorId("o"), OperatorRole::kContract, {archive}};
@@ -335,7 +337,7 @@
   EXPECT_TRUE(allowed(kFleetCaller, raise));
 }
 
-TEST(OperatorAccessTest, BootstrapKeyEndsWithTheFirstFleetOperator) {
+TEST(OperatorAccessTest, BootstrapKeyIsRejectedOnceAFleetOperatorExists) {
   auto configuration = std::make_shared<Configuration>();
   const OperatorAccess access([&] { return configuration; }, "first");
   EXPECT_TRUE(access.Authenticate("first")->is_fleet());
--- a/tests/version/sample.h
+++ b/tests/version/sample.h
@@ -1,4 +1,4 @@
-// Configurations for the tests of this folder.
+// Sample configurations for tests.
 #ifndef LYNXGLADE_TESTS_VERSION_SAMPLE_H_
 #define LYNXGLADE_TESTS_VERSION_SAMPLE_H_
 
@@ -20,7 +20,7 @@
           5};
 }
 
-// One service of engines, one of plain targets, two contracts.
+// One service of model engines, one of plain targets and two contracts.
 inline Configuration SampleConfiguration() {
   Configuration sample;
   const base::ServiceName llm("llm");
@@ -39,7 +39,7 @@
   return sample;
 }
 
-// Changes a random part: contracts come, go and change their terms.
+// Adds, removes or changes a random contract.
 inline void Mutate(Configuration* configuration) {
   const int n = *rc::gen::inRange(0, 4);
   const base::ContractId id("c" + std::to_string(n));
