--- a/src/process/stage_orders.cc
+++ b/src/process/stage_orders.cc
@@ -39,7 +39,7 @@
     asio::io_context& loop,
     const request::passthrough::EngineTable& engines,
     OrderAuthority& authority,
-    OrderHooks hooks,
+    StageOrderHooks hooks,
     StageOrdersOptions options,
     std::function<std::vector<base::ServiceName>()> services,
     std::function<bool()> idle,
--- a/src/process/stage_orders.h
+++ b/src/process/stage_orders.h
@@ -64,7 +64,7 @@
 std::string_view ToString(OrderResult result) noexcept;
 
 // Calls to one engine, implemented by the platform adapter.
-struct OrderHooks {
+struct StageOrderHooks {
   std::function<connection::event::Awaitable<std::optional<EngineReport>>(
       request::passthrough::EngineHandle)>
       report;
@@ -92,7 +92,7 @@
   StageOrders(connection::event::asio::io_context& loop,
               const request::passthrough::EngineTable& engines,
               OrderAuthority& authority,
-              OrderHooks hooks,
+              StageOrderHooks hooks,
               StageOrdersOptions options,
               // The configured services whose engines have stages.
               std::function<std::vector<base::ServiceName>()> services,
@@ -120,7 +120,7 @@
   connection::event::asio::io_context& loop_;
   const request::passthrough::EngineTable& engines_;
   OrderAuthority& authority_;
-  const OrderHooks hooks_;
+  const StageOrderHooks hooks_;
   const StageOrdersOptions options_;
   const std::function<std::vector<base::ServiceName>()> services_;
   const std::function<bool()> idle_;
