--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -193,7 +193,7 @@
           loop,
           views.engines(),
           authority,
-          platform::MakeOrderHooks(loop, channels),
+          platform::MakeStageOrderHooks(loop, channels),
           {.instance = s.instance, .plan = {.decode_share = s.decode_share}},
           [this] {
             return views.routes() ? views.routes()->StagedServices()
