--- a/src/process/stage_orders.cc
+++ b/src/process/stage_orders.cc
@@ -141,7 +141,7 @@
   order.stage = change.to;
   order.holder = options_.instance.str();
   order.token = *token;
-  order.if_orders = report->orders;
+  order.expected_orders = report->accepted_orders;
   const OrderResult result = co_await hooks_.order(engine, std::move(order));
   if (result != OrderResult::kUnknown) {
     settling_until_[engine->entry.id] = clock_() + options_.settle_time;
@@ -156,7 +156,7 @@
       {{"target", engine->entry.id.str()},
        {"stage", ToString(change.to)},
        {"token", token->value()},
-       {"if_orders", report->orders},
+       {"if_orders", report->accepted_orders},
        {"answers", demand.answers()},
        {"backlog_ms", base::ToMillis(demand.backlog())},
        {"result", ToString(result)}});
--- a/src/process/stage_orders.h
+++ b/src/process/stage_orders.h
@@ -34,7 +34,7 @@
   // A stage change is in progress.
   bool changing = false;
   // Number of orders accepted since the engine started.
-  std::int64_t orders = 0;
+  std::int64_t accepted_orders = 0;
   // Start time of the engine process, as in its table entry.
   std::optional<base::BornMillis> born;
 };
@@ -45,7 +45,7 @@
   std::string holder;
   base::FencingToken token;
   // The engine accepts the order only if it has accepted this many so far.
-  std::int64_t if_orders = 0;
+  std::int64_t expected_orders = 0;
 };
 
 enum class OrderResult {
--- a/tests/process/stage_orders_test.cc
+++ b/tests/process/stage_orders_test.cc
@@ -50,7 +50,7 @@
                if (result_ == OrderResult::kAccepted) {
                  EngineReport& report = reports_[it->entry.id.str()];
                  report.stage = order.stage;
-                 ++report.orders;
+                 ++report.accepted_orders;
                  EngineEntry entry = it->entry;
                  entry.stage = order.stage;
                  table_.Put(entry, now_);
@@ -150,7 +150,7 @@
   EXPECT_EQ(sent_.size(), 4U);
   now_ += seconds(1);
   RunUntil(loop_, [this] { return sent_.size() == 8; });
-  EXPECT_EQ(sent_.back().second.if_orders, 0);
+  EXPECT_EQ(sent_.back().second.expected_orders, 0);
 }
 
 // Another instance has taken the key, and this one has not observed it yet.
