--- a/src/version/config_store.cc
+++ b/src/version/config_store.cc
@@ -174,9 +174,9 @@
     const std::int64_t bucket = next / limits_.snapshot_every;
     const std::int64_t last =
         std::min(to.value(), (bucket + 1) * limits_.snapshot_every - 1);
-    // Listing returns the whole bucket. Read individually when only a few
-    // values are needed, or when the listing fails because the bucket is too
-    // large.
+    // Listing returns the entire bucket. Values are read individually when only
+    // a few are needed, or when the listing fails, such as for a bucket that
+    // exceeds the response limit.
     const bool is_short = last - next < limits_.max_single_reads;
     const bool read =
         (!is_short && ReadBucket(prefix, next, last, &values, last_error)) ||
--- a/src/version/config_watcher.h
+++ b/src/version/config_watcher.h
@@ -47,7 +47,8 @@
 };
 
 // Reads the service's head and brings the tracker up to it. Returns false when
-// the head, the snapshot or the deltas could not be read or applied.
+// the head, the snapshot or the deltas could not be read, or a delta did not
+// apply.
 bool RefreshConfig(const ConfigStore& store,
                    ConfigTracker* tracker,
                    StoreError* last_error);
--- a/src/version/operator_access.h
+++ b/src/version/operator_access.h
@@ -53,9 +53,9 @@
 };
 
 // Whether the caller may make this change; if not, `reason` says why.
-// Fleet operators may make any change. A contract operator may change the
-// deadlines, keys, models and versions of its own contracts and lower their
-// shares and priorities, but not raise them at the expense of other contracts.
+// Fleet operators may make any change. A contract operator may change its own
+// contracts, but neither add or remove a contract nor raise a share or
+// priority, which would be at the expense of other contracts.
 bool MayChange(const Caller& caller,
                const ConfigDelta& delta,
                std::string* reason);
--- a/src/version/plan.h
+++ b/src/version/plan.h
@@ -102,9 +102,10 @@
 // Describes a delta in words, one entry per changed part.
 std::vector<PlanChange> DescribeDelta(const ConfigDelta& delta);
 
-// Undoes `deltas` (ordered oldest to newest) on `current`. Operators and key
-// hashes are kept from `current`, so that a rollback does not restore a revoked
-// key. Returns nullopt when the deltas do not apply.
+// Undoes `deltas` (ordered oldest to newest) on `current`. Operators, and the
+// key hashes of contracts that still exist, are kept from `current`, so that a
+// rollback does not restore a revoked key. Returns nullopt when the deltas do
+// not apply.
 std::optional<Configuration> RollBack(const Configuration& current,
                                       const std::vector<ChainedDelta>& deltas);
 
--- a/src/version/plan_service.h
+++ b/src/version/plan_service.h
@@ -61,7 +61,7 @@
   std::function<std::int64_t()> wall_millis;
   // Called after this instance wrote a snapshot; may be empty.
   std::function<void(const ConfigSnapshot&)> on_snapshot;
-  // Lease of a pending plan.
+  // Time to live of a pending plan.
   base::Duration plan_ttl = std::chrono::hours(1);
 };
 
@@ -85,8 +85,9 @@
   std::optional<std::vector<Plan>> List(PlanFault* fault) const;
   ConfirmResult Confirm(const base::PlanId& id, const Caller& caller);
 
-  // The configuration at a past revision, as far as deltas are retained. Key
-  // hashes and operators are the current ones.
+  // The configuration at a past revision, as far as deltas are retained.
+  // Operators, and the key hashes of contracts that still exist, are the
+  // current ones.
   std::optional<Configuration> ConfigurationAt(base::Revision revision,
                                                PlanFault* fault) const;
   // Writes this instance's configuration back to a key-value service that lost
