--- a/src/connection/api_call.h
+++ b/src/connection/api_call.h
@@ -1,5 +1,5 @@
-// One call of the administration API, free of any HTTP library's types, so
-// that handlers are plain functions and tests need no socket.
+// One call of the administration API, independent of the HTTP library, so that
+// handlers can be tested without a socket.
 #ifndef LYNXGLADE_CONNECTION_API_CALL_H_
 #define LYNXGLADE_CONNECTION_API_CALL_H_
 
@@ -14,7 +14,7 @@
   std::string path;    // without the query
   std::map<std::string, std::string> query;
   std::string body;
-  // The operator's key as sent ("Authorization: Bearer ..."); never logged.
+  // The operator's key from "Authorization: Bearer ...". Must not be logged.
   std::string operator_key;
 };
 
@@ -24,11 +24,10 @@
   std::string body;
 };
 
-// Handles one call. May block on the key-value service; called on a thread of
-// the admin server.
+// Handles one call on a thread of the admin server. May block.
 using ApiHandler = std::function<ApiAnswer(const ApiCall&)>;
 
-// {"error":{"code":...,"message":...}}
+// Builds {"error":{"code":...,"message":...}}.
 ApiAnswer ApiError(int status,
                    const std::string& code,
                    const std::string& message);
--- a/src/connection/base64.cc
+++ b/src/connection/base64.cc
@@ -16,7 +16,7 @@
 }  // namespace
 
 std::string Base64Encode(std::string_view bytes) {
-  // One byte more, for the terminator that the library writes.
+  // One extra byte for the terminator that OpenSSL writes.
   std::string text((bytes.size() + 2) / 3 * 4 + 1, '\0');
   const int n = EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()),
                                 Bytes(bytes), static_cast<int>(bytes.size()));
@@ -34,7 +34,7 @@
   if (n < 0) {
     return std::nullopt;
   }
-  // The library counts the padding's zero bytes in.
+  // OpenSSL counts the zero bytes decoded from the padding.
   const std::size_t last = text.find_last_not_of('=');
   const std::size_t padding =
       last == std::string_view::npos ? text.size() : text.size() - last - 1;
--- a/src/connection/base64.h
+++ b/src/connection/base64.h
@@ -1,5 +1,4 @@
-// Base64 text of arbitrary bytes, as the key-value gateway carries them. The
-// codec is OpenSSL's.
+// Base64 encoding and decoding, for the key-value gateway.
 #ifndef LYNXGLADE_CONNECTION_BASE64_H_
 #define LYNXGLADE_CONNECTION_BASE64_H_
 
@@ -11,7 +10,7 @@
 
 std::string Base64Encode(std::string_view bytes);
 
-// Nothing when `text` is not padded base64.
+// Returns nullopt if `text` is not padded base64.
 std::optional<std::string> Base64Decode(std::string_view text);
 
 }  // namespace lynxglade::connection
--- a/src/connection/bounded_cbor.cc
+++ b/src/connection/bounded_cbor.cc
@@ -12,8 +12,8 @@
 
 using Json = nlohmann::json;
 
-// Receives the library's parse events and ends the parse at the first bound
-// that is passed. Its lower-case names are the library's.
+// SAX handler that aborts parsing when a limit is exceeded. Lower-case names
+// are those of nlohmann::json_sax.
 class BoundsCheck : public nlohmann::json_sax<Json> {
  public:
   BoundsCheck(const CborLimits& limits, std::size_t bytes) noexcept
@@ -66,8 +66,8 @@
     if (depth_ > limits_.max_depth) {
       return Fail(CborError::kTooDeep);
     }
-    // Every element takes at least one byte, so a greater count is a lie that
-    // would only make the builder reserve memory.
+    // Each element takes at least one byte; a larger count is invalid and would
+    // only make the parser reserve memory.
     if (declared != kIndefinite && declared > bytes_) {
       return Fail(CborError::kTooManyElements);
     }
--- a/src/connection/bounded_server.cc
+++ b/src/connection/bounded_server.cc
@@ -15,15 +15,15 @@
 using Mode = ConnectionThreads::Mode;
 using Verdict = ServerStream::Verdict;
 
-// The library closes a connection after that many requests.
+// Limit of the HTTP library on requests per connection.
 constexpr std::size_t kRequestsPerConnection = 100'000;
-// Bounds on a connection that is only to be turned away.
+// Limits for a connection that gets the overflow answer.
 constexpr base::Duration kOverflowPatience = std::chrono::seconds(1);
 constexpr base::Duration kOverflowLinger = std::chrono::milliseconds(100);
-// How long an idle connection stays while most threads are taken.
+// Idle timeout while most connection threads are in use.
 constexpr base::Duration kCrowdedIdle = std::chrono::seconds(1);
 constexpr base::Duration kLinger = std::chrono::milliseconds(500);
-// Chunk framing may take an eighth of a body's size, and this much.
+// Allowance for chunk framing: an eighth of the body limit plus a constant.
 constexpr std::size_t kFramingShare = 8;
 constexpr std::size_t kFramingBytes = 64u << 10;
 
@@ -34,7 +34,7 @@
 constexpr int kHeadTooLarge = 431;
 constexpr int kNotImplemented = 501;
 
-// What handlers may ask of the connection that their thread serves.
+// State of the connection served by this thread.
 struct Current {
   ServerStream* stream = nullptr;
   bool close = false;
@@ -47,7 +47,7 @@
   });
 }
 
-// Changes a head, once read, so that the library leaves the body alone.
+// Changes a parsed head so that the HTTP library does not interpret the body.
 void PrepareHead(httplib::Request& request) {
   request.headers.erase(kHiddenContentType);
   const std::string type = request.get_header_value("Content-Type");
@@ -57,8 +57,8 @@
   request.headers.erase("Content-Type");
   request.headers.erase("Range");
   request.ranges.clear();
-  // Without either the body is empty; the library would read to the
-  // connection's end.
+  // Without either header the body is empty, but the HTTP library would read to
+  // the end of the connection.
   if (!request.has_header("Content-Length") &&
       !request.has_header("Transfer-Encoding")) {
     request.headers.emplace("Content-Length", "0");
@@ -89,7 +89,7 @@
       head.get_header_value("Transfer-Encoding") != "chunked") {
     return kNotImplemented;
   }
-  // A few compressed kilobytes can become gigabytes.
+  // Compressed bodies are rejected: a small one can expand to gigabytes.
   const std::string coding = head.get_header_value("Content-Encoding");
   return coding.empty() || coding == "identity" ? 0 : kUnsupportedMedia;
 }
@@ -144,7 +144,7 @@
 void BoundedServer::Serve(socket_t sock) {
   const bool overflow = ConnectionThreads::CurrentMode() == Mode::kOverflow;
   if (overflow && svr_sock_ == INVALID_SOCKET) {
-    return;  // a stop does not wait for those that are turned away
+    return;  // a stop does not wait for overflow connections
   }
   ServerStream stream(sock, Limits());
   if (options_.tls && !stream.Handshake(options_.tls->Context())) {
--- a/src/connection/bounded_server.h
+++ b/src/connection/bounded_server.h
@@ -1,6 +1,5 @@
-// The library's server with each connection under the bounds of
-// server_stream.h, and under TLS where there is a certificate. Private to
-// http_server.cc.
+// httplib::Server whose connections use ServerStream, with its limits and
+// optional TLS. Private to http_server.cc.
 #ifndef LYNXGLADE_CONNECTION_BOUNDED_SERVER_H_
 #define LYNXGLADE_CONNECTION_BOUNDED_SERVER_H_
 
@@ -16,39 +15,39 @@
 
 namespace lynxglade::connection {
 
-// Under this name a request's Content-Type reaches the handlers: the library
-// would take forms apart by itself and leave the body empty.
+// Handlers find a request's Content-Type under this name. It is hidden from the
+// HTTP library, which would parse forms itself and leave the body empty.
 inline constexpr char kHiddenContentType[] = "X-Lynxglade-Content-Type";
 
 class BoundedServer final : public httplib::Server {
  public:
-  // All must outlive this object.
+  // `options` and `threads` must outlive this object.
   BoundedServer(const HttpServerOptions& options, ConnectionThreads& threads);
 
-  // What the library cannot be trusted with: a body whose length is ambiguous
-  // or that is compressed. The HTTP status, 0 when the head is good.
+  // Rejects bodies with ambiguous framing or a content coding, which the HTTP
+  // library does not handle safely. Returns the status of the error, or 0.
   static int JudgeHead(const httplib::Request& head);
 
   // --- For handlers, on a connection's thread.
 
-  // This thread's connection.
+  // The connection served by this thread.
   static const ServerStream& CurrentStream();
-  // Closes this thread's connection after the answer under way.
+  // Closes this thread's connection after the current answer.
   static void CloseAfterAnswer();
-  // The status that fits this thread's request when its body could not be
-  // read, else `status`.
+  // The status for this thread's request if its body could not be read, else
+  // `status`.
   static int StatusOfBody(int status);
 
   HttpServerCounters counters() const noexcept;
   void CountRefusedHead() noexcept { ++heads_refused_; }
 
  private:
-  // Overrides the library's, whose name is lower-case.
+  // Overrides the library's method.
   // NOLINTNEXTLINE(readability-identifier-naming)
   bool process_and_close_socket(socket_t sock) override;
   void Serve(socket_t sock);
   void ServeRequests(ServerStream& stream);
-  // Whether the connection may take another request.
+  // Returns whether the connection may carry another request.
   bool ServeOne(ServerStream& stream, bool last);
   bool AwaitNext(ServerStream& stream, bool first) const;
   void RefuseHead(ServerStream& stream, ServerStream::Verdict verdict);
--- a/src/connection/caller_front.cc
+++ b/src/connection/caller_front.cc
@@ -39,7 +39,7 @@
   return {{"X-Request-Id", request.id.str()}};
 }
 
-// Whole seconds, rounded up, as Retry-After wants them.
+// For the Retry-After header: whole seconds, rounded up, at least 1.
 std::string RetryAfterSeconds(base::Duration d) {
   const auto seconds = std::chrono::ceil<std::chrono::seconds>(d).count();
   return std::to_string(std::max<std::int64_t>(seconds, 1));
@@ -56,8 +56,8 @@
                 "no such path or method; see /v1/models");
 }
 
-// The caller's name of the request as it may stand in a log, bounded because
-// it may not have been checked yet.
+// The caller's request id for logs, truncated because it may not have been
+// validated yet.
 std::string LoggedId(const HttpRequest& http) {
   return http.Header("x-request-id").substr(0, kMaxLoggedIdBytes);
 }
--- a/src/connection/caller_front.h
+++ b/src/connection/caller_front.h
@@ -1,7 +1,8 @@
-// The callers' side: chat completions and plain services over HTTP.
+// HTTP front end for callers: chat completions, model list and plain services.
 //
-// Turns an HTTP request into a request::Request, has it served, and writes the
-// answer or the refusal. Every refusal is counted by reason and logged.
+// Turns an HTTP request into a request::Request, passes it to the `serve` hook
+// and writes the answer or the refusal. Each refusal is counted by reason and
+// logged.
 #ifndef LYNXGLADE_CONNECTION_CALLER_FRONT_H_
 #define LYNXGLADE_CONNECTION_CALLER_FRONT_H_
 
@@ -20,7 +21,7 @@
 
 namespace lynxglade::connection {
 
-// All must be thread-safe.
+// All hooks must be thread-safe.
 struct CallerFrontHooks {
   std::function<std::shared_ptr<const version::ServingConfiguration>()>
       configuration;
@@ -28,7 +29,8 @@
   std::function<request::RelayResult(const request::Request&,
                                      const request::CallerSink&)>
       serve;
-  // Why nothing can be taken now (stopping, not ready); usually nothing.
+  // Returns the refusal to send while no requests are accepted (stopping, not
+  // ready), else nullopt.
   std::function<std::optional<request::Refusal>()> closed;
   base::Clock now;
   base::RandomSource random;
@@ -46,8 +48,8 @@
   // An HttpHandler.
   void Handle(HttpExchange& exchange);
 
-  // For HttpServerOptions::screen: refuses a request whose caller, terms or
-  // path are not good, so that its body need not be read.
+  // For HttpServerOptions::screen: rejects a request with an invalid path,
+  // invalid headers or an unknown caller before its body is read.
   std::optional<HttpEarlyAnswer> Screen(const HttpRequest& head);
 
  private:
@@ -55,7 +57,8 @@
   void HandleModels(HttpExchange& exchange);
   void HandlePlain(HttpExchange& exchange);
 
-  // What every kind of call needs first; nothing when it was refused.
+  // Builds the part of a request that all calls share. Returns nullopt if the
+  // call was rejected and answered.
   std::optional<request::Request> Begin(HttpExchange& exchange,
                                         const version::Contract** contract,
                                         const version::ServingConfiguration&);
@@ -64,7 +67,7 @@
                    bool include_usage);
   void ServeWhole(HttpExchange& exchange, const request::Request& request);
   void Refuse(HttpExchange& exchange, const request::Refusal& refusal);
-  // The answer that says so; counts and logs the refusal.
+  // Builds the answer for a refusal; also counts and logs it.
   HttpEarlyAnswer RefusalAnswer(const HttpRequest& http,
                                 const request::Refusal& refusal);
   void Finish(const request::Request& request,
--- a/src/connection/caller_terms.cc
+++ b/src/connection/caller_terms.cc
@@ -26,7 +26,7 @@
   *refusal = {reason, base::Outcome::kNotRun, std::move(message), std::nullopt};
 }
 
-// Printable ASCII, so that ids can stand in headers and logs.
+// Whether `text` is printable ASCII, which is safe in headers and logs.
 bool IsPrintable(const std::string& text) {
   return std::ranges::all_of(
       text, [](unsigned char c) { return c > 0x20 && c < 0x7f; });
@@ -184,8 +184,8 @@
   const std::string authorization = http.Header("authorization");
   const bool open = by_name != nullptr && by_name->key_hashes.empty();
   if (open && (!named.empty() || authorization.empty())) {
-    // Clients of the common interface always send some key; a named contract
-    // that needs none takes any.
+    // OpenAI-compatible clients always send a key; a contract that needs none
+    // accepts any.
     return by_name;
   }
   if (authorization.empty()) {
--- a/src/connection/caller_terms.h
+++ b/src/connection/caller_terms.h
@@ -1,4 +1,4 @@
-// Who calls and on which terms: the headers of a caller's request.
+// Parses the headers of a caller's request and identifies its contract.
 #ifndef LYNXGLADE_CONNECTION_CALLER_TERMS_H_
 #define LYNXGLADE_CONNECTION_CALLER_TERMS_H_
 
@@ -15,7 +15,7 @@
 
 namespace lynxglade::connection {
 
-// What the headers say, checked.
+// Validated headers of a request.
 struct CallerTerms {
   base::RequestId id;
   base::Worth worth{1.0};
@@ -25,15 +25,16 @@
   base::IdempotencyKey idempotency_key;
 };
 
-// Reads the headers that docs/PROTOCOLS.md lists. A request without an id gets
-// a random one. On failure returns nothing and fills `refusal` (not run).
+// Parses the headers listed in docs/PROTOCOLS.md. A request without an id gets
+// a random one. On failure returns nullopt and sets `refusal` (outcome not
+// run).
 std::optional<CallerTerms> ReadCallerTerms(const HttpRequest& http,
                                            const base::RandomSource& random,
                                            request::Refusal* refusal);
 
-// The contract under which the call is made: by caller key, else by X-Contract
-// where the contract needs no key. Null when there is none; then `refusal`
-// says why. The key itself is never part of the refusal.
+// Finds the contract of the call: by caller key, else by X-Contract if that
+// contract needs no key. If there is none, returns null and sets `refusal`,
+// which never contains the key.
 const version::Contract* IdentifyContract(
     const HttpRequest& http,
     const version::ServingConfiguration& configuration,
--- a/src/connection/chat_body.cc
+++ b/src/connection/chat_body.cc
@@ -15,11 +15,12 @@
 
 using nlohmann::json;
 
-// Without a tokenizer, four bytes of text are taken for one token.
+// Estimate used instead of a tokenizer.
 constexpr std::size_t kBytesPerToken = 4;
 constexpr std::int64_t kDefaultMaxOutputTokens = 512;
 constexpr std::int64_t kMaxOutputTokens = 131'072;
-// Prompts that agree in their first this many bytes go to the same engines.
+// Length of the prompt prefix that is hashed to route prompts with a common
+// prefix to the same engines.
 constexpr std::size_t kPrefixBytes = 1024;
 constexpr std::size_t kMaxModelNameBytes = 128;
 
@@ -56,7 +57,7 @@
   return text;
 }
 
-// All messages' text, each led by its role.
+// The text of all messages, each preceded by its role.
 std::optional<std::string> PromptText(const json& body,
                                       std::string* last_reason) {
   const auto messages = body.find("messages");
@@ -114,7 +115,7 @@
          it->value("include_usage", json(false)) == json(true);
 }
 
-// The whole-answer options that this system cannot honour.
+// Whether the call requests more than one answer, which is not supported.
 bool AsksForSeveralAnswers(const json& body) {
   const auto it = body.find("n");
   return it != body.end() && !it->is_null() && *it != json(1);
@@ -130,7 +131,8 @@
   return parsed;
 }
 
-// Reads the scalar fields into `call`; false with a reason when one is wrong.
+// Reads the scalar fields into `call`. Returns false and sets `last_reason` if
+// one is invalid.
 bool ReadFields(const json& body, ChatCall& call, std::string* last_reason) {
   const auto model = body.find("model");
   if (model == body.end() || !model->is_string() ||
@@ -215,7 +217,8 @@
   const std::string_view text = *prompt;
   call.prefix_hash =
       base::HashPair(call.model.str(), text.substr(0, kPrefixBytes));
-  // Neither how the answer is sent nor who asks changes what is run.
+  // These fields do not change what the engine runs, so they are part of
+  // neither engine_body nor the hash.
   parsed->erase("stream");
   parsed->erase("stream_options");
   parsed->erase("user");
--- a/src/connection/chat_body.h
+++ b/src/connection/chat_body.h
@@ -1,4 +1,4 @@
-// The body of a chat-completions call: what a caller sends, and what it gets.
+// Parsing and writing of chat-completions bodies.
 #ifndef LYNXGLADE_CONNECTION_CHAT_BODY_H_
 #define LYNXGLADE_CONNECTION_CHAT_BODY_H_
 
@@ -14,7 +14,7 @@
 
 namespace lynxglade::connection {
 
-// What the system needs to know of a call, and the body engines get.
+// The fields of a call that the system uses, and the body for engines.
 struct ChatCall {
   base::ModelName model;
   bool stream = false;
@@ -23,25 +23,25 @@
   base::Tokens max_output_tokens{0};
   std::uint64_t content_hash = 0;
   std::uint64_t prefix_hash = 0;
-  // JSON text for engines, without the fields of one attempt.
+  // JSON sent to engines, without the fields that depend on the attempt.
   std::string engine_body;
 };
 
-// Reads and checks a caller's JSON. Unknown fields are passed on to the
-// engine. On failure returns nothing and says in `last_reason` what is wrong.
+// Parses and validates a caller's JSON. Unknown fields are passed on to the
+// engine. On failure returns nullopt and sets `last_reason`.
 std::optional<ChatCall> ParseChatCall(const std::string& body,
                                       std::string* last_reason);
 
-// Identity of an answer, the same in all of its events.
+// Members that are the same in all events of an answer.
 struct ChatAnswerHead {
   std::string id;
   std::string model;
   std::int64_t created_s = 0;
 };
 
-// Server-sent events, each closed by its blank line.
-// Carries token_offset and token_count beside the usual members, so that a
-// caller can check that no token is missing.
+// The next five return a server-sent event including its final blank line.
+// Includes token_offset and token_count in addition to the usual members, so
+// that a caller can detect missing tokens.
 std::string ChatTokenEvent(const ChatAnswerHead& head,
                            const request::TokenChunk& tokens);
 std::string ChatFinishEvent(const ChatAnswerHead& head,
@@ -49,14 +49,14 @@
 std::string ChatUsageEvent(const ChatAnswerHead& head,
                            const request::Usage& usage);
 std::string ChatDoneEvent();
-// A refusal in mid-stream.
+// For a failure after the stream has started.
 std::string ChatErrorEvent(const request::Refusal& refusal);
 
-// The whole answer as one JSON object.
+// The complete answer as one JSON object.
 std::string ChatWholeBody(const ChatAnswerHead& head,
                           const request::Answer& answer);
 
-// {"error":{...}} as docs/PROTOCOLS.md says.
+// {"error":{...}}, see docs/PROTOCOLS.md.
 std::string RefusalBody(const request::Refusal& refusal);
 
 }  // namespace lynxglade::connection
--- a/src/connection/connection_threads.cc
+++ b/src/connection/connection_threads.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Connections that may wait to be turned away with an answer.
+// Limit on connections that wait for the overflow answer.
 constexpr std::size_t kMaxOverflowJobs = 64;
 
 thread_local ConnectionThreads::Mode current_mode =
@@ -50,7 +50,7 @@
   }
   work_.notify_all();
   overflow_work_.notify_all();
-  // No thread is added any more: the accept loop has ended before.
+  // No threads are added any more, since the accept loop has ended.
   for (std::thread& thread : threads_) {
     thread.join();
   }
--- a/src/connection/connection_threads.h
+++ b/src/connection/connection_threads.h
@@ -1,4 +1,4 @@
-// The threads that serve connections: grown on demand, bounded, reused.
+// Bounded thread pool for connections; threads are started on demand.
 #ifndef LYNXGLADE_CONNECTION_CONNECTION_THREADS_H_
 #define LYNXGLADE_CONNECTION_CONNECTION_THREADS_H_
 
@@ -12,10 +12,10 @@
 
 namespace lynxglade::connection {
 
-// Runs jobs on at most `bound` threads. A job that finds all of them taken
-// runs on one further thread in overflow mode, which keeps it short. When too
-// many wait for that, a job runs at once, on the thread that brought it, in
-// drop mode, in which it must do nothing but let go.
+// Runs jobs on at most `bound` threads. If all are busy, a job runs in overflow
+// mode on one additional thread and must be short. If too many jobs wait for
+// that thread, a job runs in drop mode on the thread that called Run() and must
+// only release its resources.
 class ConnectionThreads {
  public:
   using Job = std::function<void()>;
@@ -23,23 +23,23 @@
   enum class Mode { kServe, kOverflow, kDrop };
 
   explicit ConnectionThreads(std::size_t bound);
-  // Shutdown().
+  // Calls Shutdown().
   ~ConnectionThreads();
   ConnectionThreads(const ConnectionThreads&) = delete;
   ConnectionThreads& operator=(const ConnectionThreads&) = delete;
 
-  // Thread-safe; never blocks on a running job.
+  // Thread-safe. Does not wait for running jobs.
   void Run(Job job);
-  // Waits for every job, then ends the threads.
+  // Waits for all jobs, then ends the threads.
   void Shutdown();
 
   std::size_t busy() const noexcept;
   std::size_t overflowed() const noexcept;
   std::size_t dropped() const noexcept;
-  // Most threads are taken: idle connections should make room.
+  // Whether most threads are busy, so that idle connections should be closed.
   bool crowded() const noexcept;
 
-  // What the calling thread's job may do.
+  // Mode of the job that runs on the calling thread.
   static Mode CurrentMode() noexcept;
 
  private:
--- a/src/connection/coroutine_stack.h
+++ b/src/connection/coroutine_stack.h
@@ -1,4 +1,4 @@
-// Stacks for the coroutines that serve one exchange.
+// Stack allocator for the coroutines that serve an exchange.
 #ifndef LYNXGLADE_CONNECTION_COROUTINE_STACK_H_
 #define LYNXGLADE_CONNECTION_COROUTINE_STACK_H_
 
@@ -10,8 +10,8 @@
 
 namespace lynxglade::connection {
 
-// Guarded stacks of a fixed size. Meets Boost.Context's stack allocator
-// requirements, whose names it uses.
+// Allocates stacks of a fixed size with a guard page. Implements
+// Boost.Context's stack allocator concept.
 class CoroutineStack {
  public:
   explicit CoroutineStack(std::size_t bytes) : stack_(bytes) {}
@@ -22,8 +22,8 @@
   // NOLINTNEXTLINE(readability-identifier-naming)
   void deallocate(boost::context::stack_context& context) noexcept {
 #if defined(__SANITIZE_ADDRESS__)
-    // The address sanitizer's marks of frames that were left by switching away
-    // would be found by whatever is mapped here next.
+    // AddressSanitizer's poisoning of abandoned frames would otherwise affect
+    // the next mapping at this address.
     __asan_unpoison_memory_region(static_cast<char*>(context.sp) - context.size,
                                   context.size);
 #endif
--- a/src/connection/engine_admin.cc
+++ b/src/connection/engine_admin.cc
@@ -20,10 +20,9 @@
 constexpr const char* kJsonType = "application/json";
 constexpr int kHttpOk = 200;
 
-// A client that connects once. The library's own client opens a new
-// connection without a word when the kept one was closed by the other side,
-// and would then send an order on a connection younger than the sender's last
-// check.
+// HTTP client that connects only once. The library's client silently reconnects
+// if the peer closed the connection, and would then send the order on a
+// connection opened after the sender's check.
 class SingleConnectionClient : public httplib::ClientImpl {
  public:
   SingleConnectionClient(const EngineEndpoint& endpoint, base::Duration timeout)
@@ -41,9 +40,9 @@
     set_follow_location(false);
   }
 
-  // Whether a connection was made; it may be gone again.
+  // Whether a connection was made; it may be closed again.
   bool opened() const noexcept { return opened_; }
-  // Whether another connection was asked for after the first.
+  // Whether the library tried to reconnect.
   bool reopen_refused() const noexcept { return reopen_refused_; }
 
  protected:
@@ -86,8 +85,8 @@
                                      EngineAdminError* last_error) {
   const auto result = client.Post(kOrdersPath, EncodeOrder(order), kJsonType);
   if (!result) {
-    // When the library wanted a new connection the old one was found closed
-    // before the first byte.
+    // If the library tried to reconnect, it found the connection closed before
+    // it wrote the first byte.
     *last_error = client.reopen_refused() ? EngineAdminError::kUnreachable
                                           : EngineAdminError::kAmbiguous;
     return std::nullopt;
--- a/src/connection/engine_admin.h
+++ b/src/connection/engine_admin.h
@@ -1,10 +1,10 @@
-// Orders to engines, and reading back what they are.
+// Sends orders to engines and reads their state.
 //
-// An order travels on a connection of its own: it is opened, the engine's
-// state is read on it, the sender's authority is checked, and then the order
-// is written on the very same socket. That socket is never replaced, so the
-// order of a sender that slept after its check dies with the connection that
-// the engine closed meanwhile.
+// Each order uses its own connection: the engine's state is read on it, the
+// sender's authority is checked, and then the order is written on the same
+// socket. The socket is never reopened: if the sender was suspended after the
+// check and the engine closed the connection meanwhile, the order is not
+// delivered.
 #ifndef LYNXGLADE_CONNECTION_ENGINE_ADMIN_H_
 #define LYNXGLADE_CONNECTION_ENGINE_ADMIN_H_
 
@@ -22,8 +22,7 @@
 
 namespace lynxglade::connection {
 
-// What an engine is ordered to be. Absolute, so that a second copy of the
-// same order changes nothing.
+// The state that an order requests. Complete, so that orders are idempotent.
 struct EngineTargetState {
   bool draining = false;
   request::EngineRole role = request::EngineRole::kMixed;
@@ -35,14 +34,14 @@
   bool operator==(const EngineTargetState&) const = default;
 };
 
-// True when only `draining` may differ.
+// Whether the states are equal except for `draining`.
 bool SameContent(const EngineTargetState& a,
                  const EngineTargetState& b) noexcept;
 
 enum class EnginePhase { kReady, kChanging, kHalfChanged };
 std::string_view ToString(EnginePhase phase) noexcept;
 
-// What an engine says of itself at the moment it answers.
+// State reported by an engine.
 struct EngineState {
   std::string incarnation;
   bool fenced = false;
@@ -63,36 +62,35 @@
   EngineTargetState target;
 };
 
-// Why an engine took no order; nothing was changed.
+// Why an engine rejected an order; its state is unchanged then.
 enum class OrderRefusal {
   kNone,
   kStaleFence,
   kStaleGeneration,
   kBusy,
   kInFlight,
-  // Refused with a word this client does not know.
+  // Rejected with an unknown reason.
   kOther,
 };
 std::string_view ToString(OrderRefusal refusal) noexcept;
 
 struct OrderAnswer {
-  // False: see `refusal`; nothing was changed.
+  // If false, `refusal` has the reason and the state is unchanged.
   bool accepted = false;
   OrderRefusal refusal = OrderRefusal::kNone;
 };
 
-// Why a call gave no answer.
+// Why a call failed.
 enum class EngineAdminError {
   kNone,
-  // No connection: nothing was sent.
+  // The connection failed; no order was sent.
   kUnreachable,
-  // The sender's check said no: nothing was sent.
+  // MaySend returned false; the order was not sent.
   kNotAllowed,
-  // The order was handed to the socket and its answer lost; it may take
-  // effect now, later or never.
+  // The order was written to the socket but got no answer; it may or may not
+  // take effect, possibly later.
   kAmbiguous,
-  // The engine answered with something this client does not understand; an
-  // order may have taken effect.
+  // The answer cannot be parsed; an order may have taken effect.
   kBadAnswer,
 };
 std::string_view ToString(EngineAdminError error) noexcept;
@@ -102,13 +100,12 @@
   int port = 0;
 };
 
-// The last check before an order is written. Gets the state that was read on
-// the order's own connection. Called on the sender's thread; must not block.
+// Last check before an order is written; receives the state read on the order's
+// connection. Called on the sender's thread; must not block.
 using MaySend = std::function<bool(const EngineState&)>;
 
-// The two calls, as hooks, so that a test needs no socket. Both block for at
-// most the timeout they were made with, and may be called from any thread but
-// an actor's.
+// The calls to an engine, as hooks that tests can replace. Both block and are
+// thread-safe; do not call them from an actor.
 struct EngineAdmin {
   std::function<std::optional<EngineState>(const EngineEndpoint&,
                                            EngineAdminError* last_error)>
@@ -120,7 +117,8 @@
       give_order;
 };
 
-// Over HTTP. `timeout` bounds connecting, each read and each write.
+// Makes the calls over HTTP. `timeout` applies to connecting and to each read
+// and write.
 EngineAdmin MakeHttpEngineAdmin(base::Duration timeout);
 
 }  // namespace lynxglade::connection
--- a/src/connection/engine_admin_codec.cc
+++ b/src/connection/engine_admin_codec.cc
@@ -40,8 +40,8 @@
   return it == kRefusals.end() ? OrderRefusal::kOther : *it;
 }
 
-// Decoding reads members that may be missing or of another type; the library
-// tells by exception, which ends here.
+// Calls `decode` and returns nullopt if the JSON library throws because of a
+// missing member or a wrong type.
 template <typename Decode>
 auto Guarded(Decode decode) -> decltype(decode()) {
   try {
@@ -72,12 +72,12 @@
     return std::nullopt;
   }
   EngineState state;
-  // Engines give it as text or as a number.
+  // Engines send a string or a number.
   const Json& incarnation = json.at("incarnation");
   if (!incarnation.is_string() && !incarnation.is_number()) {
     return std::nullopt;
   }
-  // A count that does not fit must not come out as "none in flight".
+  // A count that overflows must not be read as 0, which would end a drain.
   const auto in_flight = base::WholeMember(json, "in_flight", 0, INT_MAX);
   const auto generation = base::WholeMember(json, "generation", 0, INT64_MAX);
   const auto fence = base::WholeMember(json, "fence", 0, INT64_MAX);
--- a/src/connection/engine_admin_codec.h
+++ b/src/connection/engine_admin_codec.h
@@ -1,5 +1,5 @@
-// JSON forms of engine states and orders (docs/PROTOCOLS.md, "Orders"). Also
-// the form in which the order journal keeps a target state.
+// JSON encoding of engine states and orders (docs/PROTOCOLS.md, "Orders"). The
+// order journal stores target states in this encoding, too.
 #ifndef LYNXGLADE_CONNECTION_ENGINE_ADMIN_CODEC_H_
 #define LYNXGLADE_CONNECTION_ENGINE_ADMIN_CODEC_H_
 
@@ -13,12 +13,12 @@
 namespace lynxglade::connection {
 
 nlohmann::json EncodeTargetState(const EngineTargetState& target);
-// Nothing on a missing member, a wrong type or an unknown role.
+// Returns nullopt on a missing member, a wrong type or an unknown role.
 std::optional<EngineTargetState> DecodeTargetState(const nlohmann::json& json);
 
 std::optional<EngineState> DecodeEngineState(const nlohmann::json& json);
 std::string EncodeOrder(const EngineOrder& order);
-// The answer to an order. Nothing when it is none of the protocol's.
+// Decodes the answer to an order. Returns nullopt if it is not valid.
 std::optional<OrderAnswer> DecodeOrderAnswer(int status,
                                              const std::string& body);
 
--- a/src/connection/event/call.h
+++ b/src/connection/event/call.h
@@ -1,5 +1,5 @@
-// A call that is over with its answer: one request, and the answer's status and
-// body whole, within a time.
+// One HTTP call: sends a request and reads the complete answer within a
+// timeout.
 #ifndef LYNXGLADE_CONNECTION_EVENT_CALL_H_
 #define LYNXGLADE_CONNECTION_EVENT_CALL_H_
 
@@ -13,12 +13,12 @@
 namespace lynxglade::connection::event {
 
 struct CallTerms {
-  // From the start of the call to the end of its answer.
+  // Bounds the whole call, including reading the answer.
   base::Duration timeout{};
-  // A longer answer counts as broken.
+  // A longer answer ends the call as kBroken.
   std::size_t max_answer_bytes = std::size_t{64} * 1024;
-  // The request must not meet a connection that is being closed: it may not be
-  // safe to repeat.
+  // Set for requests that are not safe to retry: only recently used connections
+  // are reused, so that the request does not race with a close by the peer.
   bool careful = false;
 };
 
@@ -27,8 +27,8 @@
   std::string body;
 };
 
-// Nothing if no whole answer came; `*end` then says how far the call got (null
-// to ignore).
+// Returns nullopt if no complete answer arrived. `*end`, unless null, receives
+// how far the call got.
 Awaitable<std::optional<CallAnswer>> Call(asio::io_context& loop,
                                           ChannelPool& channels,
                                           Tcp::endpoint endpoint,
--- a/src/connection/event/caller_reply.cc
+++ b/src/connection/event/caller_reply.cc
@@ -50,7 +50,7 @@
 void CallerReply::Begin(AnswerHead head) {
   message_ = std::make_unique<Message>();
   FillHead(*message_, std::move(head));
-  // Without chunks, a caller of HTTP/1.0 knows the end by the connection's.
+  // HTTP/1.0 has no chunked coding: the end of the connection ends the body.
   if (http_version_ <= kHttp10) {
     closes_ = true;
     message_->keep_alive(false);
@@ -65,8 +65,8 @@
 
 Awaitable<bool> CallerReply::SendPiece(std::string_view bytes) {
   auto& body = message_->body();
-  // The serializer only reads; its type is shared with bodies that are read
-  // into.
+  // The serializer does not write to the buffer; buffer_body is non-const
+  // because parsers use it, too.
   body.data = const_cast<char*>(bytes.data());
   body.size = bytes.size();
   body.more = true;
@@ -87,7 +87,8 @@
 }
 
 void CallerReply::Abort() noexcept {
-  // So that an answer that ends with its connection looks torn, too.
+  // A reset, because a plain close would look like the end of an answer that is
+  // delimited by the connection's end.
   ResetSocket(socket_);
 }
 
--- a/src/connection/event/caller_reply.h
+++ b/src/connection/event/caller_reply.h
@@ -1,4 +1,4 @@
-// The answer to one caller's request, whole or piece by piece.
+// Writes the answer to one caller's request, at once or in pieces.
 #ifndef LYNXGLADE_CONNECTION_EVENT_CALLER_REPLY_H_
 #define LYNXGLADE_CONNECTION_EVENT_CALLER_REPLY_H_
 
@@ -15,19 +15,19 @@
 
 namespace lynxglade::connection::event {
 
-// Status and headers; no header may concern the connection (the reply sets
-// these itself).
+// Status and headers. Must not contain hop-by-hop headers: CallerReply sets
+// these itself.
 struct AnswerHead {
   unsigned status = 0;
   std::string reason;
   http::fields fields;
 };
 
-// Not thread-safe: lives on the event loop, within one request.
+// Not thread-safe: runs on the event loop. Serves one request.
 class CallerReply {
  public:
-  // `close` says whether the connection ends after this answer; it is asked
-  // when the head is sent.
+  // `close` returns whether the connection closes after this answer. Called
+  // when the head of the answer is built.
   CallerReply(Tcp::socket& socket,
               unsigned http_version,
               bool head_only,
@@ -35,24 +35,25 @@
   CallerReply(const CallerReply&) = delete;
   CallerReply& operator=(const CallerReply&) = delete;
 
-  // All at once. False: the caller did not get all of it.
+  // Sends a complete answer. Returns false if not all of it could be written.
   Awaitable<bool> SendWhole(AnswerHead head, std::string_view body);
-  // Piece by piece: Begin() sends nothing yet, the head goes out with the
-  // first piece.
+  // Starts an answer that is sent in pieces. The head is sent with the first
+  // piece.
   void Begin(AnswerHead head);
   Awaitable<bool> SendPiece(std::string_view bytes);
   Awaitable<bool> End();
-  // Breaks an answer off so that it cannot look complete.
+  // Resets the connection, so that the caller cannot take a partial answer for
+  // a complete one.
   void Abort() noexcept;
 
-  // Called at most once, when the caller has closed its connection.
+  // `hook` is called at most once, when the caller closes its connection.
   void OnGone(std::function<void()> hook) { on_gone_ = std::move(hook); }
-  // For the connection: the caller has closed.
+  // Called by the server when the caller has closed its connection.
   void MarkGone();
 
   bool begun() const noexcept { return serializer_ != nullptr; }
   bool gone() const noexcept { return gone_; }
-  // The connection may serve another request.
+  // Whether the connection may serve another request.
   bool reusable() const noexcept { return whole_ && !gone_ && !closes_; }
   bool whole() const noexcept { return whole_; }
 
--- a/src/connection/event/caller_server.cc
+++ b/src/connection/event/caller_server.cc
@@ -23,14 +23,15 @@
 
 namespace {
 
-// Silence on a caller's connection while data is on its way to it.
+// TCP_USER_TIMEOUT of connections to callers.
 constexpr base::Duration kCallerUserTimeout = std::chrono::seconds(5);
-// After an accept that failed (no descriptors), before the next.
+// Delay before the next accept after one failed, such as for lack of
+// descriptors.
 constexpr base::Duration kAcceptPause = std::chrono::milliseconds(50);
 
 using BodyParser = http::request_parser<http::string_body>;
 
-// Why a connection's next request was not read.
+// Why the next request of a connection could not be read.
 enum class ReadFault {
   kClosed,
   kIdle,
@@ -43,7 +44,7 @@
 
 struct FaultAnswer {
   ReadFault fault;
-  // 0: no answer, the connection just ends.
+  // 0 closes the connection without an answer.
   unsigned status;
   const char* name;
 };
@@ -77,7 +78,8 @@
   return is_http && !torn ? ReadFault::kMalformed : ReadFault::kClosed;
 }
 
-// A transfer coding other than chunked leaves the body's end in doubt.
+// Whether the end of the body is unambiguous: either chunked, or at most one
+// Content-Length.
 bool HasClearLength(const RequestHead& head) {
   const auto coding = head.find(http::field::transfer_encoding);
   if (coding == head.end()) {
@@ -90,7 +92,7 @@
 
 }  // namespace
 
-// What all sessions use; outlives the server while a session runs.
+// State shared by all sessions, which may outlive the server.
 struct CallerServer::Shared {
   Shared(asio::io_context& l,
          std::function<CallerBounds()> b,
@@ -152,10 +154,11 @@
   boost::beast::flat_buffer buffer_;
   std::string caller_;
   base::Time arrived_{};
-  // Set by the timer, to tell its close of the wait from the caller's.
+  // Set when the timer cancelled a wait; distinguishes a timeout from a close
+  // by the caller.
   std::optional<ReadFault> timed_out_;
   ReadFault fault_ = ReadFault::kClosed;
-  // A timer's handler of an earlier wait must not end a later one.
+  // Keeps a timer handler that is already queued from cancelling a later wait.
   int timer_round_ = 0;
   bool idle_ = true;
 };
@@ -294,8 +297,8 @@
   co_return reply->reusable();
 }
 
-// While nothing is read, only a readable socket tells of the caller's close.
-// Bytes of a further request end the watch: the close stands behind them.
+// Detects a close by the caller while no read is pending. Pipelined bytes end
+// the watch, since a close would only be visible after them.
 void CallerServer::Session::WatchForClose(std::weak_ptr<CallerReply> reply) {
   socket_.async_wait(Tcp::socket::wait_read,
                      [self = shared_from_this(), reply](const ErrorCode& ec) {
--- a/src/connection/event/caller_server.h
+++ b/src/connection/event/caller_server.h
@@ -1,9 +1,9 @@
-// Takes callers' connections and reads their requests, strictly.
+// HTTP server for callers on the event loop.
 //
-// A request that could be read in two ways (both lengths, an unknown transfer
-// coding, a torn head) is refused and its connection closed, so that nothing
-// can be smuggled to a target. Each connection serves one request at a time;
-// while a request is served, the connection is watched for the caller's close.
+// Rejects requests with ambiguous framing (Content-Length together with
+// Transfer-Encoding, an unknown transfer coding) and closes the connection, to
+// prevent request smuggling. Each connection serves one request at a time, and
+// is watched for a close by the caller meanwhile.
 #ifndef LYNXGLADE_CONNECTION_EVENT_CALLER_SERVER_H_
 #define LYNXGLADE_CONNECTION_EVENT_CALLER_SERVER_H_
 
@@ -20,28 +20,27 @@
 
 namespace lynxglade::connection::event {
 
-// A request as it was read.
 struct CallerRequest {
   RequestHead head;
   std::string body;
-  // The caller means to send more on the connection.
+  // The caller may send further requests on the connection.
   bool keep_alive = false;
-  // The caller's IP number.
+  // IP address of the caller.
   std::string caller;
-  // When the first byte of the head was there.
+  // When the first byte of the head became readable.
   base::Time arrived{};
 };
 
-// What a caller may send and how long it may take; asked for each request.
+// Size and time limits for callers; queried before each request.
 struct CallerBounds {
   std::size_t max_header_bytes = std::size_t{16} * 1024;
   std::size_t max_body_bytes = std::size_t{4} * 1024 * 1024;
   base::Duration header_timeout = std::chrono::seconds(3);
-  // Between requests, and between the pieces of a body.
+  // Longest wait for the next request and between two reads of a body.
   base::Duration idle_timeout = std::chrono::seconds(15);
 };
 
-// Answers one request; returns when the answer is sent or broken off.
+// Answers one request; completes when the answer is sent or aborted.
 using CallerHandler =
     std::function<Awaitable<void>(std::shared_ptr<CallerRequest>,
                                   CallerReply&)>;
@@ -49,14 +48,14 @@
 struct CallerServerOptions {
   Tcp::endpoint endpoint;
   int backlog = 1024;
-  // Connections beyond this are closed at once: a descriptor is needed for
-  // the target of each, too.
+  // Further connections are closed at once. Each connection may need a second
+  // descriptor, for its target.
   std::size_t max_connections = 1500;
-  // Bodies that are being read, of all connections together.
+  // Limit on incomplete request bodies, summed over all connections.
   std::size_t max_buffered_bytes = std::size_t{64} * 1024 * 1024;
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: runs on the event loop.
 class CallerServer {
  public:
   CallerServer(asio::io_context& loop,
@@ -69,16 +68,17 @@
   CallerServer(const CallerServer&) = delete;
   CallerServer& operator=(const CallerServer&) = delete;
 
-  // Binds and takes connections. False: the address cannot be had; `*reason`
-  // says why.
+  // Binds and starts to accept. Returns false and sets `*reason` if the address
+  // cannot be bound.
   bool Start(std::string* reason);
-  // Answers say from now on that the connection ends with them.
+  // From now on, connections close after the answer to their current request,
+  // and the answer says so.
   void BeginDrain() noexcept;
-  // Closes what is idle; connections with a request go on.
+  // Closes idle connections. Connections with a request are not affected.
   void CloseIdle();
 
   std::size_t connections() const noexcept;
-  // Requests that have been read and not answered.
+  // Requests in the handler.
   std::size_t busy() const noexcept;
   std::uint16_t port() const;
 
--- a/src/connection/event/channel_pool.h
+++ b/src/connection/event/channel_pool.h
@@ -1,9 +1,8 @@
-// Outgoing connections, kept for further requests.
+// Pool of outgoing connections that are kept open for reuse.
 //
-// A connection is handed out again only if the other end neither closed it nor
-// sent anything since, and if it is young enough that the other end's idle
-// timeout is not about to close it: a request that meets a close may or may
-// not have run.
+// A connection is reused only if the peer has neither closed it nor sent
+// anything since the last answer, and if the peer's idle timeout is not about
+// to expire: if a request races with a close, it is unknown whether it ran.
 #ifndef LYNXGLADE_CONNECTION_EVENT_CHANNEL_POOL_H_
 #define LYNXGLADE_CONNECTION_EVENT_CHANNEL_POOL_H_
 
@@ -21,35 +20,35 @@
 namespace lynxglade::connection::event {
 
 struct ChannelPoolOptions {
-  // A SYN that is not answered in this time was dropped; its repeat comes
-  // after a second, when another target would long have answered.
+  // Less than the one second after which a lost SYN is retransmitted: another
+  // target answers sooner.
   base::Duration connect_timeout = std::chrono::milliseconds(300);
-  // Idle time after which a connection is closed if the other end names none.
+  // Longest idle time of a connection whose peer announces no idle timeout.
   base::Duration max_idle = std::chrono::seconds(4);
-  // Taken off the idle timeout that the other end names (whole seconds).
+  // Subtracted from the idle timeout that the peer announces in whole seconds.
   base::Duration idle_margin = std::chrono::milliseconds(1000);
-  // For requests that must not meet a close.
+  // Longest idle time for requests with `careful` set.
   base::Duration max_idle_careful = std::chrono::milliseconds(700);
-  // Data or probes unanswered for this long end the connection.
+  // TCP_USER_TIMEOUT: the connection ends if data or probes stay unacknowledged
+  // for this long.
   base::Duration user_timeout = std::chrono::milliseconds(2000);
   std::size_t max_idle_per_endpoint = 8;
 };
 
-// One connection.
 struct Channel {
   explicit Channel(asio::io_context& loop) : socket(loop) {}
 
   Tcp::socket socket;
   boost::beast::flat_buffer buffer;
   Tcp::endpoint endpoint;
-  // Requests answered on it.
+  // Number of requests answered on this connection.
   int answered = 0;
   base::Time idle_since{};
-  // Idle time the other end allows, if it named one.
+  // Idle timeout announced by the peer, if any.
   std::optional<base::Duration> idle_limit;
 };
 
-// Not thread-safe: lives on the event loop, and outlives its channels.
+// Not thread-safe: runs on the event loop. Must outlive its channels.
 class ChannelPool {
  public:
   ChannelPool(asio::io_context& loop,
@@ -58,19 +57,21 @@
   ChannelPool(const ChannelPool&) = delete;
   ChannelPool& operator=(const ChannelPool&) = delete;
 
-  // A kept connection that looks alive, or a closed one to open. `careful`
-  // takes only those that were used a moment ago.
+  // Returns an idle connection that looks usable, or a new channel that must be
+  // opened with Open(). With `careful`, only connections idle for less than
+  // max_idle_careful are reused.
   std::shared_ptr<Channel> Take(const Tcp::endpoint& endpoint, bool careful);
-  // Connects. Closing the channel's socket ends it early.
+  // Connects; returns false on failure or timeout. Closing the channel's socket
+  // cancels the attempt.
   Awaitable<bool> Open(std::shared_ptr<Channel> channel);
-  // Keeps the connection for another request. Call when an answer has been
-  // read whole and the other end did not announce a close.
+  // Returns the connection to the pool. Call only after the answer was read
+  // completely, and if the peer did not announce a close.
   void Keep(std::shared_ptr<Channel> channel);
-  // Closes the connections that have been idle for too long. Call every
-  // second or so.
+  // Closes connections that have been idle for too long or were closed by the
+  // peer. Call about every second.
   void Sweep();
-  // Closes the kept connections to an endpoint that does not answer: they may
-  // be as dead as the one that showed it.
+  // Closes the idle connections to an endpoint that stopped answering, since
+  // they may be broken, too.
   void Forget(const Tcp::endpoint& endpoint);
 
   // Connections opened since the start.
--- a/src/connection/event/exchange.cc
+++ b/src/connection/event/exchange.cc
@@ -16,11 +16,11 @@
 
 constexpr unsigned kFirstFinalStatus = 200;
 constexpr std::int64_t kMaxIdleSeconds = std::int64_t{24} * 3600;
-// Bodies are passed on piece by piece. (An empty limit is taken for zero by
-// this version of the library.)
+// Bodies are streamed, so their size is not limited here. (This version of
+// Beast treats boost::none as a limit of zero.)
 constexpr std::uint64_t kNoBodyLimit = std::uint64_t{1} << 62;
 
-// The idle time a Keep-Alive header allows ("timeout=5").
+// Parses the idle timeout in a Keep-Alive header, such as "timeout=5".
 std::optional<base::Duration> IdleLimitOf(const ResponseHead& head) {
   constexpr std::string_view kTimeout = "timeout=";
   const std::string_view text = View(head[http::field::keep_alive]);
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-// Outlives the exchange while the write is under way.
+// Shared with the write operation, which may outlive the exchange.
 struct Exchange::Sending {
   explicit Sending(OutgoingRequest it) : request(std::move(it)) {}
 
@@ -87,7 +87,8 @@
   return sending_ && sending_->unacknowledged;
 }
 
-// Starts the write and does not wait for its end: the answer may come first.
+// Starts the write without waiting for its completion, since the answer may
+// arrive first.
 void Exchange::Send(OutgoingRequest request) {
   state_ = ExchangeState::kBroken;
   sending_ = std::make_shared<Sending>(std::move(request));
@@ -214,7 +215,7 @@
   if (skipping_) {
     return;
   }
-  // The connection may go to another exchange.
+  // The connection may be reused by another exchange.
   sending_->watch.reset();
   const bool reusable = sending_->written && parser_->keep_alive() &&
                         !parser_->need_eof() && channel_->buffer.size() == 0;
@@ -254,8 +255,8 @@
                          Exchange& exchange,
                          base::Duration wait)
     : timer_(loop, std::max(wait, base::Duration::zero())) {
-  // A wait that ended before the timer is destroyed still runs its handler,
-  // hence the flag.
+  // The handler may already be queued when the timer is destroyed; the flag
+  // keeps it from using the exchange then.
   timer_.async_wait([&exchange, armed = armed_](const ErrorCode& ec) {
     if (!ec && *armed) {
       exchange.Cancel();
--- a/src/connection/event/exchange.h
+++ b/src/connection/event/exchange.h
@@ -1,8 +1,9 @@
-// One request to a target or to the platform, and its answer piece by piece.
+// One HTTP request to a target or to the platform; the answer is read in
+// pieces.
 //
-// The answer is read while the request is still being written: the other end
-// may answer early. A connection goes back to the pool only after a request
-// that was written whole and an answer that was read whole.
+// The answer is read while the request is still being written, since the peer
+// may answer early. The connection returns to the pool only after the request
+// was written and the answer read completely.
 #ifndef LYNXGLADE_CONNECTION_EVENT_EXCHANGE_H_
 #define LYNXGLADE_CONNECTION_EVENT_EXCHANGE_H_
 
@@ -20,36 +21,38 @@
 
 namespace lynxglade::connection::event {
 
-// How far an exchange got.
 enum class ExchangeState {
-  // The connection was not made: nothing left this process.
+  // No connection was made; nothing was sent.
   kNotSent,
-  // Bytes were sent, and no answer that can be trusted came: the connection
-  // ended, or what came is not HTTP or not this request's.
+  // Bytes may have been sent, but no valid answer arrived: the connection
+  // ended,
+  // or the answer was malformed or belongs to another request.
   kBroken,
-  // The head of the answer is there.
+  // The head of the answer was read; the body may follow.
   kHead,
-  // The answer is whole.
+  // The complete answer was read.
   kWhole,
-  // Cancel() ended it.
+  // Ended by Cancel().
   kCancelled,
 };
 
 struct ExchangeOptions {
-  // Answers to other requests that are passed over on a kept connection.
+  // Limit on skipped answers that belong to earlier requests on a reused
+  // connection.
   int max_foreign_answers = 4;
   std::uint32_t max_head_bytes = 32 * 1024;
-  // A request of which the other end has not acknowledged every byte by then is
-  // given up and reset. Less than TCP_USER_TIMEOUT: a connection that the
-  // system ends by itself cannot be reset any more.
+  // If the peer has not acknowledged all sent bytes within this time, the
+  // connection is reset. Less than TCP_USER_TIMEOUT, since a connection that
+  // the kernel has ended can no longer be reset.
   base::Duration acknowledged_within = std::chrono::milliseconds(900);
 };
 
-// Says whether an answer is this request's. `fresh` is true for the first
-// answer on a connection, where no other can be due.
+// Returns whether an answer belongs to this request. `fresh` is true for the
+// first answer on a connection, when no earlier answer can be outstanding.
 using AnswerFilter = std::function<bool(const ResponseHead&, bool fresh)>;
 
-// Not thread-safe: lives on the event loop. One request each.
+// Not thread-safe: runs on the event loop. Carries one request; the destructor
+// cancels it.
 class Exchange {
  public:
   explicit Exchange(ChannelPool& pool, ExchangeOptions options = {});
@@ -57,33 +60,34 @@
   Exchange(const Exchange&) = delete;
   Exchange& operator=(const Exchange&) = delete;
 
-  // Sends and waits for the head of the answer. `is_answer` may be empty.
-  // `careful`: the request must not meet a connection that is being closed.
+  // Sends the request and waits for the head of the answer. `is_answer` may be
+  // empty. See ChannelPool::Take() for `careful`.
   Awaitable<ExchangeState> Start(Tcp::endpoint endpoint,
                                  OutgoingRequest request,
                                  AnswerFilter is_answer,
                                  bool careful);
-  // The next bytes of the body; empty if there are none (see state()).
+  // Returns the next bytes of the body, valid until the next call; empty at the
+  // end or on an error (see state()).
   Awaitable<std::string_view> Next();
-  // Reads the rest of the body, up to `max_bytes`; more leaves kBroken.
+  // Reads the rest of the body. A body longer than `max_bytes` ends in kBroken.
   Awaitable<std::string> Rest(std::size_t max_bytes);
-  // Resets the connection, so that no byte of the request arrives later;
-  // whatever waits ends with kCancelled.
+  // Resets the connection, so that no byte of the request arrives later. The
+  // state becomes kCancelled unless the answer is complete.
   void Cancel() noexcept;
 
   ExchangeState state() const noexcept { return state_; }
-  // Whether bytes of the request may have left this process.
+  // Whether bytes of the request may have been sent.
   bool sent() const noexcept { return sending_ != nullptr; }
-  // Whether the other end did not acknowledge the whole request in time, and
-  // the connection was reset for it. Bytes that are on their way then are lost;
-  // the other end has them all the same if only its way back is cut.
+  // Whether the connection was reset because the peer did not acknowledge the
+  // request in time. The peer may still have received it, if only the path back
+  // is broken.
   bool unacknowledged() const noexcept;
-  // Of the answer; valid from kHead on.
+  // Head of the answer; valid once state() is kHead or kWhole.
   const ResponseHead& head() const;
 
  private:
   struct Sending;
-  // Ends the exchange if its request is not acknowledged in time.
+  // Resets the connection if the request is not acknowledged in time.
   void WatchSending();
   using Parser = http::response_parser<http::buffer_body>;
 
@@ -102,11 +106,11 @@
   std::unique_ptr<Parser> parser_;
   std::array<char, 8192> piece_{};
   ExchangeState state_ = ExchangeState::kNotSent;
-  // The answer being read is another request's.
+  // The answer being read belongs to another request.
   bool skipping_ = false;
 };
 
-// Ends an exchange when a time has passed, unless destroyed before.
+// Cancels an exchange after `wait`, unless destroyed before.
 class CancelAfter {
  public:
   CancelAfter(asio::io_context& loop, Exchange& exchange, base::Duration wait);
--- a/src/connection/event/hop_headers.h
+++ b/src/connection/event/hop_headers.h
@@ -1,4 +1,4 @@
-// Headers that concern one connection only and are not passed on.
+// Removal of hop-by-hop headers, which must not be forwarded.
 #ifndef LYNXGLADE_CONNECTION_EVENT_HOP_HEADERS_H_
 #define LYNXGLADE_CONNECTION_EVENT_HOP_HEADERS_H_
 
@@ -6,8 +6,8 @@
 
 namespace lynxglade::connection::event {
 
-// Takes out the hop-by-hop headers of RFC 9110, those that Connection names,
-// and those that say how a body is framed.
+// Removes the hop-by-hop headers of RFC 9110, the headers named in Connection,
+// those that frame the body, and Expect.
 void EraseHopHeaders(http::fields& fields);
 
 }  // namespace lynxglade::connection::event
--- a/src/connection/event/http_types.h
+++ b/src/connection/event/http_types.h
@@ -1,4 +1,4 @@
-// The HTTP and event-loop types that this folder shares.
+// HTTP and event-loop types shared by the event transport.
 #ifndef LYNXGLADE_CONNECTION_EVENT_HTTP_TYPES_H_
 #define LYNXGLADE_CONNECTION_EVENT_HTTP_TYPES_H_
 
@@ -31,12 +31,12 @@
 using ResponseHead = http::response_header<>;
 using RequestHead = http::request_header<>;
 
-// The library's view of text as the standard's.
+// Converts Boost's string view to the standard one.
 inline std::string_view View(boost::beast::string_view text) noexcept {
   return {text.data(), text.size()};
 }
 
-// Completes a coroutine's step with an error code in place of an exception.
+// Completion token that stores the error in `ec` instead of throwing.
 inline auto Into(ErrorCode& ec) {
   return asio::redirect_error(asio::use_awaitable, ec);
 }
--- a/src/connection/event/sleep.h
+++ b/src/connection/event/sleep.h
@@ -1,4 +1,4 @@
-// Waiting on the event loop.
+// Sleeping on the event loop without blocking it.
 #ifndef LYNXGLADE_CONNECTION_EVENT_SLEEP_H_
 #define LYNXGLADE_CONNECTION_EVENT_SLEEP_H_
 
@@ -7,7 +7,6 @@
 
 namespace lynxglade::connection::event {
 
-// Resumes the caller after `wait`; other work of the loop goes on meanwhile.
 inline Awaitable<void> SleepFor(asio::io_context& loop, base::Duration wait) {
   asio::steady_timer timer(loop, wait);
   ErrorCode ec;
--- a/src/connection/event/socket_probe.cc
+++ b/src/connection/event/socket_probe.cc
@@ -12,10 +12,9 @@
 
 namespace {
 
-// Seconds until the first keep-alive probe, between probes, and how many may
-// be lost: a silent connection ends after about six seconds. Longer than a kept
-// connection may be idle and a request then unacknowledged, so that whoever
-// waits for the acknowledgement can still reset it.
+// Keep-alive probes end a dead connection after about six seconds. This is
+// longer than the longest idle time plus the acknowledgement timeout of a
+// request, so that the exchange can still reset the connection itself.
 constexpr int kProbeAfterSeconds = 4;
 constexpr int kProbeEverySeconds = 1;
 constexpr int kProbesLost = 2;
--- a/src/connection/event/socket_probe.h
+++ b/src/connection/event/socket_probe.h
@@ -1,4 +1,4 @@
-// What a socket tells without being read, and how long it may stay silent.
+// Socket helpers: checks that do not consume input, closing, and timeouts.
 #ifndef LYNXGLADE_CONNECTION_EVENT_SOCKET_PROBE_H_
 #define LYNXGLADE_CONNECTION_EVENT_SOCKET_PROBE_H_
 
@@ -7,29 +7,30 @@
 
 namespace lynxglade::connection::event {
 
-// Whether the other end has closed the connection or sent bytes that nobody
-// has read.
+// Whether the peer has closed the connection or unread bytes have arrived.
 bool HasInput(Tcp::socket& socket) noexcept;
 
-// Whether the other end has closed and no unread byte stands before that.
+// Whether the peer has closed the connection and no unread bytes are left.
 bool PeerClosed(Tcp::socket& socket) noexcept;
 
-// Bytes sent that the other end has not acknowledged; 0 if that cannot be told.
-// What waits for the other end to read does not count.
+// Bytes sent but not acknowledged by the peer; 0 if unknown. Bytes not yet sent
+// because the peer's receive window is full do not count.
 int UnacknowledgedBytes(Tcp::socket& socket) noexcept;
 
-// Close without a word: what an error could say does not matter any more.
+// Closes the socket and ignores errors.
 void CloseSocket(Tcp::socket& socket) noexcept;
-// Closes and drops what has not reached the other end. A plain close sends it
-// on, and behind a partition that may be seconds later.
+// Resets the connection and discards unsent data. After a plain close the
+// kernel would go on sending it, possibly seconds later when a network
+// partition ends.
 void ResetSocket(Tcp::socket& socket) noexcept;
-// Ends the sending side and closes.
+// Shuts down the sending side, then closes.
 void ShutdownAndClose(Tcp::socket& socket) noexcept;
-// Ends what waits on the socket, which stays open.
+// Cancels pending operations on the socket, which stays open.
 void CancelWaits(Tcp::socket& socket) noexcept;
 
-// Ends a silent connection by keep-alive probes and TCP_USER_TIMEOUT, and
-// turns Nagle's delay off. Errors are of no consequence: the deadline holds.
+// Enables keep-alive probes and TCP_USER_TIMEOUT, so that a dead connection
+// ends, and disables Nagle's algorithm. Errors are ignored, since request
+// deadlines apply in any case.
 void TuneSocket(Tcp::socket& socket, base::Duration user_timeout) noexcept;
 
 }  // namespace lynxglade::connection::event
--- a/src/connection/http_limits.h
+++ b/src/connection/http_limits.h
@@ -1,4 +1,4 @@
-// Bounds on what this process accepts and sends over HTTP, in one place.
+// Limits for HTTP and peer connections.
 #ifndef LYNXGLADE_CONNECTION_HTTP_LIMITS_H_
 #define LYNXGLADE_CONNECTION_HTTP_LIMITS_H_
 
@@ -6,15 +6,15 @@
 
 namespace lynxglade::connection {
 
-// Largest caller body; a job history of a million tokens fits.
+// Largest caller body; fits a prompt of about a million tokens.
 inline constexpr std::size_t kMaxCallerBodyBytes = 8u << 20;
-// Largest answer read from the platform; its values are at most a megabyte.
+// Largest answer read from the platform.
 inline constexpr std::size_t kMaxPlatformBodyBytes = 8u << 20;
 // Largest peer message.
 inline constexpr std::size_t kMaxPeerMessageBytes = 256u << 10;
-// Backlog of every listening socket; the library's own is 5.
+// Backlog of listening sockets; the HTTP library's default of 5 is too small.
 inline constexpr int kListenBacklog = 1024;
-// Stack of a connection thread.
+// Stack size of a connection thread.
 inline constexpr std::size_t kConnectionStackBytes = 256u << 10;
 
 }  // namespace lynxglade::connection
--- a/src/connection/http_server.cc
+++ b/src/connection/http_server.cc
@@ -21,8 +21,8 @@
 
 namespace coro = boost::coroutines2;
 
-// The library matches routes by a recursive regular expression; longer paths
-// would need more stack than a connection thread has.
+// The HTTP library matches routes by a recursive regular expression; longer
+// paths could overflow the stack of a connection thread.
 constexpr std::size_t kMaxPathBytes = 256;
 constexpr int kHttpBodyTooLarge = 413;
 constexpr int kHttpUriTooLong = 414;
@@ -59,11 +59,11 @@
 
 // --- One exchange -----------------------------------------------------------
 
-// Runs the handler as a coroutine: up to StartStream() inside the library's
-// handler, and from there inside its content provider.
+// Runs the handler as a coroutine: up to StartStream() in the HTTP library's
+// request handler, after that in its content provider.
 class CoroutineExchange final : public HttpExchange {
  public:
-  // Made on the connection's thread; `stream` outlives it.
+  // Created on the connection's thread. `stream` must outlive this object.
   CoroutineExchange(HttpRequest request,
                     const ServerStream& stream,
                     const HttpHandler& handler)
@@ -76,7 +76,7 @@
               }) {}
 
   ~CoroutineExchange() override {
-    // The headers could not be sent: let the handler see that and return.
+    // The headers could not be sent: resume the handler, so that it returns.
     gone_ = true;
     Resume(nullptr);
   }
@@ -127,7 +127,7 @@
   const std::string& content_type() const { return content_type_; }
   std::string TakeBody() { return std::move(whole_body_); }
 
-  // Runs the rest of the handler. Returns whether the stream is whole.
+  // Resumes the handler. Returns whether the stream was completed.
   bool Resume(httplib::DataSink* sink) {
     sink_ = sink;
     if (body_) {
@@ -161,7 +161,8 @@
   bool aborted_ = false;
   httplib::DataSink* sink_ = nullptr;
   Push* yield_ = nullptr;
-  // Last: starting it runs the handler, which uses all of the above.
+  // Must be last: its construction starts the handler, which uses the members
+  // above.
   Pull body_;
 };
 
@@ -198,7 +199,7 @@
 
   void Configure();
   void Serve(const httplib::Request& in, httplib::Response& out);
-  // Answer what is refused by its head alone; true when it was.
+  // Answers the request and returns true if its head is rejected.
   bool RefuseByHead(const httplib::Request& in, httplib::Response& out);
   bool RefusesHead(const httplib::Request& in, httplib::Response& out);
   bool Screen(const httplib::Request& in, httplib::Response& out);
@@ -217,8 +218,8 @@
   server.new_task_queue = [this] { return new TaskQueue(threads); };
   server.set_tcp_nodelay(true);
   server.set_payload_max_length(options.max_body_bytes);
-  // Not the library's default: that sets SO_REUSEPORT, with which a second
-  // daemon on the same port would silently take half of the connections.
+  // The library's default sets SO_REUSEPORT, which would let a second daemon on
+  // the same port take part of the connections.
   server.set_socket_options([this](socket_t fd) {
     const int on = 1;
     ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
@@ -235,7 +236,8 @@
   });
   server.set_error_handler([this](const httplib::Request&,
                                   httplib::Response& out) { FillError(out); });
-  // The library's own would tell the caller the exception's text.
+  // The library's default handler would send the exception's text to the
+  // caller.
   server.set_exception_handler(
       [](const httplib::Request&, httplib::Response& out,
          const std::exception_ptr&) { out.status = kHttpInternalError; });
@@ -256,13 +258,14 @@
   } else if (!RefusesHead(in, out)) {
     return false;
   }
-  // The body stays unread, so nothing after it could be told from it.
+  // The body is not read, so a following request could not be told apart from
+  // it.
   BoundedServer::CloseAfterAnswer();
   out.set_header("Connection", "close");
   return true;
 }
 
-// What is wrong with the head by itself, or to `screen`.
+// Checks the head and fills the answer if it is rejected.
 bool HttpServer::Details::RefusesHead(const httplib::Request& in,
                                       httplib::Response& out) {
   if (in.path.size() > kMaxPathBytes) {
@@ -304,7 +307,7 @@
 
 void HttpServer::Details::Serve(const httplib::Request& in,
                                 httplib::Response& out) {
-  // A chunked body shows its size only now.
+  // The size of a chunked body is known only after reading it.
   if (in.body.size() > options.max_body_bytes) {
     out.status = kHttpBodyTooLarge;
     return;
@@ -353,7 +356,7 @@
                     std::to_string(d.options.port);
     return std::nullopt;
   }
-  // The library listens with a backlog of 5; asking again raises it.
+  // The library listens with a backlog of 5; a second call raises it.
   ::listen(d.listening_socket, kListenBacklog);
   d.accept_thread =
       std::thread([this] { details_->server.listen_after_bind(); });
--- a/src/connection/http_server.h
+++ b/src/connection/http_server.h
@@ -1,13 +1,13 @@
-// An HTTP server whose handlers write their answers step by step.
+// HTTP server whose handlers can stream their answers.
 //
-// One connection holds one thread. A handler may stream: it runs on a stack of
-// its own (Boost.Context), so that the library can send the status and headers
-// that the handler chose before the handler goes on to write the body, all on
-// the same thread. Connections above the bound are answered 503 at once.
+// Each connection occupies one thread. Handlers run as coroutines on their own
+// stack (Boost.Context), so that the HTTP library can send status and headers
+// before the handler writes the body, on the same thread. Connections above the
+// limit are answered with 503 at once.
 //
-// What a caller can cause before it has proved who it is stays bounded: the
-// head in bytes, lines and seconds, the TLS handshake in seconds, and no body
-// is read before `screen` has agreed to the head. See docs/notes/security.md.
+// The resources that an unauthenticated caller can use are bounded: the head in
+// bytes, lines and time, the TLS handshake in time, and no body is read before
+// `screen` accepted the head. See docs/notes/security.md.
 #ifndef LYNXGLADE_CONNECTION_HTTP_SERVER_H_
 #define LYNXGLADE_CONNECTION_HTTP_SERVER_H_
 
@@ -25,7 +25,7 @@
 
 namespace lynxglade::connection {
 
-// Header names are lower-case; of a repeated header the first value is kept.
+// Keys are lower-case. Of a repeated header, the first value is kept.
 using HttpHeaders = std::map<std::string, std::string>;
 
 struct HttpRequest {
@@ -36,48 +36,48 @@
   HttpHeaders headers;
   std::string body;
 
-  // The header's value, empty when it is not there. `name` in lower case.
+  // The header's value, or empty if absent. `name` must be lower-case.
   std::string Header(const std::string& name) const;
 };
 
-// One request and the answer under way. Lives for the handler's call only and
-// is used by its thread only, but for caller_gone().
+// One request and its answer. Valid during the handler's call, and used by its
+// thread only, except caller_gone().
 class HttpExchange {
  public:
   virtual ~HttpExchange() = default;
 
-  // Sends a whole answer; at most one call, and none after StartStream().
+  // Sends a complete answer. Call at most once, and not after StartStream().
   virtual void Send(int status,
                     const std::string& content_type,
                     const HttpHeaders& headers,
                     std::string body) = 0;
 
-  // Sends status and headers; the body follows by Write(). Returns false when
-  // the caller has gone.
+  // Sends status and headers; Write() sends the body. Returns false if the
+  // caller disconnected.
   virtual bool StartStream(int status,
                            const std::string& content_type,
                            const HttpHeaders& headers) = 0;
-  // Sends a piece of the body at once. Returns false when the caller has gone;
-  // later calls then do nothing.
+  // Sends a piece of the body at once. Returns false if the caller
+  // disconnected; later calls have no effect then.
   virtual bool Write(std::string_view piece) = 0;
-  // Breaks the stream off, so that the caller cannot take it for whole.
+  // Aborts the stream in a way that the caller cannot take for its regular end.
   virtual void Abort() = 0;
 
   virtual const HttpRequest& request() const = 0;
-  // Whether the caller has closed its connection. Thread-safe.
+  // Whether the caller closed its connection. Thread-safe.
   virtual bool caller_gone() const = 0;
 };
 
 using HttpHandler = std::function<void(HttpExchange&)>;
 
-// What a caller gets when all connection threads are taken.
+// Answer sent when all connection threads are in use.
 struct HttpOverflowAnswer {
   int status = 503;
   std::string content_type = "application/json";
   std::string body;
 };
 
-// An answer given before the body was read; the connection closes after it.
+// An answer sent without reading the body; the connection is closed after it.
 struct HttpEarlyAnswer {
   int status = 400;
   HttpHeaders headers;
@@ -86,67 +86,69 @@
 
 struct HttpServerOptions {
   std::string address = "127.0.0.1";
-  // 0 takes any free port.
+  // 0 selects a free port.
   int port = 0;
-  // Connections served at a time; further ones get the overflow answer.
+  // Concurrent connections; further ones get the overflow answer.
   std::size_t max_connections = 1200;
   std::size_t max_body_bytes = 1u << 20;
   std::size_t max_head_bytes = 32u << 10;
   std::size_t max_header_lines = 100;
-  // How long a kept connection may stay idle; far less while most threads are
-  // taken.
+  // Idle timeout between requests; shortened while most connection threads are
+  // in use.
   base::Duration idle_timeout = std::chrono::seconds(30);
   base::Duration handshake_timeout = std::chrono::seconds(5);
-  // From a head's first byte to its last, and for the first byte of all.
+  // Bounds reading a head, and the wait for the first one on a connection.
   base::Duration head_timeout = std::chrono::seconds(10);
-  // From a body's first byte to its last.
+  // Bounds reading a body.
   base::Duration body_timeout = std::chrono::seconds(30);
-  // How long one write to a slow caller may take; a large piece gets longer,
-  // by a rate of 16 KiB a second.
+  // Bounds one write to a caller. Large pieces get more time, at a rate of
+  // 16 KiB/s.
   base::Duration write_timeout = std::chrono::seconds(10);
-  // Null: plain TCP. Each connection takes the set in use when it is made.
+  // Null for plain TCP. A new connection uses the current certificate set.
   std::shared_ptr<const TlsMaterial> tls;
-  // Looks at a request's head before its body, if it has one, is read; an
-  // answer refuses the request. Runs on the connection's thread. May be empty.
+  // Checks the head of a request before its body is read. Returns an answer to
+  // reject the request. Runs on the connection's thread. May be empty.
   std::function<std::optional<HttpEarlyAnswer>(const HttpRequest& head)> screen;
   HttpOverflowAnswer overflow;
-  // Answers a body above max_body_bytes, and other errors that the library
-  // finds by itself; by status.
+  // Returns the body for an error that the server detects itself, such as a
+  // request body above max_body_bytes.
   std::function<std::string(int status)> error_body;
 };
 
-// What was turned away since the start, each on its connection.
+// Rejected connections and requests since the start.
 struct HttpServerCounters {
-  // Above the bound on connections.
+  // Connections above max_connections, which got the overflow answer.
   std::uint64_t overflowed = 0;
-  // Above the bound on those that wait for that answer: closed without one.
+  // Connections closed without an answer because too many were waiting for the
+  // overflow answer.
   std::uint64_t dropped = 0;
   std::uint64_t handshakes_failed = 0;
   std::uint64_t heads_too_large = 0;
   std::uint64_t heads_too_slow = 0;
   std::uint64_t bodies_too_large = 0;
   std::uint64_t bodies_too_slow = 0;
-  // Refused by `screen` or for a head that contradicts itself.
+  // Rejected by `screen`, or for their path, body length, ambiguous framing or
+  // content coding.
   std::uint64_t heads_refused = 0;
 };
 
 // Owns the listening socket, its accept thread and the connection threads.
 class HttpServer {
  public:
-  // Every request goes to `handler`, on its connection's thread.
+  // `handler` is called for each request, on its connection's thread.
   HttpServer(HttpServerOptions options, HttpHandler handler);
-  // Stops.
+  // Calls Stop().
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // Binds and starts to accept. Returns the bound port; nothing when the
-  // address is taken or there is no certificate (see last_reason()).
+  // Binds and starts to accept. Returns the bound port, or nullopt if the
+  // address cannot be bound or there is no certificate (see last_reason()).
   std::optional<int> Start();
-  // Stops accepting and waits until every running handler has returned.
+  // Stops accepting and waits until all running handlers have returned.
   void Stop();
 
-  // Connections that hold a thread now.
+  // Connections that occupy a thread.
   std::size_t active_connections() const noexcept;
   std::size_t overflowed_connections() const noexcept;
   HttpServerCounters counters() const noexcept;
--- a/src/connection/instance_list.cc
+++ b/src/connection/instance_list.cc
@@ -21,7 +21,7 @@
                                             : std::string();
 }
 
-// 0 when absent or out of range.
+// Returns 0 if absent or out of range.
 int Port(const json& row, const char* name) {
   const auto it = row.find(name);
   if (it == row.end() || !it->is_number_integer()) {
@@ -36,7 +36,7 @@
   return it != row.end() && it->is_boolean() && it->get<bool>();
 }
 
-// What every row must have, whatever its kind.
+// Checks the members that all rows must have.
 bool IsReadable(const json& row) {
   if (!row.is_object()) {
     return false;
@@ -114,15 +114,14 @@
     : fetch_(std::move(fetch)), clock_(std::move(clock)) {}
 
 bool InstanceList::Refresh(PlatformError* last_error) {
-  // Taken before the call: the answer is at least as fresh as this.
+  // Taken before the call: the list is at least as recent as this.
   const base::Time asked = clock_();
   const std::optional<std::string> body =
       FetchBody(fetch_, "/v1/instances", last_error);
   if (!body) {
     return false;
   }
-  // Mostly the list is the one that is held; reading it costs far more than
-  // its hash.
+  // The list is usually unchanged, and hashing is much cheaper than parsing.
   const std::uint64_t hash = base::Hash64(*body);
   std::optional<InstanceTable> table =
       hash == body_hash_ ? *table_.Get() : ParseInstanceTable(*body);
--- a/src/connection/instance_list.h
+++ b/src/connection/instance_list.h
@@ -1,7 +1,8 @@
-// The platform's list of live and leaving instances, which lags.
+// The platform's list of live and leaving instances and targets, which may be
+// stale.
 //
-// The last good list is kept while the platform is away, with its age, and is
-// only replaced by one of at least its revision.
+// The last valid list is kept, with its age, while the platform is unavailable.
+// It is only replaced by a list of the same or a newer revision.
 #ifndef LYNXGLADE_CONNECTION_INSTANCE_LIST_H_
 #define LYNXGLADE_CONNECTION_INSTANCE_LIST_H_
 
@@ -39,31 +40,32 @@
   std::string address;
   int port = 0;
   bool leaving = false;
-  // Engines only: refuses orders of an older fencing token.
+  // Engines only: rejects orders with an older fencing token.
   bool fenced = false;
 
   bool operator==(const TargetRow&) const = default;
 };
 
 struct InstanceTable {
-  // The platform's revision; 0 before the first list came.
+  // Revision of the list; 0 before the first list was read.
   base::Revision revision{0};
   std::vector<EntryRow> entries;
   std::vector<TargetRow> engines;
   std::vector<TargetRow> plains;
-  // Rows that were left out because they could not be read.
+  // Rows that were skipped because they could not be parsed.
   int unreadable_rows = 0;
-  // When the platform last confirmed this list.
+  // When the platform last returned this list.
   base::Time as_of{};
 };
 
-// Reads a list; nothing when it is no list or has more than kMaxInstanceRows.
+// Parses a list. Returns nullopt if it is malformed or has more than
+// kMaxInstanceRows rows.
 std::optional<InstanceTable> ParseInstanceTable(std::string_view body);
 
-// More rows than a fleet of 12,000 engines and their instances need.
 inline constexpr std::size_t kMaxInstanceRows = 65536;
 
-// Refresh() belongs to one thread and blocks; the queries are thread-safe.
+// Refresh() blocks and must be called by one thread; the queries are
+// thread-safe.
 class InstanceList {
  public:
   using Handle = std::shared_ptr<const InstanceTable>;
@@ -72,22 +74,23 @@
   InstanceList(const InstanceList&) = delete;
   InstanceList& operator=(const InstanceList&) = delete;
 
-  // Fetches once. Returns whether the held list is now confirmed; otherwise
-  // it stays as it was and `last_error` says why.
+  // Fetches the list once. Returns true if the held list is up to date then; on
+  // failure the held list is unchanged and `last_error` is set.
   bool Refresh(PlatformError* last_error);
 
-  // The last good list; empty with revision 0 before the first.
+  // The last valid list; empty with revision 0 before the first one.
   Handle Get() const;
-  // Time since the platform confirmed the held list; nothing before the first.
+  // Time since the platform last returned the held list; nullopt before the
+  // first one.
   std::optional<base::Duration> Age() const;
-  // Lists refused because they were older than the one held.
+  // Number of lists rejected because they were older than the held one.
   std::uint64_t older_lists() const noexcept;
 
  private:
   const PlatformFetch fetch_;
   const base::Clock clock_;
   base::Snapshot<InstanceTable> table_;
-  // Of the text that `table_` was read from. Refresh() only.
+  // Hash of the text from which `table_` was parsed. Used by Refresh() only.
   std::optional<std::uint64_t> body_hash_;
   std::atomic<std::uint64_t> older_lists_{0};
 };
--- a/src/connection/key_value.cc
+++ b/src/connection/key_value.cc
@@ -18,10 +18,10 @@
 constexpr int kHttpOk = 200;
 constexpr int kHttpTooManyRequests = 429;
 constexpr int kHttpServerError = 500;
-// gRPC's NOT_FOUND: a lease that is gone.
+// gRPC status NOT_FOUND: the lease does not exist.
 constexpr int kGrpcNotFound = 5;
 
-// What a call does to the service; it decides what a lost answer means.
+// Whether a call writes, which decides if a lost answer is ambiguous.
 enum class Effect { kReads, kWrites };
 
 std::string Dump(const json& value) {
@@ -36,7 +36,7 @@
   return value;
 }
 
-// The gateway leaves out members that are zero, and writes 64-bit numbers as
+// The gateway omits members that are zero and encodes 64-bit numbers as
 // strings.
 std::int64_t Number(const json& object, const char* name) {
   const auto it = object.find(name);
@@ -108,8 +108,8 @@
   return base::Revision(Number(Member(answer, "header"), "revision"));
 }
 
-// The smallest key greater than all keys that start with `prefix`; the zero
-// byte stands for "no end".
+// The smallest key greater than all keys that start with `prefix`, or a zero
+// byte, which etcd takes as an open range.
 std::string PrefixEnd(std::string prefix) {
   while (!prefix.empty()) {
     const auto last = static_cast<unsigned char>(prefix.back());
@@ -162,8 +162,8 @@
           {"failure", std::move(failure)}};
 }
 
-// Turns an HTTP status into this layer's error. A server error may come after
-// the write took effect.
+// Maps an HTTP status to an error. A write may have taken effect despite a
+// server error.
 KvError ErrorOfStatus(int status, Effect effect) {
   if (status == kHttpTooManyRequests) {
     return KvError::kRateLimited;
@@ -175,14 +175,14 @@
   return KvError::kBadAnswer;
 }
 
-// A lost answer to a read has changed nothing.
+// A read whose answer was lost has changed nothing.
 KvError ErrorOfLoss(KvError error, Effect effect) {
   return error == KvError::kAmbiguous && effect == Effect::kReads
              ? KvError::kUnreachable
              : error;
 }
 
-// An answer that cannot be read leaves open whether a write took effect.
+// If the answer cannot be parsed, a write may have taken effect.
 KvError ErrorOfNonsense(Effect effect) {
   return effect == Effect::kWrites ? KvError::kAmbiguous : KvError::kBadAnswer;
 }
@@ -227,7 +227,7 @@
   return range;
 }
 
-// Cuts a streamed answer into lines of JSON and hands on what they tell.
+// Splits a watch's streamed answer into lines of JSON and passes on the events.
 class WatchReader {
  public:
   using OnEvents =
@@ -235,7 +235,7 @@
 
   explicit WatchReader(const OnEvents& on_events) : on_events_(on_events) {}
 
-  // Returns false when the stream is to end.
+  // Returns false to end the stream.
   bool Take(std::string_view chunk) {
     buf_.append(chunk);
     std::size_t begin = 0;
@@ -269,7 +269,7 @@
       return false;
     }
     const json& result = Member(*value, "result");
-    // The service ends watches whose start it has compacted away.
+    // Sent if the start revision of the watch has been compacted.
     if (IsTrue(result, "canceled")) {
       error_ = KvError::kBadAnswer;
       return false;
@@ -401,7 +401,7 @@
     *last_error = lost;
     return false;
   }
-  // A lease that is gone already is as good as revoked.
+  // A lease that no longer exists counts as revoked.
   const std::optional<json> value = Parse(answer->body);
   const bool gone = value && Number(*value, "code") == kGrpcNotFound;
   *last_error = answer->status == kHttpOk || gone
--- a/src/connection/key_value.h
+++ b/src/connection/key_value.h
@@ -1,7 +1,7 @@
-// The platform's key-value service, as the rest of the system sees it.
+// Client of the platform's key-value service (etcd v3 JSON gateway).
 //
-// KeyValue speaks the etcd v3 JSON gateway over a hook that carries one HTTP
-// call, so tests run it against an in-memory stand-in without a socket.
+// HTTP calls go through KvTransport, so tests can replace it with an in-memory
+// implementation.
 #ifndef LYNXGLADE_CONNECTION_KEY_VALUE_H_
 #define LYNXGLADE_CONNECTION_KEY_VALUE_H_
 
@@ -18,23 +18,23 @@
 
 namespace lynxglade::connection {
 
-// Why a call gave no result.
+// Why a call failed.
 enum class KvError {
   kNone,
-  // The call never reached the service: nothing was changed.
+  // The call did not reach the service, or was a read without an answer:
+  // nothing was changed.
   kUnreachable,
-  // The service answered that it takes no more calls now; nothing changed.
+  // The service rejected the call because of a rate limit; nothing was changed.
   kRateLimited,
-  // The call was sent and its answer lost: a write may have taken effect.
+  // A write was sent and got no usable answer: it may have taken effect.
   kAmbiguous,
-  // The service answered with something this client does not understand.
+  // The answer is an error or cannot be parsed.
   kBadAnswer,
 };
 std::string_view ToString(KvError error) noexcept;
 
 using KvLeaseId = base::StrongNumber<struct KvLeaseIdTag, std::int64_t>;
 
-// One key with its value, as stored.
 struct KvEntry {
   std::string key;
   std::string value;
@@ -45,30 +45,30 @@
 
 struct KvRange {
   std::vector<KvEntry> entries;
-  // Revision of the whole service at which the answer holds.
+  // Revision of the store at the time of the read.
   base::Revision revision;
 };
 
-// Writes that happen together or not at all.
+// One write of a transaction.
 struct KvWrite {
   std::string key;
-  // No value deletes the key.
+  // nullopt deletes the key.
   std::optional<std::string> value;
   KvLeaseId lease;
 };
 
-// The key's modification revision must be this; revision 0 means the key must
-// not exist.
+// Precondition of a transaction: the key has this modification revision, or
+// does not exist if the revision is 0.
 struct KvGuard {
   std::string key;
   base::Revision mod_revision;
 };
 
 struct KvTxnResult {
-  // False when a guard did not hold: nothing was written.
+  // False if a guard did not hold; nothing was written then.
   bool committed = false;
   base::Revision revision;
-  // The guarded keys as found; only filled when not committed.
+  // Current entries of the guarded keys; empty if committed.
   std::vector<KvEntry> found;
 };
 
@@ -78,59 +78,58 @@
   bool deleted = false;
 };
 
-// One HTTP call. A body given back piecewise goes to `on_chunk` when set.
+// One HTTP call. If `on_chunk` is set, it receives the answer's body in pieces.
 struct KvCall {
   std::string path;
   std::string body;
   base::Duration timeout{};
-  // Returns false to end a streamed answer.
+  // Returns false to end the streamed answer.
   std::function<bool(std::string_view)> on_chunk;
-  // Ends a streamed answer from another thread, where the transport can.
+  // Ends a streamed answer from another thread, if the transport supports it.
   std::stop_token stop;
 };
 struct KvAnswer {
   int status = 0;
   std::string body;
 };
-// Carries one call. On failure returns nothing and says in `error` whether the
-// call can have reached the service (kAmbiguous) or not (kUnreachable).
+// Executes one call. On failure returns nullopt and sets `error` to kAmbiguous
+// if the call may have reached the service, else to kUnreachable.
 using KvTransport =
     std::function<std::optional<KvAnswer>(const KvCall&, KvError* error)>;
 
-// Longest silence that a watch takes for a live connection.
+// A watch ends if the service sends nothing for this long.
 inline constexpr base::Duration kWatchSilence = std::chrono::seconds(30);
 
-// A client of the service. Thread-safe when its transport is; every method
-// blocks for at most `timeout` and is never called from an actor or while a
-// lock is held.
+// Thread-safe if its transport is. Methods other than Watch() block for at most
+// about `timeout`; do not call them from an actor or while holding a lock.
 class KeyValue {
  public:
   KeyValue(KvTransport transport, base::Duration timeout);
 
-  // Reads one key; an absent key is an entry-less range, not an error.
+  // Reads one key. A missing key gives a range without entries, not an error.
   std::optional<KvRange> Get(const std::string& key, KvError* last_error) const;
-  // Reads all keys that start with `prefix`, at most `limit` (0: all).
+  // Reads the keys that start with `prefix`, at most `limit` (0: all).
   std::optional<KvRange> List(const std::string& prefix,
                               std::int64_t limit,
                               KvError* last_error) const;
-  // Compare-and-swap. After kAmbiguous the caller reads back and looks for
-  // its own mark in the value; it must not resend blindly.
+  // Applies all writes atomically if all guards hold. After kAmbiguous, read
+  // the keys back to find out whether the writes took effect before retrying.
   std::optional<KvTxnResult> Commit(const std::vector<KvGuard>& guards,
                                     const std::vector<KvWrite>& writes,
                                     KvError* last_error) const;
 
   std::optional<KvLeaseId> GrantLease(base::Duration ttl,
                                       KvError* last_error) const;
-  // Returns the time to live that is left; zero when the lease is gone.
+  // Returns the remaining TTL; zero if the lease has expired.
   std::optional<base::Duration> KeepAlive(KvLeaseId lease,
                                           KvError* last_error) const;
   bool RevokeLease(KvLeaseId lease, KvError* last_error) const;
 
-  // Blocks and hands over changes of keys under `prefix` from `from` on until
-  // `on_events` returns false or the stream breaks. `on_events` is also called
-  // with no events when the service reports progress. Returns the error that
-  // ended it (kNone when `on_events` or `stop` did). A service that says
-  // nothing for kWatchSilence ends the watch too; the caller opens it again.
+  // Blocks and passes changes of keys under `prefix`, from revision `from` on,
+  // to `on_events` until that returns false, `stop` is requested, the stream
+  // breaks or the service sends nothing for kWatchSilence. `on_events` is also
+  // called without events when the service reports progress. Returns kNone if
+  // `on_events` or `stop` ended the watch, else the error.
   KvError Watch(const std::string& prefix,
                 base::Revision from,
                 const std::function<bool(const std::vector<KvEvent>&,
@@ -142,8 +141,8 @@
   base::Duration timeout_;
 };
 
-// A transport over cpp-httplib to "http://address:port", with a pool of kept
-// connections. Counts calls through `on_call` (path), which may be empty.
+// Makes a transport to "http://address:port" that keeps idle connections for
+// reuse. Calls `on_call`, which may be empty, with the path of each call.
 KvTransport MakeHttpKvTransport(
     const std::string& base_url,
     std::function<void(std::string_view path)> on_call);
--- a/src/connection/key_value_http.cc
+++ b/src/connection/key_value_http.cc
@@ -1,4 +1,4 @@
-// The key-value transport over cpp-httplib.
+// KvTransport over cpp-httplib.
 #include <httplib.h>
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 constexpr int kHttpOk = 200;
 constexpr base::Duration kConnectTimeout = std::chrono::seconds(1);
 
-// Connections to one service that are kept between calls.
+// Idle connections to one service.
 class ClientPool {
  public:
   explicit ClientPool(std::string base_url) : base_url_(std::move(base_url)) {}
@@ -40,7 +40,7 @@
     return client;
   }
 
-  // Only clients whose last call went well come back.
+  // Call only if the last call on the connection succeeded.
   void Return(std::unique_ptr<httplib::Client> client) {
     const std::scoped_lock lock(mutex_);
     if (idle_.size() < kMaxIdleConnections) {
@@ -54,7 +54,7 @@
   std::vector<std::unique_ptr<httplib::Client>> idle_;
 };
 
-// Until the connection stands, nothing was sent.
+// Nothing was sent if the connection could not be established.
 KvError Classify(httplib::Error error) {
   switch (error) {
     case httplib::Error::Connection:
@@ -75,7 +75,7 @@
   client->set_write_timeout(timeout);
 }
 
-// One call under way: where its answer goes, and until when.
+// Collects the answer of one call and bounds its size and total time.
 class Exchange {
  public:
   explicit Exchange(const KvCall& call)
@@ -99,12 +99,12 @@
   }
 
   KvAnswer TakeAnswer() { return std::move(answer_); }
-  // The receiver of the stream asked for its end.
+  // `on_chunk` returned false.
   bool ended_by_receiver() const noexcept { return ended_by_receiver_; }
 
  private:
   bool Take(std::string_view chunk) {
-    // A stop that came before the connection stood.
+    // Catches a stop requested before the connection was established.
     if (call_.stop.stop_requested()) {
       return false;
     }
@@ -113,8 +113,7 @@
       return !ended_by_receiver_;
     }
     answer_.body.append(chunk);
-    // The library's timeout is per read; a service that trickles is bounded
-    // here.
+    // The library's timeout applies to each read; this bounds the whole answer.
     return answer_.body.size() <= kMaxPlatformBodyBytes &&
            base::BootClock::now() < deadline_;
   }
--- a/src/connection/load_report.cc
+++ b/src/connection/load_report.cc
@@ -15,17 +15,17 @@
 
 using nlohmann::json;
 
-// Clocks of targets and instances differ a little; an age outside this range
-// says more of the clocks than of the report.
+// Clamps the computed age of a report: the clocks of target and instance may
+// differ.
 constexpr std::int64_t kMaxAgeMs = 30'000;
 constexpr int kMaxDepth = 4;
 
-// Greater than what any target can have or do; sums stay far from overflow.
+// Exceed any real value; sums cannot overflow.
 constexpr std::int64_t kMaxCount = 1'000'000'000;
 constexpr double kMaxRate = 1e12;
 
-// A number of things; some targets write whole numbers as reals. What cannot
-// be, becomes the nearest that can.
+// Reads a count, clamped to its valid range. Some targets send integers as
+// floating-point numbers.
 std::int64_t ReadCount(const json& object, const char* name) {
   const auto it = object.find(name);
   if (it == object.end() || !it->is_number()) {
@@ -42,7 +42,7 @@
              : 0;
 }
 
-// Sequences and times; nothing is computed with those that do not fit.
+// Reads a sequence number or a time; 0 if absent or out of range.
 std::int64_t ReadWhole(const json& object, const char* name) {
   return base::WholeMember(object, name, 0, INT64_MAX).value_or(0);
 }
@@ -114,7 +114,7 @@
                  {"role", request::ToString(report.role)},
                  {"running", load.running},
                  {"waiting", load.waiting}};
-  // Left out is what reads as the same: plain services have none of these.
+  // Omits members with default values, such as those unused by plain services.
   const auto add = [&object](const char* name, const auto& value) {
     if (value != std::decay_t<decltype(value)>{}) {
       object[name] = value;
--- a/src/connection/load_report.h
+++ b/src/connection/load_report.h
@@ -1,4 +1,4 @@
-// What a target says of its load and of itself (docs/PROTOCOLS.md).
+// Load reports of targets (docs/PROTOCOLS.md).
 #ifndef LYNXGLADE_CONNECTION_LOAD_REPORT_H_
 #define LYNXGLADE_CONNECTION_LOAD_REPORT_H_
 
@@ -16,27 +16,27 @@
 struct LoadReport {
   base::TargetId target;
   std::string incarnation;
-  // Rises within an incarnation.
+  // Increases within an incarnation.
   std::uint64_t sequence = 0;
-  // When the target made it, in Unix milliseconds by the target's clock.
+  // Creation time by the target's clock, in Unix milliseconds.
   std::int64_t made_ms = 0;
   request::EngineRole role = request::EngineRole::kMixed;
   base::ModelName model;
   base::ModelVersion version;
   bool draining = false;
-  // load.as_of is `now` less the age that the report's own time shows.
+  // load.as_of is `now` minus the report's age according to made_ms.
   request::TargetLoad load;
 };
 
-// Reads a report that arrived at `now`. Nothing when it is malformed.
+// Parses a report that arrived at `now`. Returns nullopt if it is malformed.
 std::optional<LoadReport> ParseLoadReport(std::string_view json_text,
                                           base::Time now);
 
-// JSON text that ParseLoadReport reads; only the fields that it reads.
+// Encodes the fields that ParseLoadReport() reads as JSON.
 std::string EncodeLoadReport(const LoadReport& report);
 
-// Asks a target for its report; blocks for at most `timeout`. Nothing when it
-// does not answer or answers something else.
+// Requests a report from a target. Returns nullopt if there is no valid answer.
+// Blocks; `timeout` applies to connecting and to each read.
 std::optional<LoadReport> FetchLoadReport(const std::string& address,
                                           int port,
                                           base::Duration timeout,
--- a/src/connection/peer_link.h
+++ b/src/connection/peer_link.h
@@ -1,9 +1,9 @@
-// Message links between instances: WebSocket over TCP, by IP number.
+// Message links between instances: binary messages over WebSocket.
 //
-// PeerLinks listens, dials and carries opaque binary messages. It decides
-// nothing: whom to dial, when to dial again and what a message means belong to
-// its owner. The first message each way is a greeting that the owner judges;
-// nothing else is handed over before it was accepted.
+// PeerLinks listens, dials and transports opaque messages. Its owner decides
+// which peers to dial and when to redial, and interprets the messages. The
+// first message in each direction is a hello message; other messages are passed
+// to the owner only after it accepted the peer's hello.
 //
 // This header is compiled as C++17 and as C++20 and names no library type,
 // because the WebSocket library does not compile as C++20.
@@ -19,16 +19,16 @@
 
 namespace lynxglade::connection {
 
-// Names one link for the life of a PeerLinks; never used again.
+// Identifies a link; not reused during the lifetime of a PeerLinks.
 using PeerLinkId = std::uint64_t;
 
-// What the peer's certificate says; only known under TLS.
+// Identity in the peer's certificate; only available with TLS.
 struct PeerIdentity {
   std::string zone;
   std::string role;
 };
 
-// PEM files of mutual TLS; all empty means plain TCP.
+// PEM files for mutual TLS. Plain TCP if certificate_file is empty.
 struct PeerLinkTls {
   std::string certificate_file;
   std::string key_file;
@@ -38,44 +38,47 @@
 };
 
 struct PeerLinkOptions {
-  // IP number to listen on.
+  // IP address to listen on.
   std::string address = "127.0.0.1";
-  // 0 takes any free port.
+  // 0 selects a free port.
   int port = 0;
   PeerLinkTls tls;
-  // Further links are refused before they cost more than a socket.
+  // Further incoming links are rejected during the WebSocket handshake, further
+  // dials fail.
   std::size_t max_links = 256;
-  // Accepted connections whose TLS and WebSocket handshakes are not over;
-  // further ones are closed at once.
+  // Limit on accepted connections with an incomplete TLS or WebSocket
+  // handshake; further ones are closed at once.
   std::size_t max_unproved = 128;
-  // Bytes that wait for one slow peer; beyond it the oldest droppable message
-  // goes first.
+  // Limit on the send queue of one link. Beyond it the oldest droppable
+  // messages are dropped; the link is closed if that is not enough.
   std::size_t max_queue_bytes = 512u << 10;
-  // A peer that has not greeted within this time is cut off.
+  // A link is closed if the peer's hello does not arrive within this time.
   std::chrono::milliseconds hello_timeout{3000};
 };
 
-// Called on the I/O thread, one at a time; none may block.
+// Called on the I/O thread, except make_hello, which Start() calls. Must not
+// block.
 struct PeerLinkHooks {
-  // Makes the greeting once the listening port is known.
+  // Returns the hello message to send to peers. `port` is the listening port.
   std::function<std::string(int port)> make_hello;
-  // Judges the peer's greeting; returns why it is refused, empty to accept.
-  // `identity` is null without TLS.
+  // Checks the peer's hello. Returns the reason to reject it, or an empty
+  // string to accept it. `identity` is null without TLS.
   std::function<std::string(const std::string& hello,
                             const PeerIdentity* identity)>
       check_hello;
-  // The link may be used from here on.
+  // Called when the peer's hello was accepted; the link can be used from then
+  // on.
   std::function<void(PeerLinkId, bool dialled, const std::string& hello)> on_up;
-  // Called once for each link that was up, and for each dialled link that
-  // failed; `reason` is for logs.
+  // Called once when a link that was up has closed or a dial failed. `reason`
+  // is for logs.
   std::function<void(PeerLinkId, const std::string& reason)> on_down;
   std::function<void(PeerLinkId, const std::string& message)> on_message;
 };
 
-// Whether a message may be thrown away for a peer that does not keep up.
+// Whether a message may be dropped when the send queue is full.
 enum class PeerMessageClass { kKeep, kDroppable };
 
-// Totals since the start.
+// Totals since Start().
 struct PeerLinkCounters {
   std::uint64_t messages_sent = 0;
   std::uint64_t bytes_sent = 0;
@@ -88,11 +91,11 @@
 enum class PeerLinkError {
   kNone,
   kListen,
-  // A TLS file is missing or its content unusable.
+  // A TLS file is missing or invalid.
   kCertificate,
 };
 
-// Thread-safe; owns one I/O thread between Start and Stop.
+// Thread-safe. Owns one I/O thread between Start() and Stop().
 class PeerLinks {
  public:
   PeerLinks(PeerLinkOptions options, PeerLinkHooks hooks);
@@ -100,25 +103,25 @@
   PeerLinks(const PeerLinks&) = delete;
   PeerLinks& operator=(const PeerLinks&) = delete;
 
-  // Listens and starts the thread. Call once.
+  // Starts to listen, and the I/O thread. Call once.
   bool Start(PeerLinkError* last_error);
-  // Closes every link without on_down and joins the thread. Idempotent.
+  // Closes all links without calling on_down and joins the thread. Idempotent.
   void Stop();
 
-  // Starts one attempt; its end is on_up or on_down.
+  // Starts to dial; the result is reported by on_up or on_down.
   PeerLinkId Dial(const std::string& address, int port);
-  // Queues a message; without effect when the link is not up.
+  // Queues a message. No effect if the link is not up.
   void Send(PeerLinkId link, std::string message, PeerMessageClass cls);
-  // Closes a link that is up or being dialled; the peer is told the reason.
+  // Closes a link that is up or being dialled. `reason` is sent to the peer.
   void Close(PeerLinkId link, const std::string& reason);
-  // Reads the TLS files again for links made from now on; on failure the
-  // former ones stay. True and without effect without TLS.
+  // Reloads the TLS files, for new links only. On failure returns false and
+  // keeps the previous ones. Without TLS returns true and has no effect.
   bool ReloadTls();
 
   int port() const noexcept;
   PeerLinkCounters counters() const;
 
-  // The part that differs between plain TCP and TLS.
+  // Implementation over plain TCP or TLS.
   class Transport;
 
  private:
--- a/src/connection/peer_link_endpoint.h
+++ b/src/connection/peer_link_endpoint.h
@@ -1,5 +1,5 @@
-// Inside of peer_link: the transport over websocketpp, for plain TCP and for
-// TLS alike. Included by peer_link_plain.cc and peer_link_tls.cc only.
+// Transport of peer links over websocketpp, for plain TCP and TLS. Included by
+// peer_link_plain.cc and peer_link_tls.cc only.
 #ifndef LYNXGLADE_CONNECTION_PEER_LINK_ENDPOINT_H_
 #define LYNXGLADE_CONNECTION_PEER_LINK_ENDPOINT_H_
 
@@ -28,8 +28,8 @@
 
 namespace lynxglade::connection {
 
-// The library's settings for both ends; `Socket` is its plain or TLS socket
-// policy. Lower-case names are the library's.
+// websocketpp configuration for server and client. `Socket` is websocketpp's
+// plain or TLS socket policy. Lower-case names are required by websocketpp.
 // NOLINTBEGIN(readability-identifier-naming)
 template <typename Socket>
 struct PeerWebSocketConfig : public websocketpp::config::core_client {
@@ -54,7 +54,7 @@
 };
 // NOLINTEND(readability-identifier-naming)
 
-// What plain TCP and TLS do differently.
+// The parts that differ between plain TCP and TLS.
 template <typename Config>
 struct PeerSocketPolicy {
   using Server = websocketpp::server<Config>;
@@ -62,10 +62,11 @@
   using ConnectionPtr = typename Server::connection_ptr;
 
   std::string scheme;
-  // Reads the files; false when they cannot be used.
+  // Loads the TLS files; returns false if they are unusable.
   std::function<bool()> reload;
   std::function<void(Server&, Client&)> install;
-  // Fills the identity proved by the peer; null result refuses the link.
+  // Sets the identity from the peer's certificate. Returns false to reject the
+  // link.
   std::function<bool(ConnectionPtr, std::optional<PeerIdentity>*)> identify;
 };
 
@@ -163,12 +164,12 @@
     PeerLinkQueue queue;
   };
 
-  // Bytes that the library may hold for one connection before messages wait
-  // in our own, bounded queue.
+  // Once websocketpp buffers this much for a connection, messages go to the
+  // bounded queue of the link.
   static constexpr std::size_t kLibraryBufferBytes = 64u << 10;
   static constexpr std::chrono::milliseconds kSweepInterval{50};
   static constexpr const char* kResource = "/lynxglade/peer";
-  // Longest close reason that a WebSocket close frame carries.
+  // A WebSocket close frame carries at most 123 bytes of reason.
   static constexpr std::size_t kMaxReasonBytes = 120;
 
   bool Listen() {
@@ -210,8 +211,8 @@
   }
 
   void InstallServerHandlers() {
-    // Counted from the accept on: a handshake that does not come holds a
-    // socket until its timeout.
+    // Counts pending handshakes: a client that never starts one occupies a
+    // socket until the handshake timeout.
     server_.set_tcp_pre_init_handler([this](websocketpp::connection_hdl hdl) {
       if (++unproved_ > options_.max_unproved) {
         ++links_refused_;
@@ -259,7 +260,7 @@
     return false;
   }
 
-  // Binds a connection's events to its link id.
+  // Installs the handlers that map a connection's events to its link id.
   void Adopt(PeerLinkId id, const ConnectionPtr& con) {
     con->set_message_handler(
         [this, id](websocketpp::connection_hdl, MessagePtr message) {
@@ -284,7 +285,9 @@
                                    ec);
     }
     if (!con || ec) {
-      hooks_.on_down(id, con ? ec.message() : "too many links");
+      hooks_.on_down(id, con ? ec.message()
+                             : "too many links (limit " +
+                                   std::to_string(options_.max_links) + ")");
       return;
     }
     Adopt(id, con);
@@ -300,7 +303,8 @@
     client_.connect(con);
   }
 
-  // The connection is open: prove the peer, then send our greeting.
+  // Called when the connection is open: checks the peer's identity and sends
+  // the hello message.
   void Greet(PeerLinkId id) {
     const auto it = links_.find(id);
     if (it == links_.end()) {
@@ -309,7 +313,8 @@
     Link& link = it->second;
     if (!policy_.identify(link.connection, &link.identity)) {
       ++links_refused_;
-      Drop(id, "certificate names no zone and role", "certificate refused");
+      Drop(id, "certificate names no zone and role",
+           "peer certificate names no zone and role");
       return;
     }
     link.hello_deadline = SteadyClock::now() + options_.hello_timeout;
@@ -326,7 +331,8 @@
     bytes_received_ += payload.size();
     if (message->get_opcode() != websocketpp::frame::opcode::binary) {
       ++links_refused_;
-      Drop(id, "binary messages only", "peer sent text");
+      Drop(id, "binary messages only",
+           "peer sent a message that is not binary");
       return;
     }
     if (it->second.up) {
@@ -362,7 +368,7 @@
     bool fits = true;
     messages_dropped_ += link.queue.Push(std::move(message), cls, &fits);
     if (!fits) {
-      Drop(id, "too slow", "peer too slow");
+      Drop(id, "send queue full", "send queue full, peer too slow");
     }
   }
 
@@ -381,8 +387,8 @@
     bytes_sent_ += message.size();
   }
 
-  // Forgets the link, closes its connection and tells the owner if it knows
-  // of the link.
+  // Removes the link and closes its connection. Calls on_down if the link was
+  // up or dialled, so that the owner has its id.
   void Drop(PeerLinkId id,
             const std::string& told_to_peer,
             const std::string& reason) {
@@ -411,7 +417,7 @@
     });
   }
 
-  // Moves waiting messages on and cuts off peers that never greet.
+  // Sends queued messages and closes links whose hello is overdue.
   void Sweep() {
     const auto now = SteadyClock::now();
     std::vector<PeerLinkId> silent;
@@ -428,7 +434,7 @@
     }
     for (const PeerLinkId id : silent) {
       ++links_refused_;
-      Drop(id, "no greeting", "no greeting");
+      Drop(id, "hello timed out", "peer sent no hello in time");
     }
     for (const PeerLinkId id : waiting) {
       Pump(id);
@@ -450,8 +456,9 @@
         io_.run();
         return;
       } catch (const std::exception&) {
-        // The library throws out of handlers for a connection that broke in
-        // between; that connection's own events follow, the others go on.
+        // websocketpp throws from handlers of a connection that broke
+        // meanwhile. Its close or fail handler still runs; other links are not
+        // affected.
         continue;
       }
     }
@@ -462,8 +469,8 @@
     sweep_timer_.cancel();
     websocketpp::lib::error_code ec;
     server_.stop_listening(ec);
-    // The loop ends before a closing handshake could, so the sockets are closed
-    // at once for the peers to see it.
+    // The event loop stops before a closing handshake could finish, so the
+    // sockets are closed directly to notify the peers.
     for (const auto& [id, link] : links_) {
       boost::system::error_code bec;
       link.connection->get_raw_socket().close(bec);
@@ -488,9 +495,9 @@
   std::atomic<std::uint64_t> bytes_received_{0};
   std::atomic<std::uint64_t> messages_dropped_{0};
   std::atomic<std::uint64_t> links_refused_{0};
-  // Only on the I/O thread once that runs.
+  // The members below are used only on the I/O thread once it runs.
   bool stopping_ = false;
-  // Accepted connections whose handshake is not over.
+  // Accepted connections with an incomplete handshake.
   std::size_t unproved_ = 0;
   std::map<PeerLinkId, Link> links_;
   std::thread thread_;
--- a/src/connection/peer_link_queue.h
+++ b/src/connection/peer_link_queue.h
@@ -1,4 +1,4 @@
-// Inside of peer_link: messages that wait for one slow peer.
+// Send queue of one peer link. Private to peer_link.
 #ifndef LYNXGLADE_CONNECTION_PEER_LINK_QUEUE_H_
 #define LYNXGLADE_CONNECTION_PEER_LINK_QUEUE_H_
 
@@ -12,15 +12,15 @@
 
 namespace lynxglade::connection {
 
-// First in, first out, bounded in bytes. Not thread-safe.
+// FIFO bounded in bytes. Not thread-safe.
 class PeerLinkQueue {
  public:
   explicit PeerLinkQueue(std::size_t max_bytes) noexcept
       : max_bytes_(max_bytes) {}
 
-  // Appends a message and makes room by dropping the oldest droppable ones.
-  // Returns how many were dropped; false in `fits` means that even so the
-  // bound is passed and the link should be closed.
+  // Appends a message, dropping the oldest droppable ones while the queue
+  // exceeds its bound. Returns the number of dropped messages. `fits` is set to
+  // false if the queue still exceeds its bound; the link should be closed then.
   std::size_t Push(std::string message, PeerMessageClass cls, bool* fits) {
     bytes_ += message.size();
     waiting_.push_back({std::move(message), cls});
@@ -32,7 +32,7 @@
     return dropped;
   }
 
-  // Only when not empty.
+  // The queue must not be empty.
   std::string Pop() {
     std::string message = std::move(waiting_.front().message);
     waiting_.pop_front();
--- a/src/connection/peer_link_tls.cc
+++ b/src/connection/peer_link_tls.cc
@@ -9,7 +9,7 @@
 
 #include "connection/peer_link_endpoint.h"
 
-// Needs declarations that only the library's endpoint headers bring.
+// Must follow the endpoint headers, whose declarations it needs.
 #include <websocketpp/transport/asio/security/tls.hpp>
 
 namespace lynxglade::connection {
@@ -21,7 +21,7 @@
 
 constexpr std::string_view kIdentityPrefix = "urn:lynxglade:";
 
-// The context of one side from the files; null when they cannot be used.
+// Creates an SSL context from the files; null if they are unusable.
 SslContextPtr MakeContext(const PeerLinkTls& files) {
   boost::system::error_code ec;
   auto context = std::make_shared<SslContext>(SslContext::tls);
@@ -50,7 +50,7 @@
   return context;
 }
 
-// The context in use; replaced as a whole by a reload.
+// Holds the current SSL contexts, which a reload replaces.
 class ContextHolder {
  public:
   explicit ContextHolder(PeerLinkTls files) : files_(std::move(files)) {}
@@ -76,7 +76,7 @@
   SslContextPtr context_;
 };
 
-// Reads "urn:lynxglade:<zone>:<role>".
+// Parses "urn:lynxglade:<zone>:<role>".
 std::optional<PeerIdentity> ParseIdentity(std::string_view uri) {
   if (uri.substr(0, kIdentityPrefix.size()) != kIdentityPrefix) {
     return std::nullopt;
--- a/src/connection/peer_link_transport.h
+++ b/src/connection/peer_link_transport.h
@@ -1,5 +1,5 @@
-// Inside of peer_link: the interface that the plain and the TLS transport
-// share. Included by the peer_link_*.cc files only.
+// Interface of the plain and the TLS transport of peer links. Included by the
+// peer_link_*.cc files only.
 #ifndef LYNXGLADE_CONNECTION_PEER_LINK_TRANSPORT_H_
 #define LYNXGLADE_CONNECTION_PEER_LINK_TRANSPORT_H_
 
--- a/src/connection/platform_fetch.h
+++ b/src/connection/platform_fetch.h
@@ -1,4 +1,4 @@
-// One read from the platform's HTTP services (instance list, weight store).
+// HTTP reads from the platform's services (instance list, weight store).
 #ifndef LYNXGLADE_CONNECTION_PLATFORM_FETCH_H_
 #define LYNXGLADE_CONNECTION_PLATFORM_FETCH_H_
 
@@ -11,15 +11,15 @@
 
 namespace lynxglade::connection {
 
-// Why a read from the platform gave nothing new.
+// Why a read from the platform failed.
 enum class PlatformError {
   kNone,
-  // No connection, or no answer in time.
+  // No connection, or no answer within the timeout.
   kUnreachable,
   kRateLimited,
-  // Another status than 200, or a body that does not read as it should.
+  // The status is not 200, or the body is malformed.
   kBadAnswer,
-  // The answer is older than what is held; it was not taken.
+  // The answer is older than the held data and was discarded.
   kOlder,
 };
 std::string_view ToString(PlatformError error) noexcept;
@@ -29,16 +29,17 @@
   std::string body;
 };
 
-// GETs a path. Returns nothing when there was no answer. Blocks; thread-safe.
+// Sends GET for a path. Returns nullopt if there was no answer. Blocks;
+// thread-safe.
 using PlatformFetch =
     std::function<std::optional<PlatformAnswer>(const std::string& path)>;
 
-// Fetches from "http://address:port" over cpp-httplib, one connection a call,
-// each step of it bounded by `timeout` and the body by kMaxPlatformBodyBytes.
+// Fetches from "http://address:port" with one connection per call. `timeout`
+// applies to each step, kMaxPlatformBodyBytes to the body.
 PlatformFetch MakeHttpPlatformFetch(const std::string& base_url,
                                     base::Duration timeout);
 
-// The body of a fetch that went well; the typed reason otherwise.
+// Fetches a path and returns the body, or nullopt with `last_error` set.
 std::optional<std::string> FetchBody(const PlatformFetch& fetch,
                                      const std::string& path,
                                      PlatformError* last_error);
--- a/src/connection/server_stream.cc
+++ b/src/connection/server_stream.cc
@@ -23,18 +23,19 @@
 
 constexpr std::size_t kReceiveBytes = 16u << 10;
 constexpr std::chrono::milliseconds kAwaitSlice{200};
-// A caller that reads more slowly than this is cut off.
+// Slower callers run into the write timeout.
 constexpr std::size_t kLeastBytesPerSecond = 16u << 10;
 constexpr std::string_view kRangeName = "range:";
-// Same length, so that the head can be changed in place.
+// Same length as kRangeName, so that the head can be changed in place.
 constexpr std::string_view kHiddenRange = "x-rng:";
 
 bool MustWait() {
   return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
 }
 
-// Just after the head's empty line, looked for from `from` on; npos when it is
-// not there yet. The library takes "\r\n" only as the end of a line.
+// Returns the position after the empty line that ends the head, or npos if it
+// has not arrived. The search starts at `from`. The HTTP library accepts only
+// "\r\n" as the end of a line.
 std::size_t FindHeadEnd(const std::string& text, std::size_t from) {
   if (from == 0 && text.starts_with("\r\n")) {
     return 2;
@@ -111,7 +112,7 @@
     if (n <= 0) {
       return n == 0 ? Verdict::kClosed : Verdict::kTooSlow;
     }
-    // The end may lie across two pieces.
+    // The end of the head may be split across two reads.
     const std::size_t from = input_.size() < 2 ? 0 : input_.size() - 2;
     input_.append(buf.data(), static_cast<std::size_t>(n));
     end = FindHeadEnd(input_, from);
@@ -197,7 +198,7 @@
     std::memcpy(ptr, input_.data() + input_read_, static_cast<std::size_t>(n));
     input_read_ += static_cast<std::size_t>(n);
   } else if (wanted < kReceiveBytes) {
-    // The library reads chunk sizes byte by byte.
+    // Buffers input, because the HTTP library reads chunk sizes byte by byte.
     input_.resize(kReceiveBytes);
     input_read_ = 0;
     n = Receive(input_.data(), input_.size(), body_deadline_);
@@ -234,7 +235,8 @@
   return static_cast<ssize_t>(size);
 }
 
-// The library puts these into request headers, where nothing of ours looks.
+// The HTTP library only copies the address to request headers, which are
+// unused.
 void ServerStream::get_remote_ip_and_port(std::string& ip, int& port) const {
   ip.clear();
   port = 0;
@@ -325,7 +327,7 @@
         !WaitFor(reason == SSL_ERROR_WANT_READ ? POLLIN : POLLOUT, deadline);
     return !*timed_out;
   }
-  // After these the library must not be called again on this connection.
+  // After these errors OpenSSL must not be called again on this connection.
   broken_ = broken_ || reason == SSL_ERROR_SSL || reason == SSL_ERROR_SYSCALL;
   return false;
 }
--- a/src/connection/server_stream.h
+++ b/src/connection/server_stream.h
@@ -1,9 +1,9 @@
-// One accepted connection of HttpServer: reading and writing under bounds on
-// bytes and time, plain or under TLS. Private to http_server.cc.
+// One accepted connection of HttpServer, plain or TLS, with limits on size and
+// time of reads and writes. Private to http_server.cc.
 //
-// The library reads a request's head without a bound on its size or time, and
-// a chunked body likewise. Here the whole head is read first, within its
-// bounds, and only then handed to the library.
+// The HTTP library bounds neither size nor time of heads and chunked bodies.
+// Here the complete head is read within its limits before the library parses
+// it.
 #ifndef LYNXGLADE_CONNECTION_SERVER_STREAM_H_
 #define LYNXGLADE_CONNECTION_SERVER_STREAM_H_
 
@@ -23,42 +23,43 @@
 struct ServerStreamLimits {
   std::size_t max_head_bytes = 0;
   std::size_t max_header_lines = 0;
-  // On the wire, so chunk framing included.
+  // As sent, including chunk framing.
   std::size_t max_body_bytes = 0;
   base::Duration handshake_timeout{};
   base::Duration head_timeout{};
   base::Duration body_timeout{};
-  // Without progress; large pieces get longer by the least rate.
+  // Bounds one write; large pieces get more time (kLeastBytesPerSecond).
   base::Duration write_timeout{};
 };
 
-// The library's interface has lower-case names. Used by one thread.
+// Used by one thread, except PeerClosed(). Lower-case names are those of
+// httplib::Stream.
 class ServerStream final : public httplib::Stream {
  public:
-  // What a head or a body came to.
+  // Result of reading a head or a body.
   enum class Verdict { kGood, kClosed, kTooLarge, kTooSlow };
 
   // Does not own the socket; makes it non-blocking.
   ServerStream(socket_t socket, const ServerStreamLimits& limits);
   ~ServerStream() override;
 
-  // TLS from here on. False when it fails or takes too long.
+  // Does the TLS handshake. Returns false if it fails or times out.
   bool Handshake(const TlsMaterial::ContextPtr& context);
 
-  // Waits for the first byte of a request; asks `give_up` a few times a
-  // second. False when the wait ended otherwise.
+  // Waits for the first byte of a request. `give_up` is polled a few times per
+  // second. Returns false on timeout, error or if `give_up` returned true.
   bool AwaitRequest(base::Duration timeout,
                     const std::function<bool()>& give_up);
-  // Reads up to the end of the head and keeps it for the library.
+  // Reads the complete head and buffers it for the HTTP library.
   Verdict ReadHead();
-  // Whether the caller has closed its end, or at least its sending side.
-  // Thread-safe; works with and without TLS.
+  // Whether the caller closed the connection or its sending side. Thread-safe;
+  // works with and without TLS.
   bool PeerClosed() const;
-  // What became of the body so far.
+  // Result of reading the body so far.
   Verdict body_verdict() const noexcept { return body_verdict_; }
 
-  // Ends the sending side and takes what the caller still sends, for a short
-  // while, so that the last answer is not lost to a reset.
+  // Shuts down the sending side and discards further input for at most
+  // `patience`, so that a reset does not destroy the last answer.
   void CloseGently(base::Duration patience);
 
   // --- httplib::Stream
@@ -74,27 +75,28 @@
   using SteadyTime = std::chrono::steady_clock::time_point;
   using SslPtr = std::unique_ptr<SSL, decltype(&SSL_free)>;
 
-  // The three below: the count, 0 when the peer closed or the connection
-  // broke, -1 when the deadline passed.
+  // The next four return the byte count, 0 if the connection was closed or
+  // failed, or -1 if the deadline passed.
   ssize_t Receive(char* ptr, std::size_t size, SteadyTime deadline);
   ssize_t ReceivePlain(char* ptr, std::size_t size, SteadyTime deadline);
   ssize_t ReceiveTls(char* ptr, std::size_t size, SteadyTime deadline);
   ssize_t SendSome(const char* ptr, std::size_t size, SteadyTime deadline);
-  // Waits for what the TLS library wants; false on an error or the deadline.
+  // Waits until the TLS operation can continue. Returns false on an error or if
+  // the deadline passed.
   bool WaitForTls(int result, SteadyTime deadline, bool* timed_out);
   bool WaitFor(short events, SteadyTime deadline) const;
   bool HasInput() const;
-  // Hides a Range header from the library, which would match it by a
-  // recursive regular expression and cut the answer.
+  // Hides a Range header from the HTTP library, which would match it by a
+  // recursive regular expression and truncate the answer.
   void HideRange(std::size_t head_size);
 
   const socket_t socket_;
   const ServerStreamLimits limits_;
   SslPtr ssl_;
-  // Received and not yet read by the library.
+  // Received bytes, read by the HTTP library up to input_read_.
   std::string input_;
   std::size_t input_read_ = 0;
-  // Bytes of the head that the library has not read.
+  // Bytes of the head that the HTTP library has not read yet.
   std::size_t head_left_ = 0;
   std::size_t body_bytes_ = 0;
   SteadyTime body_deadline_{};
--- a/src/connection/target_client.cc
+++ b/src/connection/target_client.cc
@@ -21,10 +21,11 @@
 
 namespace {
 
-// A cancel that takes longer than this is worth nothing.
+// Timeout of each step of a cancel, which is useless when late.
 constexpr base::Duration kCancelTimeout = std::chrono::milliseconds(500);
 
-// How much later than the watch the library's own time-out ends a read.
+// The HTTP library's read timeout exceeds the idle timeout by this, so that
+// AttemptWatch normally fires first.
 constexpr base::Duration kWatchSlack = std::chrono::seconds(1);
 
 struct CancelItem {
@@ -33,7 +34,7 @@
   base::AttemptId attempt;
 };
 
-// Sends cancels one after the other on its own thread.
+// Sends cancels one at a time on its own thread.
 class CancelSender {
  public:
   CancelSender(TargetConnectionPool& pool, std::size_t max_queued)
@@ -67,7 +68,7 @@
     }
   }
 
-  // Blocks; nothing at the end.
+  // Blocks; nullopt once the destructor runs.
   std::optional<CancelItem> Next() {
     std::unique_lock lock(mutex_);
     wake_.wait(lock, [this] { return ending_ || !queue_.empty(); });
@@ -85,7 +86,7 @@
     client->set_read_timeout(kCancelTimeout);
     client->set_write_timeout(kCancelTimeout);
     const nlohmann::json body = {{"attempt_id", item.attempt.str()}};
-    // Best effort: the closed connection cancels too.
+    // Best effort: closing the attempt's connection cancels it, too.
     client->Post("/v1/cancel", body.dump(), "application/json");
   }
 
@@ -139,12 +140,13 @@
                                          const request::TokenSink& sink) {
   const bool plain = spec.role == request::EngineRole::kPlain;
   if (plain && !IsSendable(*spec.request)) {
-    return Rejected("method, path or content type cannot be sent");
+    return Rejected(
+        "method, path or content type has characters that HTTP forbids");
   }
   std::optional<std::string> body =
       plain ? spec.request->body : EngineBody(spec);
   if (!body) {
-    return Rejected("the body is no JSON object");
+    return Rejected("request body is not a JSON object");
   }
   const std::size_t body_size = body->size();
   TargetExchange exchange(spec, sink, std::move(*body), details_->clock,
@@ -154,8 +156,8 @@
   const base::Duration silence = spec.idle_timeout > base::Duration::zero()
                                      ? std::min(spec.idle_timeout, spec.timeout)
                                      : spec.timeout;
-  // A request without a body comes under watch with the answer's head only;
-  // until then the silence is bounded here. Otherwise the watch is sooner.
+  // A request without a body is not watched until the head of the answer
+  // arrives, so the read timeout enforces the idle timeout until then.
   client->set_read_timeout(body_size == 0 ? silence : silence + kWatchSlack);
   client->set_connection_timeout(
       std::min(spec.timeout, details_->options.connect_timeout));
--- a/src/connection/target_client.h
+++ b/src/connection/target_client.h
@@ -1,11 +1,11 @@
-// Carries out attempts at model engines and plain services over HTTP.
+// Sends attempts to model engines and plain services over HTTP.
 //
-// Every attempt is classified by what can be proved of it: a request whose
-// body was never handed to the kernel did not run; a target that refused with
-// its own word did not run it; everything else is "ran" once a token of ours
-// came and "unknown" until then. The library under it never sends a request
-// twice (tested), and a non-idempotent request gets a fresh connection, so
-// that no stale one can swallow it.
+// Each attempt ends with an outcome: "not run" if the connection failed, if the
+// body was never written to the socket, or if the target rejected the request
+// with outcome "not_run" in its answer; "ran" once an event of the attempt's
+// stream or a plain answer arrived; otherwise "unknown". A request is never
+// sent twice, and a non-idempotent request gets a new connection, because a
+// reused one may have been closed by the target.
 #ifndef LYNXGLADE_CONNECTION_TARGET_CLIENT_H_
 #define LYNXGLADE_CONNECTION_TARGET_CLIENT_H_
 
@@ -19,26 +19,25 @@
 namespace lynxglade::connection {
 
 struct TargetClientOptions {
-  // Time to connect; a target in the region answers in milliseconds.
   base::Duration connect_timeout = std::chrono::seconds(1);
-  // Longest pause while the request is written.
+  // Longest wait for the socket to accept more of the request.
   base::Duration write_timeout = std::chrono::seconds(5);
-  // Unused connections are closed after this; shorter than the targets' own
-  // idle time-out, so that a kept connection is rarely a closed one.
+  // Idle connections are closed after this. Shorter than the targets' own idle
+  // timeout, so that reused connections are rarely closed by the target.
   base::Duration idle_timeout = std::chrono::seconds(4);
   std::size_t max_idle_per_target = 64;
-  // How often silent attempts are looked at.
+  // How often attempts are checked for timeouts and cancellation.
   base::Duration poll_period = std::chrono::milliseconds(20);
-  // Largest answer of a plain service.
+  // Largest answer body of a plain service, in bytes.
   std::size_t max_plain_body = kMaxCallerBodyBytes;
-  // Cancels waiting to be sent; more are dropped.
+  // Queue of unsent cancels; further ones are dropped.
   std::size_t max_queued_cancels = 1024;
 };
 
-// Thread-safe. Owns two threads: one watches attempts for silence, deadlines
-// and callers that left, one sends cancels. The destructor joins them; no
-// Run() may be under way then. The constructor makes the process ignore
-// SIGPIPE, since a target may close while it is written to.
+// Thread-safe. Owns two threads: one ends attempts on idle timeout, deadline or
+// cancellation by the caller, one sends cancels. The destructor joins them; no
+// Run() may be in progress then. The constructor makes the process ignore
+// SIGPIPE, since a target may close a connection during a write.
 class TargetClient {
  public:
   TargetClient(base::Clock clock, TargetClientOptions options);
@@ -46,12 +45,12 @@
   TargetClient(const TargetClient&) = delete;
   TargetClient& operator=(const TargetClient&) = delete;
 
-  // Blocks until the attempt ended, at most about spec.timeout.
+  // Blocks until the attempt ends, for at most about spec.timeout.
   request::AttemptReport Run(const request::AttemptSpec& spec,
                              const request::TokenSink& sink);
 
-  // Queues POST /v1/cancel to the attempt's engine and returns at once. Plain
-  // services know no cancel.
+  // Queues POST /v1/cancel to the attempt's engine and returns at once. Does
+  // nothing for plain services, which have no cancel call.
   void Cancel(const request::AttemptSpec& spec);
 
  private:
--- a/src/connection/target_client_exchange.cc
+++ b/src/connection/target_client_exchange.cc
@@ -21,12 +21,12 @@
 
 constexpr char kChatPath[] = "/v1/chat/completions";
 constexpr std::string_view kEventStream = "text/event-stream";
-// An error body larger than this is no refusal that we understand.
+// Larger error bodies are not parsed.
 constexpr std::size_t kMaxErrorBody = 64u << 10;
-// Bytes handed to the socket a time.
+// Bytes per write to the socket.
 constexpr std::size_t kWriteSlice = 64u << 10;
-// How long the end of the HTTP message may lag behind the end marker before
-// the connection is given up; the answer is whole already.
+// How long to wait for the end of the HTTP message after the stream's end
+// marker before closing the connection. The answer is already complete.
 constexpr base::Duration kEndLinger = std::chrono::milliseconds(50);
 constexpr std::size_t kMaxMessage = 512;
 
@@ -45,7 +45,7 @@
   return c >= 'A' && c <= 'Z';
 }
 
-// Statuses whose answers have no body by definition.
+// Statuses whose answers never have a body.
 bool HasNoBody(int status) noexcept {
   return status == 204 || status == 304;
 }
@@ -128,9 +128,9 @@
   httplib::Response response;
   httplib::Error error = httplib::Error::Success;
   const bool sent = client.send(request, response, error);
-  // Nobody may break the connection from here on.
+  // From here on, the watch no longer closes the connection.
   watch.Retire();
-  // The library hands over no head when the answer has no body.
+  // The HTTP library does not call the response handler if there is no body.
   if (sent && phase_ != Phase::kAnswering) {
     TakeHead(response, watch);
   }
@@ -152,8 +152,8 @@
   if (!type.empty()) {
     request.set_header("Content-Type", type);
   }
-  // The body goes out through a provider, because its first call is the
-  // latest moment at which the attempt can still be called off as not run.
+  // The body is sent by a content provider: its first call is the last point at
+  // which the attempt can still be abandoned as not run.
   request.content_length_ = body_.size();
   request.content_provider_ = [this, &watch](std::size_t offset,
                                              std::size_t size,
@@ -176,7 +176,7 @@
                                WatchedAttempt& watch) {
   if (phase_ == Phase::kConnecting) {
     const base::Time now = clock_();
-    // The process may have been paused since the spec was made.
+    // The process may have been suspended since the attempt started.
     const base::Duration limit = spec_.start_timeout > base::Duration::zero()
                                      ? spec_.start_timeout
                                      : spec_.timeout;
@@ -199,7 +199,7 @@
 
 bool TargetExchange::TakeHead(const httplib::Response& head,
                               WatchedAttempt& watch) {
-  // A request without a body was not armed before.
+  // A request without a body has not been armed by WriteBody().
   watch.Arm(clock_());
   phase_ = Phase::kAnswering;
   status_ = head.status;
@@ -278,11 +278,11 @@
     return;
   }
   if (!body_.empty()) {
-    // The head may have left, but the target never saw what to run.
+    // The head may have been sent, but none of the body.
     End(AttemptEnd::kSendFailed, Outcome::kNotRun);
     return;
   }
-  // Without a body the head was the whole request.
+  // Without a body, the head is the complete request and may have been sent.
   const base::Duration limit = spec_.idle_timeout > base::Duration::zero()
                                    ? std::min(spec_.timeout, spec_.idle_timeout)
                                    : spec_.timeout;
@@ -296,7 +296,8 @@
   switch (stream_.state()) {
     case EngineStream::State::kEnded:
       if (!stream_.IsWhole()) {
-        report_.message = "the parts do not add up to the usage";
+        report_.message =
+            "finish reason or usage missing, or token count differs from usage";
         End(AttemptEnd::kBadAnswer, so_far);
         return;
       }
@@ -323,7 +324,7 @@
     return;
   }
   if (complete) {
-    report_.message = "the stream ended without its end marker";
+    report_.message = "stream ended without its end marker";
   }
   End(AttemptEnd::kTruncated, so_far);
 }
@@ -334,7 +335,7 @@
     return;
   }
   if (body_too_large_) {
-    report_.message = "answer too large";
+    report_.message = "answer body too large";
     End(AttemptEnd::kBadAnswer, IsPlain() ? Outcome::kRan : Outcome::kUnknown);
     return;
   }
--- a/src/connection/target_client_exchange.h
+++ b/src/connection/target_client_exchange.h
@@ -1,5 +1,5 @@
-// One HTTP exchange of an attempt, and what it proves. Private to
-// TargetClient; names library types, so it is included from .cc files only.
+// One HTTP exchange of an attempt and its outcome. Private to TargetClient;
+// exposes HTTP library types, so it is included from .cc files only.
 #ifndef LYNXGLADE_CONNECTION_TARGET_CLIENT_EXCHANGE_H_
 #define LYNXGLADE_CONNECTION_TARGET_CLIENT_EXCHANGE_H_
 
@@ -17,17 +17,17 @@
 
 namespace lynxglade::connection {
 
-// The body that an engine gets: the request's own with the fields of the
-// attempt. Nothing when the request's body is no JSON object.
+// Builds the body sent to an engine: the request body plus the fields of the
+// attempt. Returns nullopt if the request body is not a JSON object.
 std::optional<std::string> EngineBody(const request::AttemptSpec& spec);
 
-// Whether method and path can stand in a request line as they are.
+// Whether method, path and content type can be sent without escaping.
 bool IsSendable(const request::Request& request) noexcept;
 
-// Used once, on one thread.
+// Carries one attempt; used by one thread.
 class TargetExchange {
  public:
-  // All but `body` outlive this object.
+  // `spec`, `sink` and `clock` must outlive this object.
   TargetExchange(const request::AttemptSpec& spec,
                  const request::TokenSink& sink,
                  std::string body,
@@ -36,16 +36,15 @@
   TargetExchange(const TargetExchange&) = delete;
   TargetExchange& operator=(const TargetExchange&) = delete;
 
-  // Sends the request and reads until the answer ended or broke. `watch` was
-  // made for this exchange.
+  // Sends the request and reads the answer until it is complete or fails. Call
+  // once, with a `watch` of this exchange only.
   request::AttemptReport Perform(httplib::Client& client,
                                  WatchedAttempt& watch);
 
-  // Whether the connection may carry another request.
+  // Whether the connection may be reused for another request.
   bool connection_clean() const noexcept { return connection_clean_; }
 
  private:
-  // How far the exchange has come.
   enum class Phase { kConnecting, kWriting, kWritten, kAnswering };
 
   httplib::Request MakeRequest(WatchedAttempt& watch);
@@ -63,7 +62,7 @@
   void ClassifyStream(bool complete, StopReason stopped);
   void ClassifyBody(bool complete, StopReason stopped);
   void ClassifyBroken(StopReason stopped);
-  // True when the body is the target's own word that it did not run this.
+  // Returns true if the body is an error with outcome "not_run".
   bool TakeRefusal();
   void End(request::AttemptEnd end, base::Outcome outcome);
 
@@ -83,7 +82,7 @@
   int status_ = 0;
   std::string content_type_;
   std::string retry_after_;
-  // Answers that are no event stream.
+  // Body of an answer that is not an event stream.
   std::string answer_;
   bool connection_clean_ = false;
   request::AttemptReport report_;
--- a/src/connection/target_client_pool.cc
+++ b/src/connection/target_client_pool.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-// A kept connection is usable when nothing can be read from it: readable means
-// closed by the peer, or bytes that belong to no request of ours.
+// Whether an idle connection is usable. A readable one was closed by the target
+// or has bytes that belong to no request.
 bool IsQuiet(const httplib::Client& client) noexcept {
   pollfd fd{.fd = client.socket(), .events = POLLIN, .revents = 0};
   return fd.fd >= 0 && ::poll(&fd, 1, 0) == 0;
@@ -40,7 +40,7 @@
   const base::Time oldest = clock_() - options_.idle_timeout;
   const std::lock_guard lock(mutex_);
   const auto it = idle_.find(endpoint);
-  // The one used last is the one most likely still open.
+  // The most recently used connection is the most likely to be open.
   if (it == idle_.end() || it->second.empty() ||
       it->second.back().since <= oldest) {
     return nullptr;
@@ -65,7 +65,8 @@
   std::vector<Idle> closing;
   const std::lock_guard lock(mutex_);
   for (auto& [endpoint, idle] : idle_) {
-    // Oldest first, since they are taken and given back at the end.
+    // Sorted oldest first, since connections are taken and returned at the
+    // back.
     const auto end = std::ranges::find_if(
         idle, [oldest](const Idle& i) { return i.since > oldest; });
     closing.insert(closing.end(), std::make_move_iterator(idle.begin()),
@@ -82,7 +83,7 @@
   client->set_keep_alive(true);
   client->set_tcp_nodelay(true);
   client->set_follow_location(false);
-  // Paths and bodies pass through as they are.
+  // Paths and bodies are passed through unchanged.
   client->set_url_encode(false);
   client->set_decompress(false);
   client->set_connection_timeout(options_.connect_timeout);
--- a/src/connection/target_client_pool.h
+++ b/src/connection/target_client_pool.h
@@ -1,5 +1,5 @@
-// Kept connections to targets. Private to TargetClient; names library types,
-// so it is included from .cc files only.
+// Pool of idle connections to targets. Private to TargetClient; exposes HTTP
+// library types, so it is included from .cc files only.
 #ifndef LYNXGLADE_CONNECTION_TARGET_CLIENT_POOL_H_
 #define LYNXGLADE_CONNECTION_TARGET_CLIENT_POOL_H_
 
@@ -17,8 +17,8 @@
 
 namespace lynxglade::connection {
 
-// Thread-safe. Hands each connection to one user at a time. Sockets are closed
-// outside the lock.
+// Thread-safe. A connection is used by one caller at a time. CloseIdle() closes
+// sockets outside the lock.
 class TargetConnectionPool {
  public:
   struct Options {
@@ -32,17 +32,19 @@
   TargetConnectionPool(const TargetConnectionPool&) = delete;
   TargetConnectionPool& operator=(const TargetConnectionPool&) = delete;
 
-  // A client for the address, connected already when a kept one is there and
-  // `fresh` is false. A kept one that was closed or has bytes waiting is thrown
-  // away.
+  // Returns a client for the address: an idle connection if there is one and
+  // `fresh` is false, otherwise a new client that connects on first use. Idle
+  // connections that were closed by the target or have unread bytes are
+  // discarded.
   std::unique_ptr<httplib::Client> Take(const std::string& address,
                                         int port,
                                         bool fresh);
-  // Keeps a connection on which an answer was read to its end.
+  // Returns a connection to the pool. Its last answer must have been read
+  // completely.
   void Keep(const std::string& address,
             int port,
             std::unique_ptr<httplib::Client> client);
-  // Closes what has been idle for too long.
+  // Closes connections that have been idle for too long.
   void CloseIdle();
 
  private:
--- a/src/connection/target_client_stream.cc
+++ b/src/connection/target_client_stream.cc
@@ -15,17 +15,17 @@
 constexpr std::string_view kDataField = "data:";
 constexpr std::string_view kEndMarker = "[DONE]";
 
-// Greater than any answer; sums of two stay far from overflow.
+// Exceeds any real answer; the sum of two cannot overflow.
 constexpr std::int64_t kMaxTokens = 1'000'000'000;
 
-// The member if it is a possible count of tokens, else `fallback`.
+// The member if it is a valid token count, else `fallback`.
 std::int64_t TokensOr(const json& object,
                       const char* name,
                       std::int64_t fallback) {
   return base::WholeMember(object, name, 0, kMaxTokens).value_or(fallback);
 }
 
-// The member if it is text, else empty.
+// The member if it is a string, else empty.
 std::string_view TextOr(const json& object, const char* name) {
   const auto it = object.find(name);
   return it != object.end() && it->is_string()
@@ -83,7 +83,7 @@
     }
     return;
   }
-  // Comments and the fields that this protocol does not use are skipped.
+  // Skips comments and unused fields.
   if (!line.starts_with(kDataField)) {
     return;
   }
@@ -104,18 +104,18 @@
   }
   const std::optional<json> event = base::ParseBoundedJson(data);
   if (!event || !event->is_object()) {
-    Fail(State::kBad, "event is no JSON object");
+    Fail(State::kBad, "event is not a JSON object");
     return;
   }
   if (const json* error = Find(*event, "error", json::value_t::object)) {
-    // Its text may repeat the request, so only a known code is kept.
+    // The error text may quote the prompt, so only the code is kept.
     const auto code = request::ParseTargetRefusal(TextOr(*error, "code"));
     Fail(State::kBad,
-         "the engine's own error: " + std::string(request::ToString(code)));
+         "engine reported an error: " + std::string(request::ToString(code)));
     return;
   }
   if (TextOr(*event, "id") != expected_id_) {
-    Fail(State::kCrossed, "event of another attempt");
+    Fail(State::kCrossed, "event has the id of another attempt");
     return;
   }
   started_ = true;
@@ -151,11 +151,11 @@
   }
   const std::int64_t offset = TokensOr(event, "token_offset", -1);
   if (offset < 0 || count <= 0) {
-    Fail(State::kBad, "chunk without token offset and count");
+    Fail(State::kBad, "chunk without valid token offset and count");
     return;
   }
   if (tokens_.value() + count > kMaxTokens) {
-    Fail(State::kBad, "more tokens than an answer can have");
+    Fail(State::kBad, "token count of the answer out of range");
     return;
   }
   const request::TokenChunk chunk{.text = text,
--- a/src/connection/target_client_stream.h
+++ b/src/connection/target_client_stream.h
@@ -1,6 +1,6 @@
-// Reads a model engine's event stream and decides whether it is whole.
+// Parser for the event stream of a model engine; checks that it is complete.
 //
-// Pure: bytes in, tokens out. Private to TargetClient.
+// Does no I/O. Private to TargetClient.
 #ifndef LYNXGLADE_CONNECTION_TARGET_CLIENT_STREAM_H_
 #define LYNXGLADE_CONNECTION_TARGET_CLIENT_STREAM_H_
 
@@ -17,40 +17,42 @@
 
 namespace lynxglade::connection {
 
-// Largest single event; an event carries one chunk of text.
+// Largest single event.
 inline constexpr std::size_t kMaxEventBytes = 1u << 20;
 
-// What has been seen of one attempt's stream.
+// Parses the stream of one attempt and passes its tokens to a sink.
 class EngineStream {
  public:
   enum class State {
-    // More may come.
+    // More events are expected.
     kOpen,
-    // The end marker came.
+    // The end marker was read.
     kEnded,
-    // An event of another attempt came; none of it was passed on.
+    // An event had the id of another attempt; it was not passed to the sink.
     kCrossed,
-    // Something that is no event of this protocol, or the engine's own error.
+    // A malformed event, or an error event from the engine.
     kBad,
-    // The sink wants no more.
+    // The sink returned false.
     kSinkClosed,
   };
 
-  // `sink` outlives this object.
+  // `sink` must outlive this object.
   EngineStream(base::AttemptId attempt,
                base::Tokens resume_from,
                const request::TokenSink& sink);
   EngineStream(const EngineStream&) = delete;
   EngineStream& operator=(const EngineStream&) = delete;
 
-  // Takes the next bytes; false once nothing more is wanted.
+  // Parses the next bytes. Returns false once the stream must not be read
+  // further.
   bool Feed(std::string_view bytes);
 
-  // Finish reason, usage and the end marker came, and the tokens add up.
+  // Whether finish reason, usage and end marker were read and the number of
+  // tokens matches the usage.
   bool IsWhole() const noexcept;
 
   State state() const noexcept { return state_; }
-  // True once an event of this attempt came: the engine has started.
+  // Whether an event of this attempt was read: the engine has started.
   bool started() const noexcept { return started_; }
   base::Tokens tokens() const noexcept { return tokens_; }
   const std::optional<request::Usage>& usage() const noexcept { return usage_; }
@@ -58,7 +60,7 @@
   const std::string& kv_transfer_params() const noexcept {
     return kv_transfer_params_;
   }
-  // Why the state is kBad.
+  // Set if the state is kBad or kCrossed.
   const std::string& message() const noexcept { return message_; }
 
  private:
@@ -73,9 +75,9 @@
   const base::Tokens resume_from_;
   const request::TokenSink& sink_;
 
-  // Bytes of a line whose end has not come.
+  // Bytes of an incomplete line.
   std::string partial_;
-  // Data lines of an event whose blank line has not come.
+  // Data lines of an incomplete event.
   std::string data_;
 
   State state_ = State::kOpen;
--- a/src/connection/target_client_watch.cc
+++ b/src/connection/target_client_watch.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A target that sent something so recently is not silent, and its caller is
-// found gone by the next write.
+// Cancellation is polled only after the target has been silent for this long:
+// before that, the next write to the caller detects a disconnect.
 constexpr base::Duration kBriefSilence = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -44,7 +44,7 @@
   if (due == StopReason::kNone) {
     return;
   }
-  // `stop` shuts a socket down, which does not wait for anything.
+  // `stop` shuts down a socket, which does not block.
   const std::lock_guard lock(stop_mutex_);
   if (!retired_) {
     reason_ = due;
@@ -103,7 +103,7 @@
 void AttemptWatch::Loop() {
   std::unique_lock lock(mutex_);
   while (!wake_.wait_for(lock, period_, [this] { return ending_; })) {
-    // The hooks are called without the lock.
+    // Hooks are called without holding the lock.
     const std::vector<std::shared_ptr<WatchedAttempt>> attempts = attempts_;
     lock.unlock();
     const base::Time now = clock_();
--- a/src/connection/target_client_watch.h
+++ b/src/connection/target_client_watch.h
@@ -1,7 +1,7 @@
-// Ends attempts that wait for a target for too long or for nobody.
+// Ends attempts on idle timeout, on deadline or when the caller cancelled.
 //
-// A thread that reads from a silent target cannot look at anything else, so
-// one watching thread looks for all of them. Private to TargetClient.
+// A thread that is blocked reading from a target cannot check these, so one
+// watch thread checks all attempts. Private to TargetClient.
 #ifndef LYNXGLADE_CONNECTION_TARGET_CLIENT_WATCH_H_
 #define LYNXGLADE_CONNECTION_TARGET_CLIENT_WATCH_H_
 
@@ -20,16 +20,16 @@
 // Why the watch ended an attempt.
 enum class StopReason { kNone, kDeadline, kSilence, kCancelled };
 
-// One attempt under watch. Made by AttemptWatch::Add.
+// One watched attempt. Created by AttemptWatch::Add(). Thread-safe.
 class WatchedAttempt {
  public:
   struct Options {
     base::Time deadline{};
     base::Duration silence{};
-    // Polled while the target is silent; may be empty.
+    // Polled while the target sends nothing; may be empty.
     std::function<bool()> cancelled;
-    // Breaks the connection, so that the reading thread returns. Must not
-    // block. Called at most once.
+    // Shuts down the connection, so that the reading thread returns. Must not
+    // block. Called at most once, on the watch thread.
     std::function<void()> stop;
   };
 
@@ -37,16 +37,16 @@
   WatchedAttempt(const WatchedAttempt&) = delete;
   WatchedAttempt& operator=(const WatchedAttempt&) = delete;
 
-  // The connection stands: from here on it may be broken.
+  // Starts the checks; call once the connection is open.
   void Arm(base::Time now) noexcept;
-  // The target gave a sign of life.
+  // Restarts the idle timeout; call when the target sent something.
   void Touch(base::Time now) noexcept;
-  // Brings the deadline forward.
+  // Shortens the deadline; a later one than the current is ignored.
   void EndBy(base::Time deadline) noexcept;
-  // After this returns, `stop` is not called any more.
+  // `stop` is not called after this returns.
   void Retire();
 
-  // Looks at the attempt and ends it where it is due.
+  // Calls `stop` if the attempt has to end.
   void Check(base::Time now);
 
   StopReason reason() const noexcept { return reason_; }
@@ -59,15 +59,15 @@
   std::atomic<base::Time> deadline_;
   std::atomic<base::Time> last_sign_;
   std::atomic<StopReason> reason_{StopReason::kNone};
-  // Guards the call of `stop` against Retire().
+  // Serializes calls of `stop` with Retire().
   std::mutex stop_mutex_;
   bool retired_ = false;
 };
 
-// The watching thread. Thread-safe.
+// Checks all attempts on its own thread. Thread-safe.
 class AttemptWatch {
  public:
-  // `on_tick` is called once a period on the watching thread; may be empty.
+  // `on_tick` is called once per period on the watch thread; may be empty.
   AttemptWatch(base::Clock clock,
                base::Duration period,
                std::function<void()> on_tick);
@@ -76,7 +76,7 @@
   AttemptWatch& operator=(const AttemptWatch&) = delete;
 
   std::shared_ptr<WatchedAttempt> Add(WatchedAttempt::Options options);
-  // Retires the attempt and forgets it.
+  // Calls Retire() on the attempt and stops checking it.
   void Remove(const std::shared_ptr<WatchedAttempt>& attempt);
 
  private:
--- a/src/connection/tls_material.cc
+++ b/src/connection/tls_material.cc
@@ -24,10 +24,11 @@
 using Chain = std::vector<CertificatePtr>;
 
 constexpr std::int64_t kNanosPerSecond = 1'000'000'000;
-// A chain longer than this is a mistake in the file.
+// Further certificates in the file are ignored.
 constexpr std::size_t kMaxChain = 16;
 
-// A key under a passphrase is refused; the library would ask the terminal.
+// Rejects keys with a passphrase, for which OpenSSL would prompt on the
+// terminal.
 int NoPassphrase(char*, int, int, void*) {
   return 0;
 }
@@ -67,7 +68,7 @@
   return ASN1_TIME_to_tm(time, &parts) == 1 ? ::timegm(&parts) : 0;
 }
 
-// Every certificate but the last must be signed by the one after it.
+// Whether each certificate except the last is signed by the next one.
 bool IsLinked(const Chain& chain) {
   const auto broken = std::ranges::adjacent_find(
       chain, [](const CertificatePtr& cert, const CertificatePtr& issuer) {
@@ -125,7 +126,7 @@
   return good;
 }
 
-// Client certificates signed by this authority only.
+// Requires client certificates signed by this authority.
 bool DemandClients(SSL_CTX* context, const std::string& authority) {
   STACK_OF(X509_NAME)* names = SSL_load_client_CA_file(authority.c_str());
   if (names == nullptr ||
@@ -146,7 +147,7 @@
     SSL_CTX_set_min_proto_version(context.get(), TLS1_2_VERSION);
     SSL_CTX_set_options(context.get(),
                         SSL_OP_NO_RENEGOTIATION | SSL_OP_NO_COMPRESSION);
-    // A session kept here would outlive the certificate it was made under.
+    // A cached session could be resumed after its certificate was replaced.
     SSL_CTX_set_session_cache_mode(context.get(), SSL_SESS_CACHE_OFF);
     SSL_CTX_set_mode(context.get(), SSL_MODE_RELEASE_BUFFERS);
   }
@@ -187,7 +188,7 @@
       also_watched_(std::move(also_watched)) {}
 
 bool TlsMaterial::Load(TlsMaterialError* error) {
-  // Taken before reading: a file replaced in between is read again.
+  // Taken before reading, so that a file replaced meanwhile is loaded again.
   std::vector<FileMark> marks = Marks();
   {
     const std::lock_guard lock(mutex_);
--- a/src/connection/tls_material.h
+++ b/src/connection/tls_material.h
@@ -1,7 +1,7 @@
-// Certificate chain and key of a TLS server, replaceable while it serves.
+// Certificate chain and key of a TLS server, reloadable at run time.
 //
-// Connections take the newest set that was found good; one that cannot be
-// used is refused with a typed reason and the former set stays in use.
+// New connections use the last valid set. If a new set is invalid, Load()
+// returns an error and the previous set stays in use.
 #ifndef LYNXGLADE_CONNECTION_TLS_MATERIAL_H_
 #define LYNXGLADE_CONNECTION_TLS_MATERIAL_H_
 
@@ -21,18 +21,17 @@
 
 enum class TlsMaterialError {
   kNone,
-  // The chain file is missing or is no PEM certificate.
+  // The chain file is missing or not a PEM certificate.
   kCertificateUnreadable,
   kKeyUnreadable,
   kAuthorityUnreadable,
-  // The key is not that of the first certificate.
+  // The key does not match the first certificate.
   kKeyMismatch,
   // A certificate of the chain is not signed by the next one.
   kChainBroken,
   kNotYetValid,
   kExpired,
-  // The TLS library refuses what it was given, such as a key that is too
-  // short.
+  // Rejected by OpenSSL, for example because the key is too short.
   kRefusedByLibrary,
 };
 std::string_view ToString(TlsMaterialError error) noexcept;
@@ -41,15 +40,15 @@
 struct TlsFiles {
   std::string certificate;
   std::string key;
-  // When set, clients must show a certificate that this authority signed.
+  // If set, clients must present a certificate signed by this authority.
   std::string client_authority;
 };
 
-// What may be said of a certificate in logs.
+// Certificate details that may be logged.
 struct TlsCertificateFacts {
   // Hexadecimal.
   std::string serial;
-  // Earliest end of validity over the chain, in Unix seconds.
+  // Earliest expiry in the chain, in Unix seconds.
   std::int64_t expires_at = 0;
 };
 
@@ -60,26 +59,27 @@
   // Unix seconds.
   using WallClock = std::function<std::int64_t()>;
 
-  // `also_watched`: further files whose change HasChanged() reports. Reads
-  // nothing yet.
+  // HasChanged() also reports changes of the files in `also_watched`. Does not
+  // load the files yet.
   TlsMaterial(TlsFiles files,
               WallClock clock,
               std::vector<std::string> also_watched = {});
   TlsMaterial(const TlsMaterial&) = delete;
   TlsMaterial& operator=(const TlsMaterial&) = delete;
 
-  // Reads the files. On failure the former set stays and `error`, which must
-  // not be null, says why.
+  // Loads the files. On failure keeps the previous set, sets `error`, which
+  // must not be null, and returns false.
   bool Load(TlsMaterialError* error);
 
-  // Whether a file is another one than at the last Load(), good or not.
+  // Whether a file has changed since the last Load(), successful or not.
   bool HasChanged() const;
-  // The set in use, TLS 1.2 or newer; null before the first good Load().
+  // The current context (TLS 1.2 or newer); null before the first successful
+  // Load().
   ContextPtr Context() const;
   std::optional<TlsCertificateFacts> facts() const;
 
  private:
-  // What tells one state of a file from another.
+  // Identifies one version of a file.
   struct FileMark {
     std::uint64_t device = 0;
     std::uint64_t inode = 0;
--- a/src/connection/weight_store.h
+++ b/src/connection/weight_store.h
@@ -1,5 +1,5 @@
-// The store that engines load weights from; this system only asks for its
-// limits, so that loads are ordered no faster than it serves them.
+// Client for the limits of the weight store, from which engines load models.
+// Used to limit the rate of load orders.
 #ifndef LYNXGLADE_CONNECTION_WEIGHT_STORE_H_
 #define LYNXGLADE_CONNECTION_WEIGHT_STORE_H_
 
@@ -10,16 +10,17 @@
 namespace lynxglade::connection {
 
 struct WeightLimits {
-  // Loads that the store serves in a minute, over all engines; at least 1.
+  // Loads per minute that the store serves to all engines; at least 1.
   int loads_per_minute = 1;
 };
 
-// Thread-safe when its fetch is.
+// Thread-safe if its fetch is.
 class WeightStore {
  public:
   explicit WeightStore(PlatformFetch fetch);
 
-  // Asks the store; blocks. The caller keeps its last limits on failure.
+  // Blocks. Returns nullopt and sets `last_error` on failure; the caller should
+  // keep its last limits then.
   std::optional<WeightLimits> ReadLimits(PlatformError* last_error) const;
 
  private:
