--- a/tests/fakes/chat_wire.cc
+++ b/tests/fakes/chat_wire.cc
@@ -13,7 +13,7 @@
 using nlohmann::json;
 
 constexpr std::int64_t kDefaultMaxTokens = 64;
-constexpr std::int64_t kMostMaxTokens = 1'000'000;
+constexpr std::int64_t kMaxTokensLimit = 1'000'000;
 constexpr int kDefaultPriority = 5;
 
 // Members of the wrong type count as absent.
@@ -35,7 +35,7 @@
   return it != object.end() && it->is_boolean() && it->get<bool>();
 }
 
-// A content is a text or a list of parts.
+// Content is either a string or a list of parts.
 std::string ContentText(const json& content) {
   if (content.is_string()) {
     return content.get<std::string>();
@@ -88,15 +88,15 @@
 }
 
 std::optional<ChatRequest> ParseChatBody(const std::string& body,
-                                         std::string* why) {
+                                         std::string* error) {
   const json fields = json::parse(body, nullptr, false);
   if (!fields.is_object()) {
-    *why = "the body is not a JSON object";
+    *error = "the body is not a JSON object";
     return std::nullopt;
   }
   auto prompt = PromptText(fields.value("messages", json()));
   if (!prompt) {
-    *why = "messages must be a list of objects with content";
+    *error = "messages must be a list of objects with content";
     return std::nullopt;
   }
   ChatRequest chat;
@@ -112,20 +112,20 @@
       NumberOf(fields, "max_completion_tokens", kDefaultMaxTokens);
   chat.max_tokens = NumberOf(fields, "max_tokens", absent);
   chat.resume_from = NumberOf(fields, "resume_from", 0);
-  if (chat.max_tokens < 1 || chat.max_tokens > kMostMaxTokens) {
-    *why = "max_tokens must be from 1 to 1000000";
+  if (chat.max_tokens < 1 || chat.max_tokens > kMaxTokensLimit) {
+    *error = "max_tokens must be from 1 to 1000000";
     return std::nullopt;
   }
   if (chat.resume_from < 0 || chat.resume_from > chat.max_tokens) {
-    *why = "resume_from must be from 0 to max_tokens";
+    *error = "resume_from must be from 0 to max_tokens";
     return std::nullopt;
   }
   ReadKvParams(fields, &chat);
   return chat;
 }
 
-// What all content events of one answer share is written once: a stand-in
-// sends tens of thousands of them a second.
+// Encodes the parts that all content events of one response share only once, as
+// a fake engine sends tens of thousands of events per second.
 ChatWriter::ChatWriter(std::string attempt_id, std::string model)
     : id_("chatcmpl-" + std::move(attempt_id)), model_(std::move(model)) {
   json chunk = Base("chat.completion.chunk");
@@ -145,7 +145,7 @@
                                 std::int64_t first,
                                 std::int64_t last) const {
   std::string event = before_content_;
-  // Tokens are digits, colons and spaces, which need no escapes.
+  // Tokens consist of digits, colons and spaces, which need no JSON escapes.
   event += AnswerText(prompt, first, last);
   event += after_content_;
   event += ",\"token_offset\":";
@@ -169,7 +169,8 @@
   return Event(chunk) + "data: [DONE]\n\n";
 }
 
-json ChatWriter::Whole(const std::string& text, const ChatUsage& usage) const {
+json ChatWriter::ResponseJson(const std::string& text,
+                              const ChatUsage& usage) const {
   json answer = Base("chat.completion");
   answer["choices"] =
       json::array({{{"index", 0},
--- a/tests/fakes/chat_wire.h
+++ b/tests/fakes/chat_wire.h
@@ -1,4 +1,4 @@
-// The chat-completions interface as the stand-in engines speak it.
+// Parsing and encoding of the chat-completions interface of the fake engines.
 #ifndef LYNXGLADE_FAKES_CHAT_WIRE_H_
 #define LYNXGLADE_FAKES_CHAT_WIRE_H_
 
@@ -13,7 +13,7 @@
 
 namespace lynxglade::fakes {
 
-// A request body with the headers that the journal keeps.
+// A parsed request body and the headers that the journal records.
 struct ChatRequest {
   std::string request_id;
   std::string attempt_id;
@@ -34,15 +34,15 @@
   std::string remote_block;
 };
 
-// The text of all messages, one after the other; nothing when they are not a
-// list of messages with text.
+// The concatenated text of all messages; nullopt when `messages` is not a list
+// of messages with text.
 std::optional<std::string> PromptText(const nlohmann::json& messages);
 
-// Reads a body. On failure returns nothing and says in `why` what is wrong.
+// Parses a body. On failure returns nullopt and sets `error` to the reason.
 std::optional<ChatRequest> ParseChatBody(const std::string& body,
-                                         std::string* why);
+                                         std::string* error);
 
-// What the last chunk says.
+// Contents of the last chunk.
 struct ChatUsage {
   std::int64_t prompt_tokens = 0;
   std::int64_t completion_tokens = 0;
@@ -51,26 +51,27 @@
   nlohmann::json kv_transfer_params;
 };
 
-// Writes the events of one stream.
+// Encodes the events of one stream.
 class ChatWriter {
  public:
   ChatWriter(std::string attempt_id, std::string model);
 
-  // Tokens `first` to `last` (not included) as one event.
+  // The tokens [first, last) as one event.
   std::string Content(PromptHash prompt,
                       std::int64_t first,
                       std::int64_t last) const;
   // The event with finish reason and usage, then the end marker.
   std::string End(const ChatUsage& usage) const;
-  // The whole answer as one object, for callers that want no stream.
-  nlohmann::json Whole(const std::string& text, const ChatUsage& usage) const;
+  // The complete response as one object, for requests without streaming.
+  nlohmann::json ResponseJson(const std::string& text,
+                              const ChatUsage& usage) const;
 
  private:
   nlohmann::json Base(const char* object) const;
 
   std::string id_;
   std::string model_;
-  // A content event around its text, without its last members.
+  // The parts of a content event before and after its text.
   std::string before_content_;
   std::string after_content_;
 };
--- a/tests/fakes/connection_stream.cc
+++ b/tests/fakes/connection_stream.cc
@@ -44,7 +44,8 @@
 }
 
 bool ConnectionStream::is_writable() const {
-  // The socket blocks, with a bound on how long; no poll a write.
+  // The socket is blocking with a send timeout, so no poll() per write is
+  // needed.
   return IsAlive();
 }
 
--- a/tests/fakes/control_server.cc
+++ b/tests/fakes/control_server.cc
@@ -10,8 +10,8 @@
 
 ControlServer::ControlServer(std::string address,
                              int port,
-                             std::vector<ControlledStandIn> stand_ins)
-    : stand_ins_(std::move(stand_ins)),
+                             std::vector<ControlledFake> fakes)
+    : fakes_(std::move(fakes)),
       listener_(std::move(address),
                 port,
                 kDefaultIdleTimeout,
@@ -29,14 +29,14 @@
   server.Get(
       "/journal", [this](const httplib::Request&, httplib::Response& res) {
         json list = json::array();
-        std::ranges::transform(stand_ins_, std::back_inserter(list),
+        std::ranges::transform(fakes_, std::back_inserter(list),
                                [](const auto& it) { return it.journal(); });
         AnswerJson(res, 200, {{"journals", list}});
       });
   server.Get("/instances",
              [this](const httplib::Request&, httplib::Response& res) {
                json list = json::array();
-               std::ranges::transform(stand_ins_, std::back_inserter(list),
+               std::ranges::transform(fakes_, std::back_inserter(list),
                                       [](const auto& it) { return it.row(); });
                AnswerJson(res, 200, {{"instances", list}});
              });
@@ -51,7 +51,7 @@
   }
   const std::string id = body.value("id", "");
   int applied = 0;
-  for (const ControlledStandIn& it : stand_ins_) {
+  for (const ControlledFake& it : fakes_) {
     if (id.empty() || it.id == id) {
       it.apply_faults(body);
       ++applied;
--- a/tests/fakes/details/connection_stream.h
+++ b/tests/fakes/details/connection_stream.h
@@ -1,4 +1,4 @@
-// A connected socket as cpp-httplib reads and writes it.
+// A connected socket as a cpp-httplib stream.
 #ifndef LYNXGLADE_FAKES_DETAILS_CONNECTION_STREAM_H_
 #define LYNXGLADE_FAKES_DETAILS_CONNECTION_STREAM_H_
 
@@ -23,7 +23,7 @@
   void get_local_ip_and_port(std::string& ip, int& port) const override;
   int socket() const override { return fd_; }
 
-  // Sleeps until bytes can be read; false on time-out, error or end.
+  // Blocks until bytes can be read; false on timeout, error or end of stream.
   bool WaitReadable(int timeout_ms) const;
   // False once the peer has closed or reset the connection.
   bool IsAlive() const;
--- a/tests/fakes/details/control_server.h
+++ b/tests/fakes/details/control_server.h
@@ -1,4 +1,4 @@
-// One port to control all the stand-ins of a process, up or down.
+// One port that controls all fakes of a process, including those that are down.
 #ifndef LYNXGLADE_FAKES_DETAILS_CONTROL_SERVER_H_
 #define LYNXGLADE_FAKES_DETAILS_CONTROL_SERVER_H_
 
@@ -13,8 +13,8 @@
 
 namespace lynxglade::fakes {
 
-// A stand-in as its controller sees it.
-struct ControlledStandIn {
+// Control interface of one fake.
+struct ControlledFake {
   std::string id;
   std::function<void(const nlohmann::json&)> apply_faults;
   std::function<nlohmann::json()> journal;
@@ -22,13 +22,13 @@
   std::function<nlohmann::json()> row;
 };
 
-// POST /fault (member "id" picks one, absent: all), GET /journal, GET
-// /instances.
+// Serves POST /fault (member "id" selects a fake; absent: all), GET /journal
+// and GET /instances.
 class ControlServer {
  public:
   ControlServer(std::string address,
                 int port,
-                std::vector<ControlledStandIn> stand_ins);
+                std::vector<ControlledFake> fakes);
   // False when the port cannot be bound.
   bool Start();
   int port() const noexcept { return listener_.port(); }
@@ -37,7 +37,7 @@
   void AddRoutes(httplib::Server& server);
   void ApplyFaults(const httplib::Request& req, httplib::Response& res);
 
-  std::vector<ControlledStandIn> stand_ins_;
+  std::vector<ControlledFake> fakes_;
   HttpListener listener_;
 };
 
--- a/tests/fakes/details/engine_routes.h
+++ b/tests/fakes/details/engine_routes.h
@@ -1,4 +1,4 @@
-// The HTTP face of a stand-in engine.
+// The HTTP interface of a fake engine.
 #ifndef LYNXGLADE_FAKES_DETAILS_ENGINE_ROUTES_H_
 #define LYNXGLADE_FAKES_DETAILS_ENGINE_ROUTES_H_
 
@@ -7,7 +7,7 @@
 
 namespace lynxglade::fakes {
 
-// Adds the routes of docs/PROTOCOLS.md and the controls of README.md.
+// Adds the engine routes of docs/PROTOCOLS.md and the controls of README.md.
 void AddEngineRoutes(httplib::Server& server, EngineHost& host);
 
 }  // namespace lynxglade::fakes
--- a/tests/fakes/details/faulty_port.h
+++ b/tests/fakes/details/faulty_port.h
@@ -1,4 +1,4 @@
-// A listener whose faults are those of a network and of a slow machine.
+// A listener that simulates faults of a network and of a slow machine.
 #ifndef LYNXGLADE_FAKES_DETAILS_FAULTY_PORT_H_
 #define LYNXGLADE_FAKES_DETAILS_FAULTY_PORT_H_
 
@@ -14,13 +14,13 @@
 namespace lynxglade::fakes {
 
 // Switches: "refuse" (no new connections), "hang" (calls wait), "slow_ms"
-// (each call waits that long before it is run), "slow_answer_ms" (after),
-// "reset" (the next n calls are reset before
-// anything is done), "reset_connections" (now). Calls to /fault, /journal and
-// /stats are spared. Thread-safe.
+// (delay before each call is run), "slow_answer_ms" (delay after it), "reset"
+// (the next n calls are reset before they are run), "reset_connections" (resets
+// all connections now). Calls to /fault, /journal and /stats are not affected.
+// Thread-safe.
 class FaultyPort {
  public:
-  // `more_faults` gets every body posted to /fault as well; may be empty.
+  // `more_faults` is also called with each body posted to /fault; may be empty.
   FaultyPort(std::string address,
              int port,
              RouteSetup setup,
--- a/tests/fakes/details/flag_set.h
+++ b/tests/fakes/details/flag_set.h
@@ -1,4 +1,4 @@
-// Command-line flags of the stand-in programs.
+// Command-line flags of the fake programs.
 #ifndef LYNXGLADE_FAKES_DETAILS_FLAG_SET_H_
 #define LYNXGLADE_FAKES_DETAILS_FLAG_SET_H_
 
@@ -13,7 +13,8 @@
 
 namespace lynxglade::fakes {
 
-// Each flag starts from the value that its variable has and writes back to it.
+// The value of a variable is the default of its flag; Parse() sets the
+// variable.
 class FlagSet {
  public:
   explicit FlagSet(const std::string& description);
@@ -21,16 +22,16 @@
   FlagSet& operator=(const FlagSet&) = delete;
 
   void Text(const std::string& name, const std::string& help, std::string* out);
-  void Whole(const std::string& name, const std::string& help, int* out);
+  void Integer(const std::string& name, const std::string& help, int* out);
   void Number(const std::string& name, const std::string& help, double* out);
   // "true" or "false".
   void Switch(const std::string& name, const std::string& help, bool* out);
-  // Whole milliseconds.
+  // An integer number of milliseconds.
   void Millis(const std::string& name,
               const std::string& help,
               base::Duration* out);
 
-  // Says what is wrong on standard error and returns false on a bad flag.
+  // On a bad flag prints the error to stderr and returns false.
   bool Parse(int argc, char** argv);
 
  private:
--- a/tests/fakes/details/http_server.h
+++ b/tests/fakes/details/http_server.h
@@ -1,9 +1,10 @@
-// An HTTP listener that can be broken on purpose: closed and opened again,
-// its connections reset, its answers held back.
+// An HTTP listener with simulated faults: it can be closed and reopened, its
+// connections reset and its responses delayed.
 //
-// Built on cpp-httplib, with the connection loop replaced so that an idle kept
-// connection sleeps in poll() and every connection can be reset. One small
-// thread a connection. Only .cc files may include this header.
+// Based on cpp-httplib with its own connection loop, in which an idle
+// kept-alive connection sleeps in poll() and every connection can be reset. One
+// thread with a small stack per connection. Only .cc files may include this
+// header.
 #ifndef LYNXGLADE_FAKES_DETAILS_HTTP_SERVER_H_
 #define LYNXGLADE_FAKES_DETAILS_HTTP_SERVER_H_
 
@@ -25,11 +26,11 @@
 // Adds handlers to a server that is about to start.
 using RouteSetup = std::function<void(httplib::Server&)>;
 
-// Opens and closes one listening address; thread-safe except that Close() must
-// not be called on a connection thread.
+// Opens and closes one listening address. Thread-safe, but Close() must not be
+// called on a connection thread.
 class HttpListener {
  public:
-  // `idle_timeout` is how long a kept connection may wait for its next request.
+  // `idle_timeout`: maximum time a kept-alive connection waits for a request.
   HttpListener(std::string address,
                int port,
                base::Duration idle_timeout,
@@ -38,14 +39,14 @@
   HttpListener(const HttpListener&) = delete;
   HttpListener& operator=(const HttpListener&) = delete;
 
-  // Binds and serves; port 0 picks a free one, which stays for later opens.
+  // Binds and serves; port 0 picks a free port, which later calls reuse.
   // Returns false when the address cannot be bound.
   bool Open();
-  // Refuses new connections and ends idle ones; running answers go on.
+  // Refuses new connections and closes idle ones; running responses continue.
   void StopListening();
-  // Stops listening, resets every connection and waits for their threads.
+  // Stops listening, resets all connections and joins their threads.
   void Close();
-  // Resets every connection and goes on listening.
+  // Resets all connections and continues to listen.
   void ResetConnections();
 
   int port() const noexcept { return port_; }
@@ -59,21 +60,21 @@
   RouteSetup setup_;
   std::mutex mutex_;
   std::unique_ptr<Server> server_;
-  // Servers that take no more connections but still answer on some.
+  // Servers that accept no new connections but still have running responses.
   std::vector<std::unique_ptr<Server>> retired_;
 };
 
-// Resets the connection of the handler that runs on this thread: the peer sees
-// ECONNRESET, whatever the handler does afterwards.
+// Resets the connection of the handler that runs on this thread. The peer gets
+// ECONNRESET regardless of what the handler does afterwards.
 void ResetOwnConnection();
 
-// Whether the peer of the handler on this thread is still there.
+// Whether the peer of the handler on this thread is still connected.
 bool OwnConnectionAlive();
 
-// Sets a JSON answer.
+// Sets a JSON response.
 void AnswerJson(httplib::Response& res, int status, const nlohmann::json& body);
 
-// The body as a JSON object; anything else gives a discarded value.
+// Parses a JSON object; returns a discarded value for anything else.
 nlohmann::json ParseObject(const std::string& text);
 
 }  // namespace lynxglade::fakes
--- a/tests/fakes/details/linked_ports.h
+++ b/tests/fakes/details/linked_ports.h
@@ -1,4 +1,4 @@
-// The ports of one stand-in, each with its own cut.
+// The ports of one fake, each of which can be cut separately.
 #ifndef LYNXGLADE_FAKES_DETAILS_LINKED_PORTS_H_
 #define LYNXGLADE_FAKES_DETAILS_LINKED_PORTS_H_
 
@@ -15,8 +15,8 @@
 
 namespace lynxglade::fakes {
 
-// Callers of one zone use one port, so that a cut between that zone and the
-// stand-in is a fault of its port. Thread-safe.
+// All callers of a zone use the same port, so a fault of the port simulates a
+// partition between the fake and that zone. Thread-safe.
 class LinkedPorts {
  public:
   struct Settings {
@@ -27,10 +27,10 @@
     base::Duration idle_timeout = kDefaultIdleTimeout;
   };
 
-  // Tells whether calls to a path are to wait now, whichever port they use.
+  // Whether calls to a path must wait now, on all ports.
   using Hold = std::function<bool(const std::string& path)>;
 
-  // `setup` must leave the pre-routing handler alone.
+  // `setup` must not set a pre-routing handler.
   LinkedPorts(const Settings& settings, const RouteSetup& setup, Hold hold);
 
   // False when a port cannot be bound.
@@ -39,9 +39,10 @@
   void ResetConnections();
   void Close();
 
-  // Takes "hang", "refuse" and "reset_connections" for the port that "link"
-  // names (from 1), or, but for "hang", for all. Returns whether "link" was
-  // there, and so nothing is left for others to apply.
+  // Applies "hang", "refuse" and "reset_connections" to the port selected by
+  // "link" (from 1); without "link", applies all but "hang" to every port.
+  // Returns whether "link" was present, in which case the caller must not apply
+  // the switches elsewhere.
   bool ApplyFaults(const nlohmann::json& switches);
 
   // The first port.
@@ -59,8 +60,8 @@
   std::vector<std::unique_ptr<Link>> links_;
 };
 
-// Whether the port that the handler on this thread came through is cut: its
-// answer has to wait.
+// Whether the port that serves the handler on this thread is cut, in which case
+// the response must wait.
 bool OwnLinkCut();
 
 }  // namespace lynxglade::fakes
--- a/tests/fakes/details/platform_routes.h
+++ b/tests/fakes/details/platform_routes.h
@@ -1,4 +1,4 @@
-// The HTTP faces of the platform's stand-ins.
+// The HTTP interfaces of the fake platform services.
 #ifndef LYNXGLADE_FAKES_DETAILS_PLATFORM_ROUTES_H_
 #define LYNXGLADE_FAKES_DETAILS_PLATFORM_ROUTES_H_
 
@@ -9,13 +9,13 @@
 
 namespace lynxglade::fakes {
 
-// The caller's IP address is its source for FakeKv's cuts. `quiet` says
-// whether open watches are to say nothing now.
+// The IP address of the caller is its source for FakeKv::Cut(). While `paused`
+// returns true, open watches send nothing.
 void AddKvRoutes(httplib::Server& server,
                  FakeKv& kv,
-                 std::function<bool()> quiet);
-// Targets' ports are given out greater by `port_offset`: callers of this list
-// use those links.
+                 std::function<bool()> paused);
+// Adds `port_offset` to the ports of targets, so that the readers of this list
+// use the corresponding links (see LinkedPorts).
 void AddInstanceListRoutes(httplib::Server& server,
                            FakeInstanceList& list,
                            int port_offset);
--- a/tests/fakes/details/weight_fetcher.h
+++ b/tests/fakes/details/weight_fetcher.h
@@ -10,25 +10,26 @@
 
 namespace lynxglade::fakes {
 
-// Used by one thread. Asks again after the store's Retry-After; until the
-// weights are there, the engine's change does not end.
+// Used by one thread. Retries after the Retry-After time of the store; the
+// change of the engine does not end before the weights are fetched.
 class WeightFetcher {
  public:
   WeightFetcher(std::string url, base::Clock clock, EngineCore& core);
 
-  // Fetches what a change under way needs; blocks for at most a second.
+  // Fetches the weights for a change in progress. Blocks for up to the
+  // connection and read timeouts.
   void Advance();
 
  private:
-  // The wait that the store asks for; nothing when the weights came.
+  // Returns the time until the next attempt, or nullopt on success.
   std::optional<base::Duration> Fetch(const EngineSetup& setup) const;
 
   std::string url_;
   base::Clock clock_;
   EngineCore& core_;
   base::Time next_try_{};
-  // What was fetched last.
-  std::string have_;
+  // The weights that were fetched last, as "model/version".
+  std::string fetched_;
 };
 
 }  // namespace lynxglade::fakes
--- a/tests/fakes/details/zones.h
+++ b/tests/fakes/details/zones.h
@@ -1,4 +1,4 @@
-// The availability zones of a stand-in program's instances.
+// Assignment of availability zones to the fake instances of a program.
 #ifndef LYNXGLADE_FAKES_DETAILS_ZONES_H_
 #define LYNXGLADE_FAKES_DETAILS_ZONES_H_
 
@@ -7,10 +7,10 @@
 
 namespace lynxglade::fakes {
 
-// "a,b" gives a and b.
+// Splits a comma-separated list.
 std::vector<std::string> SplitZones(const std::string& text);
 
-// Instances take the zones in turn.
+// Assigns zones round-robin.
 const std::string& ZoneOf(const std::vector<std::string>& zones, int index);
 
 }  // namespace lynxglade::fakes
--- a/tests/fakes/engine_core.cc
+++ b/tests/fakes/engine_core.cc
@@ -13,11 +13,12 @@
 constexpr base::Duration kLoadInterval = std::chrono::milliseconds(50);
 constexpr base::Duration kKeepLoads = std::chrono::seconds(2);
 constexpr std::size_t kMaxEvents = 4096;
-// Time for the last tokens to leave before a crash in mid-stream.
-constexpr base::Duration kFlush = std::chrono::milliseconds(30);
+// Lets the last tokens be sent before a crash in mid-stream.
+constexpr base::Duration kCrashFlushDelay = std::chrono::milliseconds(30);
 constexpr double kDefaultDownMs = 1000;
 
-// What a test may switch on; values are counts unless README.md says other.
+// Fault switches and their defaults; values are counts unless README.md says
+// otherwise.
 const std::map<std::string, double>& FaultDefaults() {
   static const std::map<std::string, double> defaults = {
       {"hang", 0},
@@ -45,7 +46,7 @@
       std::chrono::duration<double, std::milli>(ms));
 }
 
-CrashPlan ReadCrash(const json& from, double absent_down_ms) {
+CrashPlan ParseCrashPlan(const json& from, double absent_down_ms) {
   if (!from.is_object()) {
     return {Millis(absent_down_ms), false};
   }
@@ -96,7 +97,7 @@
       blocks_.Holds(chat.remote_engine, chat.remote_block, chat.prompt_hash);
   std::optional<RunId> run;
   if (!why) {
-    // Time that passed before the request came must not count as its work.
+    // Time before the arrival of the request must not count as work on it.
     Advance(clock_());
     run = model_.Add({chat.prompt, chat.prefix_hint, chat.priority,
                       chat.prompt_tokens, chat.max_tokens, chat.resume_from,
@@ -174,15 +175,16 @@
   return std::max(seen, journal_.at(session.journal).generated);
 }
 
-bool EngineCore::Ended(const EngineSession& session, RunState* how) const {
+bool EngineCore::Ended(const EngineSession& session,
+                       RunState* end_state) const {
   const std::lock_guard lock(mutex_);
-  *how = session.how;
+  *end_state = session.end_state;
   return session.ended;
 }
 
-void EngineCore::End(EngineSession& session, RunState how) {
+void EngineCore::End(EngineSession& session, RunState end_state) {
   const std::lock_guard lock(mutex_);
-  EndLocked(session, how);
+  EndLocked(session, end_state);
 }
 
 bool EngineCore::Cancel(const std::string& attempt_id) {
@@ -222,15 +224,15 @@
   orders_.DelayUntil(until);
 }
 
-std::optional<EngineSetup> EngineCore::WantedWeights() const {
+std::optional<EngineSetup> EngineCore::RequiredWeights() const {
   const std::lock_guard lock(mutex_);
-  const EngineSetup& goal = orders_.goal();
+  const EngineSetup& desired = orders_.desired();
   const EngineSetup& setup = orders_.setup();
   if (orders_.phase() != EnginePhase::kChanging ||
-      (goal.model == setup.model && goal.version == setup.version)) {
+      (desired.model == setup.model && desired.version == setup.version)) {
     return std::nullopt;
   }
-  return goal;
+  return desired;
 }
 
 void EngineCore::Advance(base::Time now) {
@@ -240,7 +242,7 @@
   for (const RunId id : model_.Advance(crashed_ ? base::Duration{} : elapsed)) {
     if (const auto it = sessions_.find(id); it != sessions_.end()) {
       const SessionPtr session = it->second;
-      Watch(*session);
+      UpdateSession(*session);
     }
   }
 }
@@ -262,7 +264,7 @@
   return !sessions_.empty() || orders_.phase() == EnginePhase::kChanging;
 }
 
-void EngineCore::Watch(EngineSession& session) {
+void EngineCore::UpdateSession(EngineSession& session) {
   const RunProgress progress = model_.Progress(session.run);
   RunRecord& record = journal_.at(session.journal);
   if (progress.phase != RunPhase::kWaiting) {
@@ -273,20 +275,20 @@
   record.generated = progress.generated;
   if (session.stop_at && record.generated >= *session.stop_at) {
     record.generated = *session.stop_at;
-    RequestCrash({Millis(faults_.Value("down_ms")), false}, kFlush);
+    RequestCrash({Millis(faults_.Value("down_ms")), false}, kCrashFlushDelay);
   } else if (progress.phase == RunPhase::kDone) {
     EndLocked(session, RunState::kFinished);
   }
   session.changed.notify_all();
 }
 
-void EngineCore::EndLocked(EngineSession& session, RunState how) {
+void EngineCore::EndLocked(EngineSession& session, RunState end_state) {
   if (session.ended) {
     return;
   }
   session.ended = true;
-  session.how = how;
-  journal_.End(session.journal, how, base::WallMillis());
+  session.end_state = end_state;
+  journal_.End(session.journal, end_state, base::WallMillis());
   model_.Remove(session.run);
   session.changed.notify_all();
   sessions_.erase(session.run);
@@ -339,13 +341,13 @@
     poison_plan_ = {Millis(down_ms), false};
   }
   if (const auto it = switches.find("crash_on_order"); it != switches.end()) {
-    order_crash_ = ReadCrash(*it, down_ms);
+    order_crash_ = ParseCrashPlan(*it, down_ms);
     order_crash_after_ =
         Millis(it->is_object() ? it->value("after_ms", 0.0) : 0.0);
   }
   if (const auto it = switches.find("crash");
       it != switches.end() && *it != false) {
-    RequestCrash(ReadCrash(*it, down_ms));
+    RequestCrash(ParseCrashPlan(*it, down_ms));
   }
 }
 
--- a/tests/fakes/engine_core.h
+++ b/tests/fakes/engine_core.h
@@ -1,5 +1,5 @@
-// One stand-in engine without its sockets: scheduler, orders, faults, journal
-// and what it publishes, behind one lock.
+// A fake engine without sockets: scheduler, orders, faults, journal and
+// published load and cache events, guarded by one mutex.
 #ifndef LYNXGLADE_FAKES_ENGINE_CORE_H_
 #define LYNXGLADE_FAKES_ENGINE_CORE_H_
 
@@ -32,34 +32,35 @@
   EngineRates rates;
   EngineLimits limits;
   EngineOrders::Settings orders;
-  // How old a load report is when it is given out.
+  // Age of a load report when it is served.
   base::Duration load_lag{};
-  // The same for cache events, and the part of them that is lost.
+  // Age of cache events when they are served, and the fraction that is lost.
   base::Duration event_lag{};
   double event_loss = 0;
 };
 
-// One request under way. Owned by its connection and by the engine.
+// One in-flight request. Shared by its connection and the engine.
 struct EngineSession {
   RunId run;
   RunIndex journal = 0;
   std::string attempt_id;
   base::Tokens cached{0};
-  // Where a fault ends the stream; counted from 0.
+  // Token index at which a fault ends the stream.
   std::optional<std::int64_t> stop_at;
   bool ended = false;
-  RunState how = RunState::kStarted;
+  RunState end_state = RunState::kStarted;
   std::condition_variable changed;
 };
 using SessionPtr = std::shared_ptr<EngineSession>;
 
-// A refusal word with its HTTP status.
+// An error code with its HTTP status.
 struct EngineRefusal {
   int status = 503;
   std::string code;
 };
 
-// Crash under way: how long the engine stays away, and what it leaves.
+// A pending crash: the down time, and whether an interrupted change leaves the
+// engine half changed.
 struct CrashPlan {
   base::Duration down{};
   bool half_changed = false;
@@ -77,34 +78,34 @@
   EngineCore(const EngineCore&) = delete;
   EngineCore& operator=(const EngineCore&) = delete;
 
-  // Takes a request; on refusal returns null and fills `refusal`.
+  // Accepts a request, or returns null and fills `refusal`.
   SessionPtr Begin(const ChatRequest& chat, EngineRefusal* refusal);
-  // Waits until the answer has more than `seen` tokens, has ended or `limit`
-  // has passed, and returns the tokens there are (counted from 0).
+  // Waits until the response has more than `seen` tokens, has ended or `limit`
+  // has passed, and returns the number of tokens generated so far.
   std::int64_t Await(EngineSession& session,
                      std::int64_t seen,
                      base::Duration limit);
-  bool Ended(const EngineSession& session, RunState* how) const;
-  void End(EngineSession& session, RunState how);
+  bool Ended(const EngineSession& session, RunState* end_state) const;
+  void End(EngineSession& session, RunState end_state);
   bool Cancel(const std::string& attempt_id);
   // Exports the KV cache of a finished prefill.
   nlohmann::json ExportKv(const ChatRequest& chat);
 
   OrderVerdict Order(const EngineOrder& order);
-  // Makes the change under way last until `until` at least.
+  // Extends the change in progress until `until` at least.
   void DelayChange(base::Time until);
-  // What a change under way leads to, when it needs other weights.
-  std::optional<EngineSetup> WantedWeights() const;
+  // The setup that the change in progress leads to, if it needs other weights.
+  std::optional<EngineSetup> RequiredWeights() const;
 
-  // Does the work of the time since the last call; true while there is any.
+  // Simulates the time since the last call; returns whether work remains.
   bool Tick();
-  // The crash that is due, if any; the caller closes the sockets, then calls
-  // Crash().
+  // Returns the crash that is due, if any; the caller closes the sockets and
+  // then calls Crash().
   std::optional<CrashPlan> TakeCrash();
   void Crash(const CrashPlan& plan);
 
-  // Applies switches; members "crash", "crash_on_order" and "poison" are
-  // objects and texts of their own.
+  // Applies fault switches, and the members "crash", "crash_on_order" and
+  // "poison", which are not numeric (see README.md).
   void ApplyFaults(const nlohmann::json& switches);
   bool TakeFault(const std::string& name);
   bool FaultOn(const std::string& name) const;
@@ -134,10 +135,10 @@
   std::optional<EngineRefusal> RefusalFor(const ChatRequest& chat);
   SessionPtr Admit(const ChatRequest& chat, EngineRefusal* refusal);
   RunRecord RecordFor(const ChatRequest& chat, bool imports) const;
-  // Does the work of the time since the last call.
+  // Simulates the time since the last call.
   void Advance(base::Time now);
-  void Watch(EngineSession& session);
-  // Work stops at once; the sockets go after `delay`.
+  void UpdateSession(EngineSession& session);
+  // Stops work at once; the sockets are closed after `delay`.
   void RequestCrash(const CrashPlan& plan, base::Duration delay = {});
   void PublishLoad(base::Time now);
   void PublishEvents(base::Time now);
@@ -146,7 +147,7 @@
   std::int64_t WallMillisOf(base::Time at) const;
   nlohmann::json LoadNow() const;
   std::string IncarnationText() const;
-  void EndLocked(EngineSession& session, RunState how);
+  void EndLocked(EngineSession& session, RunState end_state);
 
   const EngineSettings settings_;
   const base::Clock clock_;
@@ -154,7 +155,7 @@
   KvBlocks& blocks_;
   const std::function<void()> on_work_;
   const std::int64_t started_ms_;
-  // Wall time less clock time, for the journal.
+  // Wall time minus clock time, for the journal.
   const std::int64_t wall_offset_ms_;
 
   mutable std::mutex mutex_;
--- a/tests/fakes/engine_core_test.cc
+++ b/tests/fakes/engine_core_test.cc
@@ -33,7 +33,7 @@
 
 using request::EngineRole;
 
-// Engines on a clock that only the test moves.
+// Engines on a manual clock.
 struct Fleet {
   base::Time now{std::chrono::seconds(1000)};
   KvBlocks blocks{[this] { return now; }, std::chrono::seconds(30)};
@@ -76,9 +76,9 @@
   return core.RunsJson()[run]["phase"];
 }
 
-// An engine dies after some tokens; the stream resumed elsewhere from there
-// gives every token of the undisturbed answer once.
-RC_GTEST_PROP(EngineCoreTest, ResumedAnswerContinuesTheSameText, ()) {
+// An engine crashes in mid-stream; the stream resumed on another engine yields
+// each remaining token exactly once.
+RC_GTEST_PROP(EngineCoreTest, ResumedResponseContinuesTheSameText, ()) {
   const auto total = *rc::gen::inRange<std::int64_t>(2, 60);
   const auto cut = *rc::gen::inRange<std::int64_t>(1, total);
   Fleet fleet;
@@ -96,9 +96,9 @@
 
   const SessionPtr second = fleet.b.Begin(Chat(total, got), &refusal);
   fleet.Pass(std::chrono::seconds(2));
-  RunState how = RunState::kStarted;
-  RC_ASSERT(fleet.b.Ended(*second, &how));
-  RC_ASSERT(how == RunState::kFinished);
+  RunState end_state = RunState::kStarted;
+  RC_ASSERT(fleet.b.Ended(*second, &end_state));
+  RC_ASSERT(end_state == RunState::kFinished);
   const std::int64_t end = fleet.b.Await(*second, got, {});
   RC_ASSERT(AnswerText(chat.prompt_hash, 0, got) +
                 AnswerText(chat.prompt_hash, got, end) ==
@@ -128,7 +128,8 @@
   EXPECT_EQ(fleet.b.StateJson()["in_flight"], 0);
 }
 
-TEST(EngineCoreTest, ChangeWaitsForRunsAndTakesTheEngineOut) {
+TEST(EngineCoreTest,
+     ChangeIsRejectedWhileRunsAreInFlightAndTakesEngineOutOfService) {
   Fleet fleet;
   EngineRefusal refusal;
   const SessionPtr run = fleet.a.Begin(Chat(10), &refusal);
@@ -140,7 +141,7 @@
   EXPECT_EQ(refusal.code, "changing");
   EXPECT_EQ(fleet.a.Order(OrderOf(2, 2, EngineRole::kPrefill)),
             OrderVerdict::kBusy);
-  // The same order again, by a successor, starts nothing anew.
+  // The same order repeated by the next holder does not start another change.
   EXPECT_EQ(fleet.a.Order(OrderOf(2, 1, EngineRole::kDecode)),
             OrderVerdict::kStarted);
   fleet.Pass(kChange);
@@ -149,7 +150,8 @@
   EXPECT_TRUE(fleet.a.OrdersJson()[1]["in_effect_ms"].is_number());
 }
 
-TEST(EngineCoreTest, CrashInAnOrderLeavesHalfAndTheSameOrderRepairs) {
+TEST(EngineCoreTest,
+     CrashDuringOrderLeavesHalfChangedEngineThatSameOrderRepairs) {
   Fleet fleet;
   fleet.a.ApplyFaults(
       {{"crash_on_order", {{"half_changed", true}, {"after_ms", 100}}}});
@@ -186,11 +188,11 @@
       rc::gen::inRange(0, 2));
 }
 
-// Orders of many holders in any order, some refused for other reasons: a
-// fenced engine is never moved by a fence below one it has seen, even in a
-// refused order, and one that is not fenced never refuses for it. What is
-// refused changes nothing.
-RC_GTEST_PROP(EngineOrdersTest, OldFencesTakeNoEffect, (bool fenced)) {
+// Orders of several holders in random sequence, some rejected for other
+// reasons: a fenced engine never applies an order with a fence lower than the
+// highest seen, which includes fences of rejected orders; an unfenced engine
+// never rejects an order for its fence. Rejected orders change nothing.
+RC_GTEST_PROP(EngineOrdersTest, StaleFencesHaveNoEffect, (bool fenced)) {
   EngineOrders::Settings settings;
   settings.initial = Setup(EngineRole::kMixed);
   settings.fenced = fenced;
@@ -200,12 +202,12 @@
   base::FencingToken highest;
   for (const auto& [order, in_flight] :
        *rc::gen::container<std::vector<SentOrder>>(AnyOrder())) {
-    const auto before = std::tuple(orders.draining(), orders.goal(),
+    const auto before = std::tuple(orders.draining(), orders.desired(),
                                    orders.generation(), orders.fence());
     const OrderVerdict verdict = orders.Handle(order, in_flight, now);
     RC_ASSERT((verdict == OrderVerdict::kStaleFence) ==
               (fenced && order.fence < highest));
-    const auto after = std::tuple(orders.draining(), orders.goal(),
+    const auto after = std::tuple(orders.draining(), orders.desired(),
                                   orders.generation(), orders.fence());
     const auto ordered =
         std::tuple(order.draining, order.target, order.generation, order.fence);
@@ -231,7 +233,7 @@
   EXPECT_EQ(fleet.b.RunsJson()[1]["kv_imported"], false);
 }
 
-TEST(EngineCoreTest, LoadLagsAndCacheEventsHaveGaps) {
+TEST(EngineCoreTest, LoadReportsLagAndCacheEventsHaveGaps) {
   Fleet fleet;
   EngineRefusal refusal;
   fleet.Pass(std::chrono::seconds(2));
--- a/tests/fakes/engine_core_views.cc
+++ b/tests/fakes/engine_core_views.cc
@@ -1,4 +1,4 @@
-// What a stand-in engine shows of itself, as JSON.
+// JSON views of a fake engine.
 #include <algorithm>
 #include <string>
 
--- a/tests/fakes/engine_host.cc
+++ b/tests/fakes/engine_host.cc
@@ -89,15 +89,15 @@
     const bool busy = core_.Tick();
     weights_->Advance();
     if (const auto plan = core_.TakeCrash()) {
-      GoThroughCrash(*plan);
+      SimulateCrash(*plan);
     }
     SleepFor(busy ? kBusyTick : kIdleTick, !busy);
   }
 }
 
-void EngineHost::GoThroughCrash(const CrashPlan& plan) {
+void EngineHost::SimulateCrash(const CrashPlan& plan) {
   base::Log(base::LogLevel::kInfo, "engine_crashes", {{"engine", id()}});
-  // The sockets go first: no answer may leave that tells of the crash.
+  // The sockets are closed first, so that no response reveals the crash.
   ports_->StopListening();
   ports_->ResetConnections();
   core_.Crash(plan);
--- a/tests/fakes/engine_host.h
+++ b/tests/fakes/engine_host.h
@@ -1,4 +1,4 @@
-// One stand-in engine with its listener and its scheduler thread.
+// A fake engine with its listeners and its scheduler thread.
 #ifndef LYNXGLADE_FAKES_ENGINE_HOST_H_
 #define LYNXGLADE_FAKES_ENGINE_HOST_H_
 
@@ -26,13 +26,13 @@
   std::string address = "127.0.0.1";
   // 0 picks a free port.
   int port = 0;
-  // Ports of the one engine, `link_stride` apart; each can be cut by itself,
-  // which stands for a cut between the engine and one zone.
+  // Number of ports, `link_stride` apart. Each can be cut separately to
+  // simulate a partition between the engine and one zone.
   int links = 1;
   int link_stride = 100;
-  // How long a kept connection may wait for its next request.
+  // Idle timeout of kept-alive connections.
   base::Duration idle_timeout = std::chrono::seconds(60);
-  // "http://address:port" of the weight store; empty loads without one.
+  // "http://address:port" of the weight store; empty: no weight store is used.
   std::string weights_url;
 };
 
@@ -49,11 +49,11 @@
 
   // False when the port cannot be bound.
   bool Start();
-  // Applies fault switches, among them those of the listeners. With a member
-  // "link" (from 1) "hang", "refuse" and "reset_connections" touch only that
-  // port.
+  // Applies fault switches of the engine and its listeners. With a member
+  // "link" (from 1), "hang", "refuse" and "reset_connections" apply to that
+  // port only.
   void ApplyFaults(const nlohmann::json& switches);
-  // Everything the engine ran and was ordered.
+  // All runs, refusals and orders of the engine.
   nlohmann::json JournalJson() const;
 
   EngineCore& core() noexcept { return core_; }
@@ -63,8 +63,9 @@
 
  private:
   void Run();
-  void GoThroughCrash(const CrashPlan& plan);
-  // Sleeps, or returns early when the host stops or `early` work comes.
+  void SimulateCrash(const CrashPlan& plan);
+  // Sleeps for `d`; returns early when the host stops or, if `early`, when work
+  // arrives.
   void SleepFor(base::Duration d, bool early);
   void WakeUp();
 
--- a/tests/fakes/engine_model.cc
+++ b/tests/fakes/engine_model.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Longest stretch over which the batch is taken as unchanged.
+// Maximum step over which the batch is assumed constant.
 constexpr double kStepSeconds = 0.002;
 constexpr double kEpsilon = 1e-9;
 
@@ -44,19 +44,19 @@
 }
 
 std::vector<RunId> EngineModel::Advance(base::Duration elapsed) {
-  double left = std::chrono::duration<double>(elapsed).count();
-  while (left > kEpsilon && !runs_.empty()) {
-    const double step = std::min(left, kStepSeconds);
+  double remaining = std::chrono::duration<double>(elapsed).count();
+  while (remaining > kEpsilon && !runs_.empty()) {
+    const double step = std::min(remaining, kStepSeconds);
     Step(step);
-    left -= step;
+    remaining -= step;
   }
-  std::vector<RunId> moved;
+  std::vector<RunId> progressed;
   for (auto& [order, run] : runs_) {
-    if (std::exchange(run.moved, false)) {
-      moved.push_back(order.second);
+    if (std::exchange(run.progressed, false)) {
+      progressed.push_back(order.second);
     }
   }
-  return moved;
+  return progressed;
 }
 
 void EngineModel::Reset() {
@@ -88,7 +88,7 @@
     ++counts.running;
     counts.running_decode += base::Tokens(run.spec.max_tokens - run.generated);
     if (run.phase == RunPhase::kPrefill) {
-      counts.queued_prefill += base::Tokens(std::llround(run.left));
+      counts.queued_prefill += base::Tokens(std::llround(run.remaining));
     }
   }
   counts.kv_used = KvReserved() + cache_.used();
@@ -98,8 +98,8 @@
 void EngineModel::Step(double seconds) {
   AdmitWaiting();
   Transfer(seconds);
-  const bool prefilling = Any(RunPhase::kPrefill);
-  const bool decoding = Any(RunPhase::kDecode);
+  const bool prefilling = HasPhase(RunPhase::kPrefill);
+  const bool decoding = HasPhase(RunPhase::kDecode);
   const bool mixed = prefilling && decoding;
   const double work =
       (mixed ? 1 - rates_.mix_penalty : 1) / std::max(slowness_, kEpsilon);
@@ -125,7 +125,8 @@
       continue;
     }
     reserved += KvNeeded(run);
-    // A request larger than the memory runs alone rather than never.
+    // A request that exceeds the KV cache runs alone instead of waiting
+    // forever.
     if (running >= limits_.batch || (reserved > limits_.kv && running > 0)) {
       return;
     }
@@ -137,17 +138,17 @@
 void EngineModel::Admit(Run& run) {
   const RunSpec& spec = run.spec;
   const auto prompt = static_cast<double>(spec.prompt_tokens.value());
-  run.moved = true;
+  run.progressed = true;
   if (spec.imports_kv) {
     run.phase = RunPhase::kTransfer;
-    run.left = prompt;
+    run.remaining = prompt;
     return;
   }
   run.cached = cache_.Lookup(spec.prefix_hint, spec.prompt);
   run.phase = RunPhase::kPrefill;
-  // A resumed answer's earlier tokens are part of what is prefilled.
-  run.left = prompt - static_cast<double>(run.cached.value()) +
-             static_cast<double>(spec.resume_from);
+  // The earlier tokens of a resumed response are prefilled too.
+  run.remaining = prompt - static_cast<double>(run.cached.value()) +
+                  static_cast<double>(spec.resume_from);
 }
 
 void EngineModel::Transfer(double seconds) {
@@ -155,8 +156,9 @@
     if (run.phase != RunPhase::kTransfer) {
       continue;
     }
-    run.left -= rates_.kv_transfer * seconds / std::max(slowness_, kEpsilon);
-    if (run.left <= kEpsilon) {
+    run.remaining -=
+        rates_.kv_transfer * seconds / std::max(slowness_, kEpsilon);
+    if (run.remaining <= kEpsilon) {
       StartDecode(run);
     }
   }
@@ -168,15 +170,15 @@
     if (run.phase != RunPhase::kPrefill) {
       continue;
     }
-    const double done = std::min(budget, run.left);
+    const double done = std::min(budget, run.remaining);
     budget -= done;
-    run.left -= done;
-    if (run.left > kEpsilon) {
+    run.remaining -= done;
+    if (run.remaining > kEpsilon) {
       break;
     }
     cache_.Store(run.spec.prefix_hint, run.spec.prompt);
     StartDecode(run);
-    // The forward pass that ends the prefill gives the first token.
+    // The forward pass that completes the prefill produces the first token.
     Generate(run, 1);
   }
   return rate > 0 ? budget / rate : 0;
@@ -205,20 +207,20 @@
 void EngineModel::Generate(Run& run, std::int64_t tokens) {
   const std::int64_t before = run.generated;
   run.generated = std::min(run.spec.max_tokens, before + tokens);
-  run.moved = run.moved || run.generated != before;
+  run.progressed = run.progressed || run.generated != before;
   if (run.generated == run.spec.max_tokens) {
     run.phase = RunPhase::kDone;
-    run.moved = true;
+    run.progressed = true;
   }
 }
 
 void EngineModel::StartDecode(Run& run) {
   run.phase = RunPhase::kDecode;
-  run.left = 0;
+  run.remaining = 0;
   Generate(run, 0);
 }
 
-bool EngineModel::Any(RunPhase phase) const {
+bool EngineModel::HasPhase(RunPhase phase) const {
   return std::ranges::any_of(
       runs_, [phase](const auto& it) { return it.second.phase == phase; });
 }
--- a/tests/fakes/engine_model.h
+++ b/tests/fakes/engine_model.h
@@ -1,8 +1,8 @@
-// How a stand-in engine spends its time: continuous batching with separate
+// Simulates the scheduling of an engine: continuous batching with separate
 // prefill and decode rates, priorities, a prefix cache and KV transfer.
 //
-// A fluid model, advanced in small steps by whoever owns it; no thread, no
-// socket, no clock of its own.
+// A fluid model that its owner advances in small steps; it has no thread,
+// socket or clock.
 #ifndef LYNXGLADE_FAKES_ENGINE_MODEL_H_
 #define LYNXGLADE_FAKES_ENGINE_MODEL_H_
 
@@ -19,24 +19,26 @@
 
 namespace lynxglade::fakes {
 
-// What an engine can do. Rates are tokens a second over all requests.
+// Rates in tokens per second, over all requests unless stated otherwise.
 struct EngineRates {
   double prefill = 12000;
   double decode = 1200;
-  // Most tokens a second that one stream can get.
+  // Maximum rate of one stream.
   double per_stream = 60;
-  // Part of the time that prefill takes while both kinds of work are there.
+  // Fraction of the time spent on prefill while there is both prefill and
+  // decode work.
   double prefill_share = 0.7;
-  // Part of both rates that is lost while prefill and decode run side by side.
+  // Fraction of both rates that is lost while prefill and decode run side by
+  // side.
   double mix_penalty = 0.3;
-  // Part of its rate with which an engine does the other role's work.
+  // Fraction of its rate at which an engine does the work of the other role.
   double off_role = 0.1;
-  // Tokens of KV cache moved a second when another engine's is imported.
+  // Rate of importing the KV cache of another engine.
   double kv_transfer = 200000;
 };
 
 struct EngineLimits {
-  // Requests that run at once, and that wait for a place.
+  // Maximum number of running and of waiting requests.
   int batch = 64;
   int queue = 512;
   base::Tokens kv{600000};
@@ -45,17 +47,17 @@
 
 using RunId = base::StrongNumber<struct RunIdTag, std::uint64_t>;
 
-// One request as the scheduler sees it.
+// Scheduling parameters of one request.
 struct RunSpec {
   std::string prompt;
   std::string prefix_hint;
   // Smaller is more urgent.
   int priority = 5;
   base::Tokens prompt_tokens{1};
-  // The answer's tokens, counted from 0, and the first one to generate.
+  // Number of tokens of the response, and index of the first one to generate.
   std::int64_t max_tokens = 1;
   std::int64_t resume_from = 0;
-  // The prompt's KV cache is fetched from another engine, not computed.
+  // The KV cache of the prompt is imported from another engine, not computed.
   bool imports_kv = false;
 };
 
@@ -63,7 +65,7 @@
 
 struct RunProgress {
   RunPhase phase = RunPhase::kWaiting;
-  // Tokens generated so far, counted from 0; starts at resume_from.
+  // Tokens generated so far, including the `resume_from` earlier ones.
   std::int64_t generated = 0;
   base::Tokens cached{0};
 };
@@ -84,13 +86,13 @@
   EngineModel(const EngineModel&) = delete;
   EngineModel& operator=(const EngineModel&) = delete;
 
-  // Queues a request; nothing when the queue is full.
+  // Queues a request; nullopt when the queue is full.
   std::optional<RunId> Add(RunSpec spec);
-  // Takes a request out, finished or not.
+  // Removes a request, finished or not.
   void Remove(RunId id);
-  // Does the work of `elapsed` and returns the requests that moved on.
+  // Simulates `elapsed` and returns the requests that made progress.
   std::vector<RunId> Advance(base::Duration elapsed);
-  // Forgets all requests and the cache.
+  // Drops all requests and the cache.
   void Reset();
 
   void set_role(request::EngineRole role) noexcept { role_ = role; }
@@ -110,10 +112,10 @@
     std::int64_t generated = 0;
     base::Tokens cached{0};
     // Tokens to prefill or transfer before the first token.
-    double left = 0;
-    // Part of a token earned and not yet given out.
+    double remaining = 0;
+    // Fraction of a token generated but not yet emitted.
     double credit = 0;
-    bool moved = false;
+    bool progressed = false;
   };
   // By priority, then by arrival.
   using Order = std::pair<int, RunId>;
@@ -122,12 +124,12 @@
   void AdmitWaiting();
   void Admit(Run& run);
   void Transfer(double seconds);
-  // Returns the seconds it left over.
+  // Returns the unused part of `seconds`.
   double Prefill(double seconds, double rate);
   void Decode(double seconds, double rate);
   void Generate(Run& run, std::int64_t tokens);
   void StartDecode(Run& run);
-  bool Any(RunPhase phase) const;
+  bool HasPhase(RunPhase phase) const;
   base::Tokens KvNeeded(const Run& run) const;
   base::Tokens KvReserved() const;
 
--- a/tests/fakes/engine_model_test.cc
+++ b/tests/fakes/engine_model_test.cc
@@ -24,8 +24,8 @@
   return spec;
 }
 
-// Seconds until the run is done or has `tokens`.
-double Until(EngineModel& model, RunId id, std::int64_t tokens) {
+// Advances until the run is done or has `tokens`; returns the seconds taken.
+double AdvanceUntil(EngineModel& model, RunId id, std::int64_t tokens) {
   double seconds = 0;
   constexpr double kTooLong = 1000;
   while (seconds < kTooLong && model.Progress(id).generated < tokens) {
@@ -35,16 +35,16 @@
   return seconds;
 }
 
-// Whatever the order of the work, prefill costs tokens over rate and one
-// stream decodes at its own rate.
+// Prefill takes tokens divided by the prefill rate, and a single stream decodes
+// at the per-stream rate.
 RC_GTEST_PROP(EngineModelTest, RatesAreKept, ()) {
   const auto prompt = *rc::gen::inRange<std::int64_t>(100, 20000);
   const auto tokens = *rc::gen::inRange<std::int64_t>(2, 100);
   const EngineRates rates;
   EngineModel model(rates, {});
   const RunId id = *model.Add(Spec(prompt, tokens));
-  const double first = Until(model, id, 1);
-  const double rest = Until(model, id, tokens);
+  const double first = AdvanceUntil(model, id, 1);
+  const double rest = AdvanceUntil(model, id, tokens);
   const double expected_first = static_cast<double>(prompt) / rates.prefill;
   const double expected_rest =
       static_cast<double>(tokens - 1) / rates.per_stream;
@@ -59,31 +59,31 @@
   for (int i = 0; i < 60; ++i) {
     runs.push_back(*model.Add(Spec(1, 100)));
   }
-  Until(model, runs.back(), 1);
-  const double seconds = Until(model, runs.back(), 100);
+  AdvanceUntil(model, runs.back(), 1);
+  const double seconds = AdvanceUntil(model, runs.back(), 100);
   EXPECT_NEAR(seconds, 99 * 60 / rates.decode, 0.1);
 }
 
-// What makes separate roles pay: prefill work slows the decoding beside it on
-// a mixed engine, and a decode engine does prefill badly.
+// The benefit of separate roles: prefill slows concurrent decode on a mixed
+// engine, and a decode engine is slow at prefill.
 TEST(EngineModelTest, PrefillSlowsDecodeBesideIt) {
   EngineModel alone({}, {});
   const RunId a = *alone.Add(Spec(1, 200));
-  const double undisturbed = Until(alone, a, 200);
+  const double undisturbed = AdvanceUntil(alone, a, 200);
   EngineModel mixed({}, {});
   const RunId b = *mixed.Add(Spec(1, 200));
-  Until(mixed, b, 1);
+  AdvanceUntil(mixed, b, 1);
   const RunId long_prompt = *mixed.Add(Spec(200000, 1));
-  EXPECT_GT(Until(mixed, b, 200), 3 * undisturbed);
+  EXPECT_GT(AdvanceUntil(mixed, b, 200), 3 * undisturbed);
   EXPECT_EQ(mixed.Progress(long_prompt).generated, 0);
 
   EngineModel decode({}, {});
   decode.set_role(request::EngineRole::kDecode);
   const RunId c = *decode.Add(Spec(12000, 1));
-  EXPECT_NEAR(Until(decode, c, 1), 10.0, 0.1);
+  EXPECT_NEAR(AdvanceUntil(decode, c, 1), 10.0, 0.1);
 }
 
-TEST(EngineModelTest, UrgentRunsGoFirstAndTheQueueIsBounded) {
+TEST(EngineModelTest, UrgentRunsAreScheduledFirstAndTheQueueIsBounded) {
   EngineLimits limits;
   limits.batch = 1;
   limits.queue = 2;
@@ -96,10 +96,10 @@
   const RunId second = *model.Add(late);
   const RunId first = *model.Add(urgent);
   EXPECT_FALSE(model.Add(Spec(1, 1)));
-  Until(model, running, 10);
-  Until(model, first, 10);
+  AdvanceUntil(model, running, 10);
+  AdvanceUntil(model, first, 10);
   EXPECT_EQ(model.Progress(second).generated, 0);
-  Until(model, second, 10);
+  AdvanceUntil(model, second, 10);
   EXPECT_EQ(model.Progress(second).phase, RunPhase::kDone);
 }
 
@@ -112,7 +112,7 @@
     spec.prompt_tokens = CountPromptTokens(spec.prompt);
     spec.prefix_hint = hint;
     const RunId id = *model.Add(spec);
-    const double seconds = Until(model, id, 1);
+    const double seconds = AdvanceUntil(model, id, 1);
     return std::pair(seconds, model.Progress(id).cached.value());
   };
   EXPECT_EQ(run("h", std::string(4000, 'a')).second, 0);
@@ -122,8 +122,8 @@
   EXPECT_EQ(run("other", "").second, 0);
 }
 
-// The cache stays within its bound, and what it holds is what its events say.
-RC_GTEST_PROP(PrefixCacheTest, EventsTellWhatIsHeld, ()) {
+// The cache stays within its capacity, and its events match its contents.
+RC_GTEST_PROP(PrefixCacheTest, EventsMatchContents, ()) {
   const base::Tokens capacity(100);
   PrefixCache cache(capacity);
   const auto uses = *rc::gen::container<std::vector<std::pair<int, int>>>(
@@ -133,26 +133,26 @@
                 std::string(static_cast<std::size_t>(bytes), 'p'));
     RC_ASSERT(cache.used() <= capacity);
   }
-  std::map<std::string, bool> held;
+  std::map<std::string, bool> stored_hints;
   std::int64_t last = 0;
   for (const CacheEvent& event : cache.events()) {
     RC_ASSERT(event.seq == ++last);
-    RC_ASSERT(held[event.prefix] != event.stored);
-    held[event.prefix] = event.stored;
+    RC_ASSERT(stored_hints[event.prefix] != event.stored);
+    stored_hints[event.prefix] = event.stored;
   }
-  for (const auto& [hint, stored] : held) {
+  for (const auto& [hint, stored] : stored_hints) {
     RC_ASSERT((cache.Lookup(hint, std::string(64, 'p')).value() > 0) == stored);
   }
 }
 
-TEST(EngineModelTest, ImportedCacheCostsItsTransferOnly) {
+TEST(EngineModelTest, ImportedCacheCostsOnlyItsTransfer) {
   const EngineRates rates;
   EngineModel model(rates, {});
   RunSpec spec = Spec(20000, 2);
   spec.imports_kv = true;
   const RunId id = *model.Add(spec);
   const double expected = 20000 / rates.kv_transfer + 1 / rates.per_stream;
-  EXPECT_NEAR(Until(model, id, 1), expected, 2 * kTickSeconds);
+  EXPECT_NEAR(AdvanceUntil(model, id, 1), expected, 2 * kTickSeconds);
 }
 
 }  // namespace
--- a/tests/fakes/engine_orders.cc
+++ b/tests/fakes/engine_orders.cc
@@ -43,13 +43,13 @@
 EngineOrders::EngineOrders(Settings settings)
     : settings_(std::move(settings)),
       setup_(settings_.initial),
-      goal_(settings_.initial) {}
+      desired_(settings_.initial) {}
 
 OrderVerdict EngineOrders::Handle(const EngineOrder& order,
                                   int in_flight,
                                   base::Time now) {
-  const OrderVerdict verdict = Judge(order, in_flight);
-  // A fence counts as seen even when its order is refused for another reason.
+  const OrderVerdict verdict = Evaluate(order, in_flight);
+  // The fence counts as seen even if the order is rejected for another reason.
   highest_fence_ = std::max(highest_fence_, order.fence);
   const bool repeat = IsRepeat(order);
   OrderRecord record;
@@ -67,11 +67,11 @@
   Accept(order);
   if (verdict == OrderVerdict::kAccepted) {
     setup_ = order.target;
-    goal_ = order.target;
+    desired_ = order.target;
     records_.back().in_effect = now;
   } else if (!repeat) {
     phase_ = EnginePhase::kChanging;
-    goal_ = order.target;
+    desired_ = order.target;
     change_ends_ = now + settings_.change_time;
     change_record_ = records_.size() - 1;
   }
@@ -83,7 +83,7 @@
     return false;
   }
   phase_ = EnginePhase::kReady;
-  setup_ = goal_;
+  setup_ = desired_;
   ++seq_;
   records_[change_record_].in_effect = now;
   return true;
@@ -106,20 +106,20 @@
   }
   if (interrupted && half_changed) {
     phase_ = EnginePhase::kHalfChanged;
-    setup_.role = goal_.role;
-    goal_ = setup_;
+    setup_.role = desired_.role;
+    desired_ = setup_;
     return;
   }
   phase_ = EnginePhase::kReady;
   setup_ = settings_.initial;
-  goal_ = setup_;
+  desired_ = setup_;
   generation_ = base::Generation(0);
   fence_ = base::FencingToken(0);
   order_id_.clear();
 }
 
-OrderVerdict EngineOrders::Judge(const EngineOrder& order,
-                                 int in_flight) const {
+OrderVerdict EngineOrders::Evaluate(const EngineOrder& order,
+                                    int in_flight) const {
   if (settings_.fenced && order.fence < highest_fence_) {
     return OrderVerdict::kStaleFence;
   }
@@ -127,7 +127,7 @@
     return phase_ == EnginePhase::kChanging ? OrderVerdict::kStarted
                                             : OrderVerdict::kAccepted;
   }
-  // A half-changed engine takes the interrupted order again.
+  // A half-changed engine accepts the interrupted order again.
   const bool again =
       phase_ == EnginePhase::kHalfChanged && order.generation == generation_;
   const bool stale = order.generation <= generation_ && !again;
@@ -145,7 +145,7 @@
 
 bool EngineOrders::IsRepeat(const EngineOrder& order) const {
   return phase_ != EnginePhase::kHalfChanged &&
-         order.generation == generation_ && order.target == goal_ &&
+         order.generation == generation_ && order.target == desired_ &&
          order.draining == draining_;
 }
 
--- a/tests/fakes/engine_orders.h
+++ b/tests/fakes/engine_orders.h
@@ -1,7 +1,7 @@
-// The order side of a stand-in engine: its state, its fence, its changes.
+// Order handling of a fake engine: its state, fencing and changes of setup.
 //
-// Pure: time is handed in, and what happened to each order is kept for the
-// journal, over simulated crashes too.
+// Has no clock: time is passed in. The outcome of each order is recorded for
+// the journal, which survives simulated crashes.
 #ifndef LYNXGLADE_FAKES_ENGINE_ORDERS_H_
 #define LYNXGLADE_FAKES_ENGINE_ORDERS_H_
 
@@ -17,7 +17,7 @@
 
 namespace lynxglade::fakes {
 
-// What an engine serves.
+// Role and model that an engine serves.
 struct EngineSetup {
   request::EngineRole role = request::EngineRole::kMixed;
   std::string model;
@@ -40,13 +40,13 @@
 std::string_view ToString(EnginePhase phase) noexcept;
 
 enum class OrderVerdict {
-  // In effect at once.
+  // Accepted; in effect immediately.
   kAccepted,
   // Accepted; takes the engine out of service first.
   kStarted,
   kStaleFence,
   kStaleGeneration,
-  // Another change is under way.
+  // Another change is in progress.
   kBusy,
   // Requests are running.
   kInFlight,
@@ -54,17 +54,17 @@
 std::string_view ToString(OrderVerdict verdict) noexcept;
 bool IsAccepted(OrderVerdict verdict) noexcept;
 
-// One order as it came, and what became of it.
+// A received order and its outcome.
 struct OrderRecord {
   EngineOrder order;
   OrderVerdict verdict = OrderVerdict::kAccepted;
   std::int64_t incarnation = 0;
   base::Time received{};
-  // When the ordered state held; never set for a refused or interrupted one.
+  // When the order took effect; unset for a rejected or interrupted order.
   std::optional<base::Time> in_effect;
   // A crash interrupted the change.
   bool interrupted = false;
-  // What it did to the engine, when it was accepted and no repeat.
+  // Effects on the engine; set only for an accepted order that is not a repeat.
   bool took_out_of_service = false;
   bool role_changed = false;
 };
@@ -74,41 +74,42 @@
  public:
   struct Settings {
     EngineSetup initial;
-    // Refuses fences below the highest seen; otherwise takes any order.
+    // Rejects orders with a fence below the highest seen.
     bool fenced = true;
-    // The highest fence outlives a crash.
+    // The highest fence seen survives a crash.
     bool keeps_fence = true;
     base::Duration change_time{};
   };
 
   explicit EngineOrders(Settings settings);
 
-  // `in_flight` is the number of requests that run or wait.
+  // `in_flight` is the number of running and waiting requests.
   OrderVerdict Handle(const EngineOrder& order, int in_flight, base::Time now);
-  // Ends a change whose time is over. Returns true when one took effect.
+  // Completes a change whose time is over. Returns true when one took effect.
   bool Advance(base::Time now);
-  // Puts off the end of the change under way, as when weights come late.
+  // Postpones the end of the change in progress, e.g. while weights are
+  // loading.
   void DelayUntil(base::Time until) noexcept;
-  // Loses the state. With `half_changed`, a change under way leaves the new
-  // role beside the old model and version.
+  // Resets the state. With `half_changed`, a change in progress leaves the new
+  // role with the old model and version.
   void Crash(bool half_changed);
 
   EnginePhase phase() const noexcept { return phase_; }
   bool draining() const noexcept { return draining_; }
   bool fenced() const noexcept { return settings_.fenced; }
   const EngineSetup& setup() const noexcept { return setup_; }
-  // What a change under way leads to; the setup when there is none.
-  const EngineSetup& goal() const noexcept { return goal_; }
+  // The setup that the change in progress leads to; setup() when there is none.
+  const EngineSetup& desired() const noexcept { return desired_; }
   base::Generation generation() const noexcept { return generation_; }
   base::FencingToken fence() const noexcept { return fence_; }
   const std::string& order_id() const noexcept { return order_id_; }
   std::int64_t incarnation() const noexcept { return incarnation_; }
-  // Rises with every change of the state.
+  // Incremented on every change of state.
   std::int64_t seq() const noexcept { return seq_; }
   const std::vector<OrderRecord>& records() const noexcept { return records_; }
 
  private:
-  OrderVerdict Judge(const EngineOrder& order, int in_flight) const;
+  OrderVerdict Evaluate(const EngineOrder& order, int in_flight) const;
   bool IsRepeat(const EngineOrder& order) const;
   bool NeedsOutage(const EngineOrder& order) const;
   void Accept(const EngineOrder& order);
@@ -117,7 +118,7 @@
   EnginePhase phase_ = EnginePhase::kReady;
   bool draining_ = false;
   EngineSetup setup_;
-  EngineSetup goal_;
+  EngineSetup desired_;
   base::Time change_ends_{};
   std::size_t change_record_ = 0;
   base::Generation generation_;
--- a/tests/fakes/engine_routes.cc
+++ b/tests/fakes/engine_routes.cc
@@ -18,25 +18,25 @@
 using httplib::Response;
 using nlohmann::json;
 
-constexpr base::Duration kLook = std::chrono::milliseconds(100);
-constexpr base::Duration kHold = std::chrono::milliseconds(20);
+constexpr base::Duration kPollInterval = std::chrono::milliseconds(100);
+constexpr base::Duration kHoldPollInterval = std::chrono::milliseconds(20);
 
-// Where a fault ends one stream, and how.
+// The fault that ends a stream, and the token index at which it occurs.
 struct StreamFault {
   enum class Kind { kNone, kTruncate, kStall, kReset };
   Kind kind = Kind::kNone;
   std::int64_t after = 0;
 };
 
-// Holds the thread while the peer is there and `held` says so.
+// Blocks while `held` returns true and the peer is connected.
 template <typename Held>
 void HoldWhile(const Held& held) {
   while (held() && OwnConnectionAlive()) {
-    std::this_thread::sleep_for(kHold);
+    std::this_thread::sleep_for(kHoldPollInterval);
   }
 }
 
-// One answer under way.
+// One in-flight response.
 struct Stream {
   EngineHost* host;
   SessionPtr session;
@@ -74,7 +74,8 @@
   return usage;
 }
 
-// Ends the connection as the fault says; returns false, which ends the stream.
+// Breaks the connection as the fault requires; returns false, which ends the
+// stream.
 bool BreakStream(Stream& stream) {
   EngineCore& core = stream.host->core();
   if (stream.fault.kind == StreamFault::Kind::kStall) {
@@ -87,15 +88,15 @@
   return false;
 }
 
-// Writes what there is; called again and again until it returns false or the
+// Writes the available tokens; called repeatedly until it returns false or the
 // sink is done.
 bool Continue(Stream& stream, httplib::DataSink& sink) {
   EngineCore& core = stream.host->core();
   if (OwnLinkCut()) {
-    std::this_thread::sleep_for(kHold);
+    std::this_thread::sleep_for(kHoldPollInterval);
     return OwnConnectionAlive();
   }
-  std::int64_t tokens = core.Await(*stream.session, stream.sent, kLook);
+  std::int64_t tokens = core.Await(*stream.session, stream.sent, kPollInterval);
   const bool broken = stream.fault.kind != StreamFault::Kind::kNone &&
                       tokens >= stream.fault.after;
   if (broken) {
@@ -113,15 +114,15 @@
   if (broken) {
     return BreakStream(stream);
   }
-  RunState how = RunState::kStarted;
-  if (!core.Ended(*stream.session, &how)) {
-    // A write tells that the peer has gone; a wait does not.
+  RunState end_state = RunState::kStarted;
+  if (!core.Ended(*stream.session, &end_state)) {
+    // A write detects a disconnected peer; waiting without a write does not.
     return writes || OwnConnectionAlive();
   }
-  if (how == RunState::kCrashed) {
+  if (end_state == RunState::kCrashed) {
     ResetOwnConnection();
   }
-  if (how != RunState::kFinished) {
+  if (end_state != RunState::kFinished) {
     return false;
   }
   if (stream.sent == stream.chat.max_tokens) {
@@ -140,18 +141,18 @@
         return Continue(*stream, sink);
       },
       [stream](bool) {
-        // A run that has not ended when its connection goes is cancelled.
+        // Cancels the run if the connection closed before its end.
         stream->host->core().End(*stream->session, RunState::kCancelled);
       });
 }
 
-// A whole answer; the same faults cut it off.
+// Serves a response without streaming; the same faults apply.
 void AnswerWhole(Stream& stream, Response& res) {
   EngineCore& core = stream.host->core();
-  RunState how = RunState::kStarted;
-  while (!core.Ended(*stream.session, &how)) {
+  RunState end_state = RunState::kStarted;
+  while (!core.Ended(*stream.session, &end_state)) {
     const std::int64_t tokens =
-        core.Await(*stream.session, stream.chat.max_tokens, kLook);
+        core.Await(*stream.session, stream.chat.max_tokens, kPollInterval);
     if (stream.fault.kind != StreamFault::Kind::kNone &&
         tokens >= stream.fault.after) {
       BreakStream(stream);
@@ -159,13 +160,13 @@
       core.End(*stream.session, RunState::kCancelled);
     }
   }
-  if (how != RunState::kFinished) {
+  if (end_state != RunState::kFinished) {
     ResetOwnConnection();
     return;
   }
   const std::string text = AnswerText(
       stream.chat.prompt_hash, stream.chat.resume_from, stream.chat.max_tokens);
-  AnswerJson(res, 200, stream.writer.Whole(text, UsageOf(stream)));
+  AnswerJson(res, 200, stream.writer.ResponseJson(text, UsageOf(stream)));
 }
 
 void ReadHeaders(const Request& req, ChatRequest* chat) {
--- a/tests/fakes/fake_engines_main.cc
+++ b/tests/fakes/fake_engines_main.cc
@@ -1,4 +1,4 @@
-// Runs N stand-in model engines in one process, on consecutive ports.
+// fake_engines: runs N fake model engines in one process, on consecutive ports.
 #include <iostream>
 #include <memory>
 #include <string>
@@ -38,14 +38,14 @@
 
 void AddFlags(FlagSet& flags, Options* o) {
   EngineSettings& engine = o->host.engine;
-  flags.Whole("count", "how many engines", &o->count);
-  flags.Whole("first-id", "number of the first engine", &o->first_id);
-  flags.Whole("first-port", "port of the first engine", &o->first_port);
-  flags.Whole("control-port", "controls of all engines; 0: none",
-              &o->control_port);
-  flags.Whole("links", "ports of each, one for the callers of a zone",
-              &o->host.links);
-  flags.Whole("link-stride", "distance of these ports", &o->host.link_stride);
+  flags.Integer("count", "how many engines", &o->count);
+  flags.Integer("first-id", "number of the first engine", &o->first_id);
+  flags.Integer("first-port", "port of the first engine", &o->first_port);
+  flags.Integer("control-port", "controls of all engines; 0: none",
+                &o->control_port);
+  flags.Integer("links", "ports of each, one for the callers of a zone",
+                &o->host.links);
+  flags.Integer("link-stride", "distance of these ports", &o->host.link_stride);
   flags.Text("id-prefix", "engine ids are this and a number", &o->id_prefix);
   flags.Text("address", "address to listen on", &o->host.address);
   flags.Text("service", "service of the engines", &o->service);
@@ -73,10 +73,10 @@
                &engine.rates.off_role);
   flags.Number("kv-rate", "KV tokens imported a second",
                &engine.rates.kv_transfer);
-  flags.Whole("batch", "requests that run at once", &engine.limits.batch);
-  flags.Whole("queue", "requests that wait", &engine.limits.queue);
-  flags.Whole("kv-tokens", "KV cache capacity", &o->kv_tokens);
-  flags.Whole("cache-tokens", "prefix cache capacity", &o->cache_tokens);
+  flags.Integer("batch", "requests that run at once", &engine.limits.batch);
+  flags.Integer("queue", "requests that wait", &engine.limits.queue);
+  flags.Integer("kv-tokens", "KV cache capacity", &o->kv_tokens);
+  flags.Integer("cache-tokens", "prefix cache capacity", &o->cache_tokens);
   flags.Millis("change-ms", "time out of service for a change",
                &engine.orders.change_time);
   flags.Millis("load-lag-ms", "age of load reports", &engine.load_lag);
@@ -95,8 +95,9 @@
   rates->kv_transfer *= speed;
 }
 
-// Turns flags into settings; false when one makes no sense.
-bool Settle(Options* o) {
+// Converts flags to settings; prints an error and returns false on an invalid
+// value.
+bool ApplyFlags(Options* o) {
   EngineSettings& engine = o->host.engine;
   EngineSetup& setup = engine.orders.initial;
   base::LogLevel level = base::LogLevel::kWarning;
@@ -122,9 +123,9 @@
   return true;
 }
 
-ControlledStandIn Control(EngineHost& host,
-                          const Options& o,
-                          const std::string& zone) {
+ControlledFake Control(EngineHost& host,
+                       const Options& o,
+                       const std::string& zone) {
   return {host.id(),
           [&host](const nlohmann::json& faults) { host.ApplyFaults(faults); },
           [&host] { return host.JournalJson(); },
@@ -145,16 +146,16 @@
   o.host.engine.orders.change_time = std::chrono::seconds(3);
   o.host.engine.load_lag = std::chrono::milliseconds(500);
   o.host.engine.event_lag = std::chrono::seconds(1);
-  FlagSet flags("Stand-in model engines; see tests/fakes/README.md");
+  FlagSet flags("Fake model engines; see tests/fakes/README.md");
   AddFlags(flags, &o);
-  if (!flags.Parse(argc, argv) || !Settle(&o)) {
+  if (!flags.Parse(argc, argv) || !ApplyFlags(&o)) {
     return kBadFlags;
   }
   BlockStopSignals();
   KvBlocks blocks(&base::BootClock::now, kBlockLifetime);
   const std::vector<std::string> zones = SplitZones(o.zone);
   std::vector<std::unique_ptr<EngineHost>> hosts;
-  std::vector<ControlledStandIn> controls;
+  std::vector<ControlledFake> controls;
   for (int i = 0; i < o.count; ++i) {
     EngineHostSettings settings = o.host;
     settings.engine.id = o.id_prefix + std::to_string(o.first_id + i);
--- a/tests/fakes/fake_instance_list.h
+++ b/tests/fakes/fake_instance_list.h
@@ -1,4 +1,4 @@
-// The stand-in instance list: editable, and read with a lag.
+// A fake instance list that can be edited and is read with a lag.
 #ifndef LYNXGLADE_FAKES_FAKE_INSTANCE_LIST_H_
 #define LYNXGLADE_FAKES_FAKE_INSTANCE_LIST_H_
 
@@ -13,21 +13,21 @@
 
 namespace lynxglade::fakes {
 
-// Thread-safe. Rows are objects as docs/PROTOCOLS.md has them.
+// Thread-safe. Rows are objects as specified in docs/PROTOCOLS.md.
 class FakeInstanceList {
  public:
   FakeInstanceList(base::Clock clock, base::Duration lag);
 
   // Replaces all rows.
   void Replace(nlohmann::json rows);
-  // Merges `changes` into the row of that id, or adds one.
+  // Merges `changes` into the row with this id, or adds the row.
   void Change(const std::string& id, const nlohmann::json& changes);
   void Remove(const std::string& id);
   void set_lag(base::Duration lag);
 
-  // {"revision","instances"} as it was a lag ago.
+  // {"revision","instances"} as of `lag` ago.
   nlohmann::json Lagging() const;
-  // The same as it is.
+  // {"revision","instances"} without the lag.
   nlohmann::json Latest() const;
 
  private:
--- a/tests/fakes/fake_kv.cc
+++ b/tests/fakes/fake_kv.cc
@@ -21,8 +21,8 @@
 constexpr int kGrpcInvalid = 3;
 constexpr int kGrpcExhausted = 8;
 constexpr int kGrpcUnavailable = 14;
-// How often a waiting watch looks whether a lease has expired.
-constexpr base::Duration kLook = std::chrono::milliseconds(10);
+// Interval at which a waiting watch checks for expired leases.
+constexpr base::Duration kLeaseCheckInterval = std::chrono::milliseconds(10);
 
 const std::map<std::string, double>& FaultDefaults() {
   static const std::map<std::string, double> defaults = {
@@ -47,23 +47,23 @@
 
 std::optional<KvAnswer> FakeKv::Handle(const KvCall& call,
                                        const std::string& source,
-                                       KvFate* fate) {
+                                       KvOutcome* outcome) {
   const std::lock_guard lock(mutex_);
-  *fate = KvFate::kAnswered;
+  *outcome = KvOutcome::kAnswered;
   if (cut_.contains(source) || faults_.Take("unreachable")) {
-    *fate = KvFate::kUnreachable;
+    *outcome = KvOutcome::kUnreachable;
     return std::nullopt;
   }
-  std::optional<KvAnswer> answer = Run(call.path, call.body, fate);
+  std::optional<KvAnswer> answer = Run(call.path, call.body, outcome);
   changed_.notify_all();
   return answer;
 }
 
 std::optional<KvAnswer> FakeKv::Run(const std::string& path,
                                     const std::string& body,
-                                    KvFate* fate) {
+                                    KvOutcome* outcome) {
   const base::Time now = clock_();
-  Settle(now);
+  ExpireLeases(now);
   ++calls_[path];
   const json fields = json::parse(body, nullptr, false);
   if (!fields.is_object()) {
@@ -71,26 +71,26 @@
   }
   if (faults_.Take("lose_request")) {
     ++lost_;
-    *fate = KvFate::kLost;
+    *outcome = KvOutcome::kLost;
     return std::nullopt;
   }
   const KvCallKind kind = KindOf(path, fields);
   if (faults_.Take("unavailable")) {
     return KvErrorAnswer(kUnavailable, kGrpcUnavailable, "no leader");
   }
-  if (Limited(kind, now)) {
+  if (IsRateLimited(kind, now)) {
     return TooMany();
   }
   KvAnswer answer = RunKvCall(path, fields, now, store_);
-  if (kind == KvCallKind::kWrite && LosesAnswer()) {
+  if (kind == KvCallKind::kWrite && TakeLostAnswer()) {
     ++lost_;
-    *fate = KvFate::kLost;
+    *outcome = KvOutcome::kLost;
     return std::nullopt;
   }
   return answer;
 }
 
-bool FakeKv::Limited(KvCallKind kind, base::Time now) {
+bool FakeKv::IsRateLimited(KvCallKind kind, base::Time now) {
   TokenBucket& bucket = kind == KvCallKind::kWrite ? writes_ : reads_;
   if (bucket.Take(now)) {
     return false;
@@ -99,18 +99,19 @@
   return true;
 }
 
-bool FakeKv::LosesAnswer() {
+bool FakeKv::TakeLostAnswer() {
   if (faults_.Take("lose_answer")) {
     return true;
   }
-  // Counts down over the writes; the one that reaches zero is the one.
+  // Counts down with each write; the response to the write that reaches zero is
+  // lost.
   if (faults_.IsOn("lose_nth") && faults_.Take("lose_nth")) {
     return !faults_.IsOn("lose_nth");
   }
   return base::UniformReal(random_) < faults_.Value("lose_probability");
 }
 
-void FakeKv::Settle(base::Time now) {
+void FakeKv::ExpireLeases(base::Time now) {
   const Revision before = store_.revision();
   store_.Expire(now);
   if (store_.revision() != before) {
@@ -129,7 +130,7 @@
         KvErrorAnswer(kBadRequest, kGrpcInvalid, "create_request is missing");
     return std::nullopt;
   }
-  if (Limited(KvCallKind::kRead, now)) {
+  if (IsRateLimited(KvCallKind::kRead, now)) {
     *refusal = TooMany();
     return std::nullopt;
   }
@@ -152,7 +153,7 @@
 std::optional<std::string> FakeKv::NextLine(KvWatch& watch,
                                             base::Duration wait) {
   std::unique_lock lock(mutex_);
-  Settle(clock_());
+  ExpireLeases(clock_());
   if (watch.epoch != epoch_) {
     return std::nullopt;
   }
@@ -257,11 +258,11 @@
 
 namespace {
 
-// Hands lines over until the receiver, the caller or the service ends it.
-std::optional<KvAnswer> CarryWatch(FakeKv& kv,
-                                   const KvCall& call,
-                                   const std::string& source,
-                                   KvError* error) {
+// Delivers lines until the receiver, the caller or the service ends the watch.
+std::optional<KvAnswer> ForwardWatch(FakeKv& kv,
+                                     const KvCall& call,
+                                     const std::string& source,
+                                     KvError* error) {
   *error = KvError::kUnreachable;
   if (kv.IsCut(source)) {
     return std::nullopt;
@@ -274,7 +275,8 @@
   bool going = true;
   bool reached = true;
   while (going && reached && !call.stop.stop_requested()) {
-    const std::optional<std::string> line = kv.NextLine(*watch, kLook);
+    const std::optional<std::string> line =
+        kv.NextLine(*watch, kLeaseCheckInterval);
     reached = line && !kv.IsCut(source);
     going = reached && (line->empty() || call.on_chunk(*line));
   }
@@ -291,13 +293,13 @@
   return [&kv, source = std::move(source)](
              const KvCall& call, KvError* error) -> std::optional<KvAnswer> {
     if (call.path == "/v3/watch") {
-      return CarryWatch(kv, call, source, error);
+      return ForwardWatch(kv, call, source, error);
     }
-    KvFate fate = KvFate::kAnswered;
-    std::optional<KvAnswer> answer = kv.Handle(call, source, &fate);
+    KvOutcome outcome = KvOutcome::kAnswered;
+    std::optional<KvAnswer> answer = kv.Handle(call, source, &outcome);
     if (!answer) {
-      *error =
-          fate == KvFate::kLost ? KvError::kAmbiguous : KvError::kUnreachable;
+      *error = outcome == KvOutcome::kLost ? KvError::kAmbiguous
+                                           : KvError::kUnreachable;
     }
     return answer;
   };
--- a/tests/fakes/fake_kv.h
+++ b/tests/fakes/fake_kv.h
@@ -1,8 +1,8 @@
-// The stand-in key-value service without its sockets: rate limits, faults and
-// watches over a KvStore.
+// A fake key-value service without sockets: rate limits, faults and watches on
+// top of a KvStore.
 //
-// Runs in process as a connection::KvTransport, or behind fake_platform's
-// listener; both use this class.
+// Used in process as a connection::KvTransport and behind the listener of
+// fake_platform.
 #ifndef LYNXGLADE_FAKES_FAKE_KV_H_
 #define LYNXGLADE_FAKES_FAKE_KV_H_
 
@@ -26,30 +26,30 @@
 
 namespace lynxglade::fakes {
 
-// Calls a second; 0 means no limit.
+// Rate limits in calls per second; 0: unlimited.
 struct KvLimits {
   double writes_per_s = 0;
   double reads_per_s = 0;
-  // Longest silence of a watch that asked for progress.
+  // Maximum time without a line on a watch that requested progress.
   base::Duration progress_interval = std::chrono::seconds(5);
 };
 
-// One watch under way. Belongs to one thread.
+// One open watch. Used by one thread.
 struct KvWatch {
   KvWatchRequest request;
-  // First revision that was not handed over yet.
+  // The first revision that has not been delivered yet.
   base::Revision next;
   base::Time last_line{};
   std::int64_t epoch = 0;
   bool created = false;
 };
 
-// What became of a call.
-enum class KvFate {
+// Outcome of a call.
+enum class KvOutcome {
   kAnswered,
-  // The caller is cut off, or all calls are: nothing arrived.
+  // The call did not arrive: its caller, or all callers, are cut off.
   kUnreachable,
-  // The call, or its answer, was lost on the way.
+  // The call or its response was lost.
   kLost,
 };
 
@@ -62,41 +62,44 @@
   FakeKv(const FakeKv&) = delete;
   FakeKv& operator=(const FakeKv&) = delete;
 
-  // Runs one call of `source` (any name; "" for none). Nothing when the fate
-  // is not kAnswered.
+  // Runs one call of `source` (any name; "" for none). Returns nullopt when
+  // `outcome` is not kAnswered.
   std::optional<connection::KvAnswer> Handle(const connection::KvCall& call,
                                              const std::string& source,
-                                             KvFate* fate);
+                                             KvOutcome* outcome);
 
-  // Starts a watch; nothing, with the answer to give, when it is refused.
+  // Starts a watch, or returns nullopt and sets `refusal` to the error
+  // response.
   std::optional<KvWatch> OpenWatch(const std::string& body,
                                    connection::KvAnswer* refusal);
   void CloseWatch();
-  // The next line; empty after `wait` without one; nothing when the watch has
-  // ended.
+  // Returns the next line, an empty string when none arrives within `wait`, or
+  // nullopt when the watch has ended.
   std::optional<std::string> NextLine(KvWatch& watch, base::Duration wait);
 
-  // Counts n mean the next n calls, -1 until cleared: "lose_answer" (writes
-  // take effect, answers are lost), "lose_request" (neither), "unreachable",
-  // "unavailable" (503). "lose_nth" n loses the answer of the n-th write from
-  // now, "lose_probability" p that of a part. "cut" and "restore" take a
-  // source; "save_copy" and "load_copy" back up and go back.
+  // Switches with a count n apply to the next n calls, or until cleared for -1:
+  // "lose_answer" (writes take effect, responses are lost), "lose_request"
+  // (calls are lost before they run), "unreachable", "unavailable" (503).
+  // "lose_nth" n loses the response to the n-th write from now,
+  // "lose_probability" p the responses to a fraction p of the writes. "cut" and
+  // "restore" take a source; "save_copy" and "load_copy" back up and restore
+  // the store.
   void ApplyFaults(const nlohmann::json& switches);
   void Cut(const std::string& source);
   void Restore(const std::string& source);
   bool IsCut(const std::string& source) const;
 
-  // Calls by path, refusals, losses and open watches.
+  // Calls by path, rate-limited calls, lost calls and open watches.
   nlohmann::json StatsJson() const;
   base::Revision revision() const;
 
  private:
   std::optional<connection::KvAnswer> Run(const std::string& path,
                                           const std::string& body,
-                                          KvFate* fate);
-  bool Limited(KvCallKind kind, base::Time now);
-  bool LosesAnswer();
-  void Settle(base::Time now);
+                                          KvOutcome* outcome);
+  bool IsRateLimited(KvCallKind kind, base::Time now);
+  bool TakeLostAnswer();
+  void ExpireLeases(base::Time now);
   std::string EventsFor(KvWatch& watch) const;
 
   const base::Clock clock_;
@@ -111,7 +114,7 @@
   TokenBucket reads_;
   FaultSwitches faults_;
   std::set<std::string> cut_;
-  // Counts how often an older copy was loaded.
+  // Incremented when a saved copy is restored.
   std::int64_t epoch_ = 0;
   std::map<std::string, std::int64_t> calls_;
   std::int64_t limited_ = 0;
@@ -119,8 +122,9 @@
   std::int64_t watches_ = 0;
 };
 
-// A transport that ends in `kv`, which must outlive it. A cut or unreachable
-// call gives kUnreachable, a lost one kAmbiguous. A watch blocks its thread.
+// A transport backed by `kv`, which must outlive it. A cut or unreachable call
+// fails with kUnreachable, a lost one with kAmbiguous. A watch blocks the
+// calling thread.
 connection::KvTransport MakeInProcessTransport(FakeKv& kv,
                                                std::string source = "");
 
--- a/tests/fakes/fake_kv_test.cc
+++ b/tests/fakes/fake_kv_test.cc
@@ -19,7 +19,7 @@
 
 constexpr base::Duration kTimeout = std::chrono::seconds(1);
 
-// A service on a clock that only the test moves.
+// A service on a manual clock.
 struct Service {
   base::Time now{std::chrono::seconds(1000)};
   FakeKv kv;
@@ -40,8 +40,8 @@
   }
 };
 
-// Racing writers that read, then compare and swap: of those that read the same
-// revision one at most commits, and no commit is overwritten unseen.
+// Concurrent read-then-compare-and-swap: at most one of the writers that read
+// the same revision commits, and no update is lost.
 RC_GTEST_PROP(FakeKvTest, CompareAndSwapLosesNoUpdate, ()) {
   Service service;
   constexpr int kWriters = 3;
@@ -70,7 +70,7 @@
             (expected == 0 ? "" : std::to_string(expected)));
 }
 
-TEST(FakeKvTest, LeaseTakesItsKeysWithItUnlessKeptAlive) {
+TEST(FakeKvTest, ExpiredLeaseDeletesItsKeysUnlessKeptAlive) {
   Service service;
   KvError ec = KvError::kNone;
   const auto lease = service.client.GrantLease(std::chrono::seconds(5), &ec);
@@ -83,13 +83,13 @@
   service.now += std::chrono::seconds(1);
   EXPECT_EQ(service.Value("held"), "");
   EXPECT_EQ(service.client.KeepAlive(*lease, &ec), base::Duration{});
-  // A write under a lease that is gone changes nothing.
+  // A write with an expired lease changes nothing.
   EXPECT_FALSE(service.client.Commit(
       {}, {{"other", "y", {}}, {"held", "x", *lease}}, &ec));
   EXPECT_EQ(service.Value("other"), "");
 }
 
-TEST(FakeKvTest, KeyOverwrittenWithoutItsLeaseOutlivesIt) {
+TEST(FakeKvTest, KeyOverwrittenWithoutLeaseSurvivesItsExpiry) {
   Service service;
   KvError ec = KvError::kNone;
   const auto lease = service.client.GrantLease(std::chrono::seconds(5), &ec);
@@ -99,8 +99,8 @@
   EXPECT_EQ(service.Value("k"), "kept");
 }
 
-// A watch from any earlier revision gets every later change under its prefix
-// once and in order.
+// A watch from any earlier revision receives each later change under its prefix
+// exactly once, in order.
 RC_GTEST_PROP(FakeKvTest, WatchResumesFromARevision, ()) {
   Service service;
   const auto keys =
@@ -145,7 +145,7 @@
   EXPECT_EQ(service.Value("k"), "2");
 }
 
-TEST(FakeKvTest, OlderCopyGoesBackAndEndsWatches) {
+TEST(FakeKvTest, LoadingCopyRestoresStateAndEndsWatches) {
   Service service;
   service.Put("k", "old");
   service.kv.ApplyFaults({{"save_copy", true}});
--- a/tests/fakes/fake_plain_main.cc
+++ b/tests/fakes/fake_plain_main.cc
@@ -1,4 +1,4 @@
-// Runs N stand-in instances of a plain service in one process.
+// fake_plain: runs N fake instances of a plain service in one process.
 #include <iostream>
 #include <memory>
 #include <string>
@@ -27,26 +27,26 @@
 };
 
 void AddFlags(FlagSet& flags, Options* o) {
-  flags.Whole("count", "how many instances", &o->count);
-  flags.Whole("first-id", "number of the first instance", &o->first_id);
-  flags.Whole("first-port", "port of the first instance", &o->first_port);
-  flags.Whole("control-port", "controls of all instances; 0: none",
-              &o->control_port);
-  flags.Whole("links", "ports of each, one for the callers of a zone",
-              &o->host.links);
-  flags.Whole("link-stride", "distance of these ports", &o->host.link_stride);
+  flags.Integer("count", "how many instances", &o->count);
+  flags.Integer("first-id", "number of the first instance", &o->first_id);
+  flags.Integer("first-port", "port of the first instance", &o->first_port);
+  flags.Integer("control-port", "controls of all instances; 0: none",
+                &o->control_port);
+  flags.Integer("links", "ports of each, one for the callers of a zone",
+                &o->host.links);
+  flags.Integer("link-stride", "distance of these ports", &o->host.link_stride);
   flags.Text("id-prefix", "ids are this and a number", &o->id_prefix);
   flags.Text("address", "address to listen on", &o->host.address);
   flags.Text("service", "the service's name", &o->host.service);
   flags.Text("zone", "availability zones, comma-separated, taken in turn",
              &o->zone);
   flags.Millis("work-ms", "time that each call takes", &o->host.work);
-  flags.Whole("limit", "calls that run at once", &o->host.limit);
+  flags.Integer("limit", "calls that run at once", &o->host.limit);
 }
 
-ControlledStandIn Control(PlainHost& host,
-                          const Options& o,
-                          const std::string& zone) {
+ControlledFake Control(PlainHost& host,
+                       const Options& o,
+                       const std::string& zone) {
   return {host.id(),
           [&host](const nlohmann::json& faults) { host.ApplyFaults(faults); },
           [&host] { return host.JournalJson(); },
@@ -62,7 +62,7 @@
   Options o;
   o.host.service = "portal";
   o.host.work = std::chrono::milliseconds(5);
-  FlagSet flags("Stand-in plain services; see tests/fakes/README.md");
+  FlagSet flags("Fake plain services; see tests/fakes/README.md");
   AddFlags(flags, &o);
   if (!flags.Parse(argc, argv)) {
     return kBadFlags;
@@ -71,7 +71,7 @@
   BlockStopSignals();
   const std::vector<std::string> zones = SplitZones(o.zone);
   std::vector<std::unique_ptr<PlainHost>> hosts;
-  std::vector<ControlledStandIn> controls;
+  std::vector<ControlledFake> controls;
   for (int i = 0; i < o.count; ++i) {
     PlainHostSettings settings = o.host;
     settings.id = o.id_prefix + std::to_string(o.first_id + i);
--- a/tests/fakes/fake_platform_main.cc
+++ b/tests/fakes/fake_platform_main.cc
@@ -1,5 +1,4 @@
-// Runs the platform's stand-ins: key-value service, instance list and weight
-// store.
+// fake_platform: runs a fake key-value service, instance list and weight store.
 #include <atomic>
 #include <iostream>
 #include <memory>
@@ -38,22 +37,23 @@
 
 void AddFlags(FlagSet& flags, Options* o) {
   flags.Text("address", "address to listen on", &o->address);
-  flags.Whole("kv-port", "first port of the key-value service", &o->kv_port);
-  flags.Whole("kv-ports", "ports of the one service, each with its own faults",
-              &o->kv_ports);
-  flags.Whole("list-port", "first port of the instance list", &o->list_port);
-  flags.Whole("list-ports", "ports of the one list, each with its own faults",
-              &o->list_ports);
-  flags.Whole("link-stride",
-              "list port k gives targets' ports plus (k-1) of these",
-              &o->link_stride);
-  flags.Whole("weights-port", "port of the weight store", &o->weights_port);
-  flags.Whole("control-port", "controls of all; 0: none", &o->control_port);
+  flags.Integer("kv-port", "first port of the key-value service", &o->kv_port);
+  flags.Integer("kv-ports",
+                "ports of the one service, each with its own faults",
+                &o->kv_ports);
+  flags.Integer("list-port", "first port of the instance list", &o->list_port);
+  flags.Integer("list-ports", "ports of the one list, each with its own faults",
+                &o->list_ports);
+  flags.Integer("link-stride",
+                "list port k gives targets' ports plus (k-1) of these",
+                &o->link_stride);
+  flags.Integer("weights-port", "port of the weight store", &o->weights_port);
+  flags.Integer("control-port", "controls of all; 0: none", &o->control_port);
   flags.Number("kv-writes-per-s", "0: no limit", &o->writes_per_s);
   flags.Number("kv-reads-per-s", "0: no limit", &o->reads_per_s);
-  flags.Whole("loads-per-minute", "rate of the weight store",
-              &o->loads_per_minute);
-  flags.Whole("load-burst", "loads that may come at once", &o->load_burst);
+  flags.Integer("loads-per-minute", "rate of the weight store",
+                &o->loads_per_minute);
+  flags.Integer("load-burst", "loads that may come at once", &o->load_burst);
   flags.Millis("list-lag-ms", "age of the instance list as read", &o->list_lag);
   flags.Millis("progress-ms", "longest silence of a watch", &o->progress);
 }
@@ -90,7 +90,7 @@
     return true;
   }
 
-  std::vector<ControlledStandIn> controls() const { return controls_; }
+  std::vector<ControlledFake> controls() const { return controls_; }
 
  private:
   void AddKvPort(int number, const std::string& id) {
@@ -156,12 +156,12 @@
   FakeInstanceList list_;
   FakeWeightStore weights_;
   std::vector<std::unique_ptr<FaultyPort>> ports_;
-  std::vector<ControlledStandIn> controls_;
+  std::vector<ControlledFake> controls_;
 };
 
 int Main(int argc, char** argv) {
   Options o;
-  FlagSet flags("The platform's stand-ins; see tests/fakes/README.md");
+  FlagSet flags("Fake platform services; see tests/fakes/README.md");
   AddFlags(flags, &o);
   if (!flags.Parse(argc, argv)) {
     return kBadFlags;
--- a/tests/fakes/fake_weight_store.h
+++ b/tests/fakes/fake_weight_store.h
@@ -1,4 +1,4 @@
-// The stand-in weight store: loads are rate-limited and written down.
+// A fake weight store that rate-limits loads and records them.
 #ifndef LYNXGLADE_FAKES_FAKE_WEIGHT_STORE_H_
 #define LYNXGLADE_FAKES_FAKE_WEIGHT_STORE_H_
 
@@ -16,15 +16,15 @@
 // Thread-safe.
 class FakeWeightStore {
  public:
-  // `burst` loads may come at once.
+  // `burst`: number of loads that may start at once.
   FakeWeightStore(base::Clock clock, int loads_per_minute, int burst);
 
-  // Zero when the load may go on, else how long to wait.
+  // Returns zero when the load is admitted, otherwise the time to wait.
   base::Duration Load(const std::string& model, const std::string& version);
   void set_loads_per_minute(int n);
 
   int loads_per_minute() const;
-  // Every load asked for, with its time and whether it was given.
+  // All requested loads, with their times and whether they were admitted.
   nlohmann::json JournalJson() const;
 
  private:
--- a/tests/fakes/fault_switches.h
+++ b/tests/fakes/fault_switches.h
@@ -1,4 +1,4 @@
-// Faults that a test switches on while a stand-in runs.
+// Faults that a test switches on and off while a fake runs.
 #ifndef LYNXGLADE_FAKES_FAULT_SWITCHES_H_
 #define LYNXGLADE_FAKES_FAULT_SWITCHES_H_
 
@@ -9,20 +9,21 @@
 
 namespace lynxglade::fakes {
 
-// Named numbers, set by JSON. A count n means the next n occasions, `true` or
-// -1 means until cleared, `false` or 0 means off. Not thread-safe.
+// Named numbers, set by JSON. A count n applies the fault to the next n
+// occasions, `true` or -1 until cleared; `false` or 0 is off. Not thread-safe.
 class FaultSwitches {
  public:
-  // Known names and their values while off.
+  // `defaults`: all fault names and their values when off.
   explicit FaultSwitches(std::map<std::string, double> defaults);
 
-  // Sets every known member; `{"clear":true}` turns all off first. Members
-  // that are no number, boolean or known name are left for the caller.
+  // Sets each known member; `{"clear":true}` turns all faults off first.
+  // Ignores members with an unknown name and those that are not a number or
+  // boolean.
   void Apply(const nlohmann::json& switches);
 
-  // Uses one occasion; true when the fault is on.
+  // Consumes one occasion; returns whether the fault is on.
   bool Take(const std::string& name);
-  // Whether it is on, without using it.
+  // Whether the fault is on, without consuming an occasion.
   bool IsOn(const std::string& name) const;
   double Value(const std::string& name) const;
   void Set(const std::string& name, double value);
--- a/tests/fakes/faulty_port.cc
+++ b/tests/fakes/faulty_port.cc
@@ -91,7 +91,7 @@
   }
   std::this_thread::sleep_for(
       std::chrono::duration<double, std::milli>(Value("slow_ms")));
-  // A caller that has gone while it waited asked for nothing.
+  // Does not run the call if the caller disconnected while it waited.
   return OwnConnectionAlive() ? Result::Unhandled : Result::Handled;
 }
 
--- a/tests/fakes/flag_set.cc
+++ b/tests/fakes/flag_set.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-// The library's own --version would clash with a model's version.
+// The --version flag of TCLAP would conflict with the model version flag.
 FlagSet::FlagSet(const std::string& description)
     : cmd_(description, ' ', "", false),
       help_("h", "help", "shows the flags", cmd_) {
@@ -41,9 +41,9 @@
   Add(name, help, *out, [out](const std::string& v) { *out = v; });
 }
 
-void FlagSet::Whole(const std::string& name,
-                    const std::string& help,
-                    int* out) {
+void FlagSet::Integer(const std::string& name,
+                      const std::string& help,
+                      int* out) {
   Add(name, help, *out, [out](int v) { *out = v; });
 }
 
--- a/tests/fakes/http_server.cc
+++ b/tests/fakes/http_server.cc
@@ -23,8 +23,8 @@
 // The connection whose handler runs on this thread.
 thread_local ConnectionStream* own_connection = nullptr;
 
-// Dissolving the association sends a reset and leaves the descriptor open, so
-// that no other thread can reuse its number meanwhile.
+// Dissolving the association sends a reset but leaves the descriptor open, so
+// that its number cannot be reused while other threads still refer to it.
 void ResetSocket(int fd) {
   sockaddr none{};
   none.sa_family = AF_UNSPEC;
@@ -101,7 +101,7 @@
     });
   }
 
-  // The library listens with a backlog of 5; a second listen() widens it.
+  // cpp-httplib listens with a backlog of 5; a second listen() enlarges it.
   void WidenBacklog() const {
     ::listen(listen_fd_, connection::kListenBacklog);
   }
@@ -119,8 +119,8 @@
     }
   }
 
-  // Shutting the socket down ends the accept loop without telling the running
-  // answers to stop, which stop() would.
+  // Shutting the socket down ends the accept loop; unlike stop(), it does not
+  // interrupt running responses.
   void StopListening() {
     ::shutdown(listen_fd_, SHUT_RDWR);
     const std::lock_guard lock(mutex_);
--- a/tests/fakes/kv_blocks.h
+++ b/tests/fakes/kv_blocks.h
@@ -1,4 +1,4 @@
-// The exported KV caches that engines of one process hold for each other.
+// KV cache blocks exported by the fake engines of one process.
 #ifndef LYNXGLADE_FAKES_KV_BLOCKS_H_
 #define LYNXGLADE_FAKES_KV_BLOCKS_H_
 
@@ -13,17 +13,17 @@
 
 namespace lynxglade::fakes {
 
-// Thread-safe. A block lives until it expires or its engine crashes.
+// Thread-safe. A block exists until it expires or its engine crashes.
 class KvBlocks {
  public:
   KvBlocks(base::Clock clock, base::Duration lifetime);
 
-  // Announces an engine, whose blocks are then known exactly. Blocks of other
-  // engines are believed by their id alone.
+  // Registers an engine, whose blocks are then tracked. A block of an
+  // unregistered engine is accepted if its id matches the prompt.
   void AddEngine(const std::string& engine);
-  // Returns the block's id.
+  // Returns the id of the new block.
   std::string Export(const std::string& engine, PromptHash prompt);
-  // Whether the engine still has that block, and it is of that prompt.
+  // Whether the engine holds this block and it belongs to this prompt.
   bool Holds(const std::string& engine,
              const std::string& block,
              PromptHash prompt) const;
--- a/tests/fakes/kv_gateway.cc
+++ b/tests/fakes/kv_gateway.cc
@@ -27,7 +27,7 @@
 constexpr int kGrpcNotFound = 5;
 constexpr std::size_t kMaxValueBytes = 1u << 20;
 
-// 64-bit numbers come as strings; small ones may come as numbers.
+// 64-bit numbers are encoded as strings; small ones may be JSON numbers.
 std::int64_t Number(const json& object, const char* name) {
   const auto it = object.find(name);
   if (it == object.end()) {
@@ -70,7 +70,7 @@
           {"raft_term", "1"}};
 }
 
-// Members that are zero are left out, as the gateway does.
+// Omits zero members, as the gateway does.
 json RecordJson(const KvRecord& record) {
   const connection::KvEntry& entry = record.entry;
   json kv = {{"key", Base64Encode(entry.key)},
@@ -111,7 +111,7 @@
   return answer;
 }
 
-// Positive, zero or negative, as the first is greater, equal or less.
+// Returns a positive, zero or negative value for a > b, a == b or a < b.
 int Order(std::int64_t a, std::int64_t b) {
   return a < b ? -1 : static_cast<int>(a > b);
 }
@@ -137,7 +137,7 @@
 
 bool Holds(const json& compare, const KvStore& store) {
   const KvRecord record = store.Get(Bytes(compare, "key"));
-  // The value of a key that does not exist equals nothing.
+  // The value of a missing key never compares equal.
   if (Text(compare, "target") == "VALUE" && record.version == 0) {
     return false;
   }
@@ -152,8 +152,8 @@
   return result == "NOT_EQUAL" ? order != 0 : order == 0;
 }
 
-// A put with a lease that is gone fails the whole transaction; this tells
-// before anything is written.
+// A put with an expired lease fails the whole transaction, so this is checked
+// before any write.
 bool LeasesExist(const json& operations, KvStore& store) {
   return std::ranges::all_of(operations, [&](const json& operation) {
     const KvLeaseId lease(Number(Member(operation, "request_put"), "lease"));
@@ -212,7 +212,7 @@
   return Ok(std::move(answer), store.revision());
 }
 
-// A lone put or delete is a transaction of one operation.
+// Runs a single put or delete as a transaction of one operation.
 KvAnswer RunSingle(const char* operation, const json& body, KvStore& store) {
   return RunTxn({{"success", json::array({{{operation, body}}})}}, store);
 }
--- a/tests/fakes/kv_store.cc
+++ b/tests/fakes/kv_store.cc
@@ -65,7 +65,7 @@
     leases_[lease].keys.insert(key);
   }
   records_[key] = record;
-  Remember({NextRevision(), false, std::move(record)});
+  AppendHistory({NextRevision(), false, std::move(record)});
   return true;
 }
 
@@ -77,7 +77,7 @@
     KvRecord gone;
     gone.entry.key = it->first;
     gone.entry.mod_revision = NextRevision();
-    Remember({NextRevision(), true, std::move(gone)});
+    AppendHistory({NextRevision(), true, std::move(gone)});
     it = records_.erase(it);
     ++deleted;
   }
@@ -90,8 +90,11 @@
   }
 }
 
-KvLeaseId KvStore::Grant(KvLeaseId wanted, base::Duration ttl, base::Time now) {
-  const KvLeaseId id = wanted.value() != 0 ? wanted : KvLeaseId(next_lease_++);
+KvLeaseId KvStore::Grant(KvLeaseId requested,
+                         base::Duration ttl,
+                         base::Time now) {
+  const KvLeaseId id =
+      requested.value() != 0 ? requested : KvLeaseId(next_lease_++);
   leases_[id] = {ttl, now + ttl, {}};
   return id;
 }
@@ -139,11 +142,12 @@
   }
 }
 
-void KvStore::Remember(KvChange change) {
+void KvStore::AppendHistory(KvChange change) {
   changed_ = true;
   history_.push_back(std::move(change));
   if (history_.size() > kMaxHistory) {
-    // A revision is forgotten whole, so that a watch never sees half of it.
+    // Removes all changes of a revision together, so that a watch never
+    // delivers part of a revision.
     const Revision gone = history_.front().revision;
     while (!history_.empty() && history_.front().revision == gone) {
       history_.pop_front();
--- a/tests/fakes/kv_store.h
+++ b/tests/fakes/kv_store.h
@@ -1,8 +1,8 @@
-// What the stand-in key-value service holds: keys with revisions, leases and
-// the history that watches read.
+// Contents of the fake key-value service: keys with revisions, leases and the
+// change history that watches read.
 //
-// Pure and copyable, so that a copy is a backup and assigning it back is a
-// restore. Not thread-safe.
+// Copyable: a copy is a backup, and assigning it back is a restore. Not
+// thread-safe.
 #ifndef LYNXGLADE_FAKES_KV_STORE_H_
 #define LYNXGLADE_FAKES_KV_STORE_H_
 
@@ -24,8 +24,8 @@
   std::int64_t version = 0;
 };
 
-// Keys from `key` up to `end` (not included). An empty end means only the one
-// key, a single zero byte all keys from `key` on.
+// The keys [key, end). An empty end selects the single key; an end of one zero
+// byte selects all keys from `key` on.
 struct KvSpan {
   std::string key;
   std::string end;
@@ -41,12 +41,12 @@
 
 class KvStore {
  public:
-  // Reads at most `limit` keys in order (0: all); `count` gets the number of
-  // all that are in the span.
+  // Returns at most `limit` keys in order (0: all); sets `count` to the number
+  // of all keys in the span.
   std::vector<KvRecord> Range(const KvSpan& span,
                               std::int64_t limit,
                               std::int64_t* count) const;
-  // The record, with zero revisions when the key does not exist.
+  // Returns the record, with zero revisions if the key does not exist.
   KvRecord Get(const std::string& key) const;
 
   // Writes between Begin() and Commit() share one revision.
@@ -59,16 +59,16 @@
   std::int64_t Delete(const KvSpan& span);
   void Commit() noexcept;
 
-  connection::KvLeaseId Grant(connection::KvLeaseId wanted,
+  connection::KvLeaseId Grant(connection::KvLeaseId requested,
                               base::Duration ttl,
                               base::Time now);
-  // Returns the full time to live; zero when the lease is gone.
+  // Renews the lease and returns its TTL; zero if it does not exist.
   base::Duration KeepAlive(connection::KvLeaseId lease, base::Time now);
   bool HasLease(connection::KvLeaseId lease) const {
     return leases_.contains(lease);
   }
   bool Revoke(connection::KvLeaseId lease);
-  // Revokes leases whose time is over.
+  // Revokes expired leases.
   void Expire(base::Time now);
 
   base::Revision revision() const noexcept { return revision_; }
@@ -86,7 +86,7 @@
 
   base::Revision NextRevision() const noexcept;
   void Detach(const KvRecord& record);
-  void Remember(KvChange change);
+  void AppendHistory(KvChange change);
 
   std::map<std::string, KvRecord> records_;
   std::map<connection::KvLeaseId, Lease> leases_;
--- a/tests/fakes/linked_ports.cc
+++ b/tests/fakes/linked_ports.cc
@@ -12,14 +12,14 @@
 
 constexpr base::Duration kHold = std::chrono::milliseconds(20);
 
-// Set for each call; a thread serves the connections of one port.
+// Set for each call; a thread serves connections of one port only.
 thread_local const std::atomic<bool>* own_cut = nullptr;
 
 bool IsControl(const std::string& path) {
   return path == "/fault" || path.starts_with("/journal");
 }
 
-// A call that was held until its caller had gone never arrived.
+// Holds a call. If the caller disconnects meanwhile, the call is not run.
 httplib::Server::HandlerResponse HoldCall(const std::function<bool()>& held) {
   using Result = httplib::Server::HandlerResponse;
   if (!held()) {
--- a/tests/fakes/plain_host.cc
+++ b/tests/fakes/plain_host.cc
@@ -41,13 +41,13 @@
       std::chrono::duration<double, std::milli>(ms));
 }
 
-// Callers' header and the system's own.
+// Accepts the header of callers and that of the system.
 std::string KeyOf(const Request& req) {
   const std::string key = req.get_header_value("Idempotency-Key");
   return key.empty() ? req.get_header_value("X-Idempotency-Key") : key;
 }
 
-// Says that the whole body comes and sends half of it.
+// Announces the length of the whole body but sends only half of it.
 void SendHalf(const std::string& body, Response& res) {
   res.set_content_provider(
       body.size(), "application/json",
@@ -210,7 +210,7 @@
   std::unique_lock lock(mutex_);
   const std::int64_t incarnation = incarnation_;
   const base::Duration time = settings_.work + Millis(faults_.Value("slow_ms"));
-  // A crash that is due ends the work wherever it stands.
+  // A pending crash interrupts the work.
   const auto ended = [&] {
     return stopping_ || crash_ || incarnation_ != incarnation;
   };
@@ -220,11 +220,11 @@
   }
 }
 
-bool PlainHost::EndRun(RunIndex run, RunState how) {
+bool PlainHost::EndRun(RunIndex run, RunState end_state) {
   const std::lock_guard lock(mutex_);
   --running_;
-  journal_.End(run, how, base::WallMillis());
-  return journal_.at(run).state == how;
+  journal_.End(run, end_state, base::WallMillis());
+  return journal_.at(run).state == end_state;
 }
 
 void PlainHost::Answer(const Request& req, RunIndex run, Response& res) {
@@ -233,7 +233,7 @@
       std::this_thread::sleep_for(kHold);
     }
   }
-  // The call ran, and its answer waits for the cut to end.
+  // The call ran; its response is held until the cut ends.
   while (OwnLinkCut() && OwnConnectionAlive()) {
     std::this_thread::sleep_for(kHold);
   }
@@ -282,7 +282,7 @@
   return faults_.Value(name);
 }
 
-// Waits for crashes and goes through them.
+// Waits for crash requests and simulates them.
 void PlainHost::CrashLoop() {
   std::unique_lock lock(mutex_);
   while (true) {
--- a/tests/fakes/plain_host.h
+++ b/tests/fakes/plain_host.h
@@ -1,4 +1,4 @@
-// One stand-in instance of a plain service with its listener.
+// A fake instance of a plain service with its listeners.
 #ifndef LYNXGLADE_FAKES_PLAIN_HOST_H_
 #define LYNXGLADE_FAKES_PLAIN_HOST_H_
 
@@ -33,16 +33,16 @@
   std::string address = "127.0.0.1";
   // 0 picks a free port.
   int port = 0;
-  // Ports of the one instance, as for engines.
+  // Ports of the instance; see EngineHostSettings.
   int links = 1;
   int link_stride = 100;
-  // How long each call takes.
+  // Duration of each call.
   base::Duration work{};
-  // Calls that run at once; more are refused as overloaded.
+  // Maximum number of concurrent calls; more are rejected as overloaded.
   int limit = 256;
 };
 
-// Answers every path by an echo of the call, and writes each run down by its
+// Answers every path with an echo of the call, and records each run with its
 // idempotency key. Thread-safe.
 class PlainHost {
  public:
@@ -62,11 +62,11 @@
  private:
   void AddRoutes(httplib::Server& server);
   void Serve(const httplib::Request& req, httplib::Response& res);
-  // The refusal word that applies now, if any.
+  // The error code of a rejection that applies now, if any.
   std::optional<std::string> TakeRefusal();
   RunIndex BeginRun(const httplib::Request& req);
-  // False when a crash has ended the run meanwhile.
-  bool EndRun(RunIndex run, RunState how);
+  // Returns false when a crash has already ended the run.
+  bool EndRun(RunIndex run, RunState end_state);
   void Work(const httplib::Request& req);
   void Answer(const httplib::Request& req,
               RunIndex run,
--- a/tests/fakes/platform_port_test.cc
+++ b/tests/fakes/platform_port_test.cc
@@ -1,5 +1,4 @@
-// The stand-in key-value service behind its listener, as the system's own
-// client meets it.
+// Tests the fake key-value service over HTTP with the production client.
 #include <httplib.h>
 
 #include <string>
@@ -44,7 +43,7 @@
   FaultyPort port_;
 };
 
-TEST_F(PlatformPortTest, EachFaultIsWhatTheClientTakesItFor) {
+TEST_F(PlatformPortTest, ClientReportsExpectedErrorForEachFault) {
   const KeyValue client = Client();
   KvError ec = KvError::kNone;
   const auto put = [&](const std::string& value) {
--- a/tests/fakes/platform_routes.cc
+++ b/tests/fakes/platform_routes.cc
@@ -17,7 +17,7 @@
 using nlohmann::json;
 
 constexpr base::Duration kHold = std::chrono::milliseconds(20);
-constexpr base::Duration kLook = std::chrono::milliseconds(20);
+constexpr base::Duration kPollInterval = std::chrono::milliseconds(20);
 constexpr int kBadRequest = 400;
 constexpr int kTooMany = 429;
 
@@ -26,7 +26,8 @@
   res.set_content(answer.body, "application/json");
 }
 
-// A partition drops packets: the caller hears nothing until it gives up.
+// Simulates a partition that drops packets: the caller gets no response until
+// it disconnects.
 void HoldCut(const FakeKv& kv, const std::string& source) {
   while (kv.IsCut(source) && OwnConnectionAlive()) {
     std::this_thread::sleep_for(kHold);
@@ -38,12 +39,12 @@
   if (!OwnConnectionAlive()) {
     return;
   }
-  KvFate fate = KvFate::kAnswered;
+  KvOutcome outcome = KvOutcome::kAnswered;
   connection::KvCall call;
   call.path = req.path;
   call.body = req.body;
   const std::optional<KvAnswer> answer =
-      kv.Handle(call, req.remote_addr, &fate);
+      kv.Handle(call, req.remote_addr, &outcome);
   if (!answer) {
     ResetOwnConnection();
     return;
@@ -51,19 +52,19 @@
   AnswerKv(*answer, res);
 }
 
-// One watch over a connection.
+// One watch on a connection.
 struct WatchStream {
   FakeKv* kv;
   KvWatch watch;
   std::string source;
-  std::function<bool()> quiet;
+  std::function<bool()> paused;
 
   bool Continue(httplib::DataSink& sink) {
-    if (kv->IsCut(source) || quiet()) {
+    if (kv->IsCut(source) || paused()) {
       std::this_thread::sleep_for(kHold);
       return OwnConnectionAlive();
     }
-    const std::optional<std::string> line = kv->NextLine(watch, kLook);
+    const std::optional<std::string> line = kv->NextLine(watch, kPollInterval);
     if (!line) {
       return false;
     }
@@ -75,7 +76,7 @@
 };
 
 void WatchKv(FakeKv& kv,
-             const std::function<bool()>& quiet,
+             const std::function<bool()>& paused,
              const Request& req,
              Response& res) {
   HoldCut(kv, req.remote_addr);
@@ -86,7 +87,7 @@
     return;
   }
   auto stream = std::make_shared<WatchStream>(
-      WatchStream{&kv, std::move(*watch), req.remote_addr, quiet});
+      WatchStream{&kv, std::move(*watch), req.remote_addr, paused});
   res.set_chunked_content_provider(
       "application/json",
       [stream](std::size_t, httplib::DataSink& sink) {
@@ -142,10 +143,10 @@
 
 void AddKvRoutes(httplib::Server& server,
                  FakeKv& kv,
-                 std::function<bool()> quiet) {
-  server.Post("/v3/watch", [&kv, quiet = std::move(quiet)](const Request& req,
-                                                           Response& res) {
-    WatchKv(kv, quiet, req, res);
+                 std::function<bool()> paused) {
+  server.Post("/v3/watch", [&kv, paused = std::move(paused)](const Request& req,
+                                                             Response& res) {
+    WatchKv(kv, paused, req, res);
   });
   server.Post(
       "/v3/(kv|lease)/[a-z]+",
--- a/tests/fakes/prefix_cache.cc
+++ b/tests/fakes/prefix_cache.cc
@@ -13,8 +13,8 @@
 constexpr std::int64_t kBlockTokens = 16;
 constexpr std::size_t kMaxEvents = 4096;
 
-// Each block's hash covers all before it, so equal hashes mean equal prefixes.
-// A block that is not full is never shared.
+// The hash of each block covers all blocks before it, so equal hashes mean
+// equal prefixes. An incomplete block is never shared.
 std::vector<std::uint64_t> HashBlocks(std::string_view prompt) {
   std::vector<std::uint64_t> blocks(prompt.size() / kBlockBytes);
   std::uint64_t chain = 0;
--- a/tests/fakes/prefix_cache.h
+++ b/tests/fakes/prefix_cache.h
@@ -1,5 +1,4 @@
-// The prefix cache of a stand-in engine: least recently used, bounded in
-// tokens.
+// The prefix cache of a fake engine: LRU eviction, capacity in tokens.
 #ifndef LYNXGLADE_FAKES_PREFIX_CACHE_H_
 #define LYNXGLADE_FAKES_PREFIX_CACHE_H_
 
@@ -14,27 +13,27 @@
 
 namespace lynxglade::fakes {
 
-// One change of the cache, named by the hint that its requests carried.
+// One change of the cache; `prefix` is the hint of the requests.
 struct CacheEvent {
   std::int64_t seq = 0;
   bool stored = false;
   std::string prefix;
 };
 
-// One entry a hint. Two prompts under one hint share what their leading blocks
-// have in common, so a hint that covers too much saves nothing. Not
-// thread-safe.
+// One entry per hint. Two prompts with the same hint share their common leading
+// blocks, so a hint shared by unrelated prompts saves nothing. Not thread-safe.
 class PrefixCache {
  public:
   explicit PrefixCache(base::Tokens capacity) noexcept : capacity_(capacity) {}
 
-  // Tokens of `prompt` that are cached under `hint`; makes the entry recent.
+  // Tokens of `prompt` that are cached under `hint`; marks the entry as most
+  // recently used.
   base::Tokens Lookup(const std::string& hint, std::string_view prompt);
-  // Keeps the prompt under `hint`, evicting the least recent entries.
+  // Stores the prompt under `hint`, evicting the least recently used entries.
   void Store(const std::string& hint, std::string_view prompt);
   void Clear();
 
-  // Every change since construction, oldest first, bounded in number.
+  // The latest changes, oldest first; limited in number.
   const std::list<CacheEvent>& events() const noexcept { return events_; }
   base::Tokens used() const noexcept { return used_; }
 
--- a/tests/fakes/run_journal.h
+++ b/tests/fakes/run_journal.h
@@ -1,5 +1,5 @@
-// What a stand-in ran, kept over its simulated crashes: the judge of whether
-// a request ran, and how often.
+// Records the requests that a fake ran, including those before simulated
+// crashes, so that tests can check whether and how often a request ran.
 #ifndef LYNXGLADE_FAKES_RUN_JOURNAL_H_
 #define LYNXGLADE_FAKES_RUN_JOURNAL_H_
 
@@ -18,7 +18,7 @@
 enum class RunState { kQueued, kStarted, kFinished, kCancelled, kCrashed };
 std::string_view ToString(RunState state) noexcept;
 
-// One attempt that was taken, not refused.
+// One accepted attempt.
 struct RunRecord {
   std::string request_id;
   std::string attempt_id;
@@ -30,14 +30,14 @@
   std::int64_t resume_from = 0;
   std::int64_t generated = 0;
   RunState state = RunState::kQueued;
-  // Work was done for it, whatever came of it later.
+  // Work was done for it, regardless of its final state.
   bool ran = false;
   bool kv_imported = false;
   std::int64_t queued_ms = 0;
   std::int64_t ended_ms = 0;
 };
 
-// One attempt that was refused before any work.
+// One attempt that was rejected before any work.
 struct RefusalRecord {
   std::string request_id;
   std::string attempt_id;
@@ -45,7 +45,7 @@
   std::int64_t time_ms = 0;
 };
 
-// Names a record of one journal.
+// Index of a record in its journal.
 using RunIndex = std::size_t;
 
 // Not thread-safe.
--- a/tests/fakes/token_bucket.h
+++ b/tests/fakes/token_bucket.h
@@ -1,4 +1,4 @@
-// A rate limit.
+// A token-bucket rate limiter.
 #ifndef LYNXGLADE_FAKES_TOKEN_BUCKET_H_
 #define LYNXGLADE_FAKES_TOKEN_BUCKET_H_
 
@@ -9,11 +9,11 @@
 // Not thread-safe. Starts full.
 class TokenBucket {
  public:
-  // `per_second` 0 means no limit; `burst` is the most that can be saved up.
+  // `per_second` 0 means no limit; `burst` is the capacity of the bucket.
   TokenBucket(double per_second, double burst) noexcept;
 
   bool Take(base::Time now) noexcept;
-  // How long until Take() would succeed; zero when it would now.
+  // Time until Take() would succeed; zero if it would succeed now.
   base::Duration TimeToNext(base::Time now) noexcept;
   void set_rate(double per_second, double burst) noexcept;
 
--- a/tests/fakes/token_text.h
+++ b/tests/fakes/token_text.h
@@ -1,8 +1,8 @@
-// The text that a stand-in engine generates.
+// The text that a fake engine generates.
 //
-// Token i of an answer is a pure function of the prompt and i, so a stream
-// resumed on another engine continues the same answer, and a test can say
-// whether a caller got every token once.
+// Token i of a response is a pure function of the prompt and i, so a stream
+// resumed on another engine continues the same response, and a test can check
+// that a caller received each token exactly once.
 #ifndef LYNXGLADE_FAKES_TOKEN_TEXT_H_
 #define LYNXGLADE_FAKES_TOKEN_TEXT_H_
 
@@ -14,19 +14,19 @@
 
 namespace lynxglade::fakes {
 
-// Names what an engine runs: equal prompts have equal hashes.
+// Identifies a prompt: equal prompts have equal hashes.
 using PromptHash = base::StrongNumber<struct PromptHashTag, std::uint64_t>;
 
-// `prompt` is the text of all messages, one after the other.
+// `prompt` is the concatenated text of all messages.
 PromptHash HashPrompt(std::string_view prompt) noexcept;
 
-// One token for every four bytes, at least 1.
+// One token per four bytes, rounded up; at least 1.
 base::Tokens CountPromptTokens(std::string_view prompt) noexcept;
 
-// "<index>:<4 hex digits> "; the index makes a lost or doubled token plain.
+// "<index>:<4 hex digits> "; the index reveals lost and duplicated tokens.
 std::string TokenText(PromptHash prompt, std::int64_t index);
 
-// Tokens `first` to `last` (not included), as one text.
+// The text of the tokens [first, last).
 std::string AnswerText(PromptHash prompt,
                        std::int64_t first,
                        std::int64_t last);
--- a/tests/fakes/weight_fetcher.cc
+++ b/tests/fakes/weight_fetcher.cc
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr int kTimeoutSeconds = 1;
-// The change must not end between two tries.
-constexpr base::Duration kMargin = std::chrono::seconds(1);
-constexpr base::Duration kRetry = std::chrono::milliseconds(200);
+// Keeps the change from ending between two attempts.
+constexpr base::Duration kChangeMargin = std::chrono::seconds(1);
+constexpr base::Duration kRetryInterval = std::chrono::milliseconds(200);
 
 std::string NameOf(const EngineSetup& setup) {
   return setup.model + "/" + setup.version;
@@ -27,21 +27,21 @@
     : url_(std::move(url)), clock_(std::move(clock)), core_(core) {}
 
 void WeightFetcher::Advance() {
-  const std::optional<EngineSetup> wanted = core_.WantedWeights();
-  if (url_.empty() || !wanted) {
-    have_.clear();
+  const std::optional<EngineSetup> required = core_.RequiredWeights();
+  if (url_.empty() || !required) {
+    fetched_.clear();
     return;
   }
-  if (have_ == NameOf(*wanted) || clock_() < next_try_) {
+  if (fetched_ == NameOf(*required) || clock_() < next_try_) {
     return;
   }
-  const std::optional<base::Duration> wait = Fetch(*wanted);
+  const std::optional<base::Duration> wait = Fetch(*required);
   if (!wait) {
-    have_ = NameOf(*wanted);
+    fetched_ = NameOf(*required);
     return;
   }
   next_try_ = clock_() + *wait;
-  core_.DelayChange(next_try_ + kMargin);
+  core_.DelayChange(next_try_ + kChangeMargin);
 }
 
 std::optional<base::Duration> WeightFetcher::Fetch(
@@ -51,7 +51,7 @@
   client.set_read_timeout(kTimeoutSeconds);
   const auto res = client.Get("/v1/weights/" + NameOf(setup));
   if (!res) {
-    return kRetry;
+    return kRetryInterval;
   }
   constexpr int kOk = 200;
   if (res->status == kOk) {
@@ -59,7 +59,8 @@
   }
   const std::string after = res->get_header_value("Retry-After");
   const long seconds = std::strtol(after.c_str(), nullptr, 10);
-  return seconds > 0 ? base::Duration(std::chrono::seconds(seconds)) : kRetry;
+  return seconds > 0 ? base::Duration(std::chrono::seconds(seconds))
+                     : kRetryInterval;
 }
 
 }  // namespace lynxglade::fakes
