--- a/bench/admission_experiment.cc
+++ b/bench/admission_experiment.cc
@@ -1,6 +1,6 @@
-// A contract that floods ten times its share, beside two that keep to theirs:
-// goodput of each alone and beside the flood, with shares and with one line
-// for all. One JSON line a contract and run.
+// Goodput of contracts while another contract sends ten times its share,
+// compared with each alone, with fair shares and with a single queue. Prints
+// one JSON line per contract and run.
 //
 // Usage: admission_experiment [repetitions, default 5]
 
--- a/bench/claim_rate.cc
+++ b/bench/claim_rate.cc
@@ -1,9 +1,9 @@
-// Claims a second through a rate-limited key-value service, by the number of
-// claims that may share a transaction.
+// Claims per second through a rate-limited key-value service, by the maximum
+// number of claims per transaction.
 //
-// Instances share one in-process stand-in of the service; callers of each
-// claim, "run" for no time and record, one after the other. Prints a JSON line
-// a setting.
+// Instances share one in-process fake of the service; the callers of each
+// instance repeatedly claim a request and record its result. Prints one JSON
+// line per setting.
 #include <algorithm>
 #include <atomic>
 #include <chrono>
@@ -34,7 +34,7 @@
   int callers = 64;
   int seconds = 5;
   double writes_per_s = 300;
-  // Time that the service takes for a call.
+  // Duration of a call of the service.
   std::chrono::milliseconds call_time{2};
   std::size_t batch = 64;
 };
@@ -78,7 +78,7 @@
                 metrics_,
                 Options()) {}
 
-  // Claims until `end`; one caller.
+  // One caller: claims until `end`.
   Tally Call(base::Time end, const base::RandomSource& random) {
     Tally tally;
     request::Request request;
--- a/bench/config_slopes.cc
+++ b/bench/config_slopes.cc
@@ -1,7 +1,6 @@
-// What the configuration costs, by the number of contracts: bytes of head,
-// delta and snapshot, time to take a change, memory held, and calls to the
-// key-value service for each accepted change. The slopes are for
-// docs/CAPACITY.md.
+// Cost of the configuration by the number of contracts: bytes of head, delta
+// and snapshot, time to apply a change, memory, and calls to the key-value
+// service per accepted change. The results are used in docs/CAPACITY.md.
 //
 //   config_slopes [changes=600]
 #include <malloc.h>
@@ -31,7 +30,7 @@
 
 constexpr int kModels = 11;
 constexpr int kDefaultChanges = 600;
-// One statement must fit one delta; a fleet is filled in steps.
+// A change request must fit into one delta, so contracts are added in batches.
 constexpr int kContractsPerStep = 100;
 constexpr double kMicro = 1e6;
 constexpr std::size_t kKilobyte = 1024;
@@ -42,7 +41,7 @@
   return std::chrono::duration<double>(d).count() * kMicro;
 }
 
-// `edition` makes successive states of one contract differ.
+// `edition` distinguishes successive states of a contract.
 version::Contract MakeContract(int n, int contracts, int edition) {
   version::Contract contract;
   contract.id = base::ContractId("organisation-" + std::to_string(n));
@@ -60,7 +59,7 @@
   return contract;
 }
 
-// The stand-in service, with calls and written bytes counted.
+// A fake key-value service that counts calls and bytes written.
 struct Service {
   fakes::FakeKv kv{[] { return base::Time{}; }};
   std::map<std::string, int> calls;
@@ -137,7 +136,7 @@
   std::size_t delta_bytes = 0;
 };
 
-// Times what every instance does with a change that a peer passes on.
+// Times the handling of a change that an instance receives from a peer.
 Taking TimeTaking(const Instance& filled, int contracts, int changes) {
   base::Metrics metrics;
   version::ConfigTracker tracker({base::BootClock::now, {}, {}, {}}, metrics);
--- a/bench/entry_latency.cc
+++ b/bench/entry_latency.cc
@@ -1,10 +1,11 @@
-// What an entry instance adds to the time of a stream's first event, on
-// loopback: the same requests straight to a target and through the instance.
+// Latency that an entry instance adds to the first event of a stream on
+// loopback: sends the same requests directly to a target and through the
+// instance.
 //
 //   entry_latency DIRECT THROUGH [REQUESTS [TEXT_BYTES]]
 //
-// Both are HOST:PORT; requests are POST /demo/x to host "demo", one after the
-// other over one connection each, in turns.
+// DIRECT and THROUGH are HOST:PORT. Requests are POST /demo/x with host "demo",
+// sent alternately over one connection to each.
 #include <algorithm>
 #include <chrono>
 #include <cstdlib>
--- a/bench/fleet_slopes.cc
+++ b/bench/fleet_slopes.cc
@@ -1,7 +1,7 @@
-// What an instance spends on knowing the fleet, by the number of targets:
-// bytes of the instance list, processor time to take it, to take a load
-// report, to publish the routing index and to find the own slice, and memory
-// held. The slopes are for docs/CAPACITY.md.
+// Cost of target discovery for an instance by the number of targets: bytes of
+// the instance list, CPU time to apply the list or a load report, to publish
+// the routing index and to compute the slice of the instance, and memory. The
+// results are used in docs/CAPACITY.md.
 //
 //   fleet_slopes [engines:instances:members of a zone]...
 #include <malloc.h>
@@ -43,7 +43,7 @@
   int members = 0;
 };
 
-// Processor time of one call in microseconds: lowest, median and highest.
+// CPU time of one call in microseconds.
 struct Cost {
   double lowest = 0;
   double median = 0;
@@ -144,7 +144,7 @@
   return hooks;
 }
 
-// Every target has reported once, as after the start.
+// Applies one load report of every target, as after a start.
 void ReportAll(int engines, process::TargetRegistry* registry) {
   for (int n = 0; n < engines; ++n) {
     registry->OnLoad(ReportOf(n, 1));
--- a/bench/load/answer_check.cc
+++ b/bench/load/answer_check.cc
@@ -44,7 +44,7 @@
        end = pending_.find(kEventEnd, from)) {
     const std::string_view event(pending_.data() + from, end - from);
     if (event.starts_with(kDataField)) {
-      TakeEvent(event.substr(kDataField.size()), now);
+      HandleEvent(event.substr(kDataField.size()), now);
     }
     from = end + kEventEnd.size();
   }
@@ -68,7 +68,7 @@
   return tokens_ == usage_tokens_ || !counted_ ? "" : "token_count";
 }
 
-void StreamCheck::TakeEvent(std::string_view data, base::Time now) {
+void StreamCheck::HandleEvent(std::string_view data, base::Time now) {
   if (done_) {
     broken_ = true;
     return;
@@ -97,14 +97,14 @@
   const auto delta = choice->find("delta");
   if (delta != choice->end() && HasText(*delta, "content")) {
     counted_ = counted_ && chunk.contains("token_count");
-    TakeTokens(chunk.value("token_offset", tokens_),
-               chunk.value("token_count", std::int64_t{1}), now);
+    CountTokens(chunk.value("token_offset", tokens_),
+                chunk.value("token_count", std::int64_t{1}), now);
   }
 }
 
-void StreamCheck::TakeTokens(std::int64_t offset,
-                             std::int64_t count,
-                             base::Time now) {
+void StreamCheck::CountTokens(std::int64_t offset,
+                              std::int64_t count,
+                              base::Time now) {
   broken_ = broken_ || offset != tokens_ || count < 1;
   if (tokens_ == 0) {
     first_token_ = now;
--- a/bench/load/answer_check.h
+++ b/bench/load/answer_check.h
@@ -1,6 +1,4 @@
-// Proves from what the caller received that an answer is whole.
-//
-// Pure: bytes and times in, verdict out.
+// Checks that a response received by a caller is complete. Does no I/O.
 #ifndef LYNXGLADE_BENCH_LOAD_ANSWER_CHECK_H_
 #define LYNXGLADE_BENCH_LOAD_ANSWER_CHECK_H_
 
@@ -13,43 +11,45 @@
 
 namespace lynxglade::bench {
 
-// Follows one stream of server-sent events.
+// Checks one stream of server-sent events incrementally.
 class StreamCheck {
  public:
   StreamCheck() = default;
   StreamCheck(const StreamCheck&) = delete;
   StreamCheck& operator=(const StreamCheck&) = delete;
 
-  // Takes the next bytes of the body, received at `now`.
+  // Processes the next bytes of the body, received at `now`.
   void Feed(std::string_view bytes, base::Time now);
 
-  // finish_reason, usage and the end marker came, and the tokens add up.
+  // finish_reason, usage and the end marker were received, the token count
+  // matches and the stream is not broken().
   bool whole() const noexcept;
-  // What is missing for whole(); empty when nothing is.
+  // Reason code of an incomplete stream; empty if nothing is missing.
   std::string_view Missing() const noexcept;
-  // A token came twice, was left out, or the end marker was followed by more.
+  // A token is duplicated or missing, an event is malformed, or data follows
+  // the end marker.
   bool broken() const noexcept { return broken_; }
-  // False when a chunk did not say how many tokens it has, as a recorded answer
-  // that is given again: the count cannot be checked then.
+  // False when a chunk has no token_count, as in a replayed recorded response;
+  // the token count is not checked then.
   bool counted() const noexcept { return counted_; }
   bool has_tokens() const noexcept { return tokens_ > 0; }
   base::Time first_token() const noexcept { return first_token_; }
-  // Seconds between tokens: a chunk's gap is split over its tokens.
+  // Seconds between tokens; the gap before a chunk is divided among its tokens.
   const std::vector<double>& gaps() const noexcept { return gaps_; }
-  // `code` and `outcome` of an error event; empty when none came.
+  // `code` and `outcome` of an error event; empty without one.
   const std::string& error_code() const noexcept { return error_code_; }
   const std::string& error_outcome() const noexcept { return error_outcome_; }
 
  private:
-  void TakeEvent(std::string_view data, base::Time now);
-  void TakeTokens(std::int64_t offset, std::int64_t count, base::Time now);
+  void HandleEvent(std::string_view data, base::Time now);
+  void CountTokens(std::int64_t offset, std::int64_t count, base::Time now);
 
   std::string pending_;
   base::Time first_token_{};
   base::Time last_token_{};
   std::vector<double> gaps_;
   std::int64_t tokens_ = 0;
-  std::int64_t usage_tokens_ = -1;  // none came
+  std::int64_t usage_tokens_ = -1;  // -1: none received
   bool finished_ = false;
   bool done_ = false;
   bool broken_ = false;
@@ -58,16 +58,16 @@
   std::string error_outcome_;
 };
 
-// Verdict on a whole (not streamed) chat answer: finish_reason and usage are
-// there and there is text.
+// Whether a non-streamed chat response is complete: it has text, finish_reason
+// and usage.
 bool IsWholeAnswer(const std::string& body);
 
-// Reads {"error":{"code","outcome","retry_after_ms"}}; fields that are absent
-// stay empty.
+// Fields of {"error":{"code","outcome","retry_after_ms"}}; absent ones stay
+// empty.
 struct ErrorBody {
   std::string code;
   std::string outcome;
-  std::int64_t retry_after_ms = -1;  // none given
+  std::int64_t retry_after_ms = -1;  // -1: absent
 };
 ErrorBody ReadErrorBody(const std::string& body);
 
--- a/bench/load/caller.cc
+++ b/bench/load/caller.cc
@@ -40,22 +40,22 @@
                    workload.plain_path;
 }
 
-Verdict JudgeWhole(const TraceItem& item, double last_byte_s) {
+Verdict EvaluateComplete(const TraceItem& item, double last_byte_s) {
   const double deadline_s =
       std::chrono::duration<double>(item.deadline).count();
   return last_byte_s <= deadline_s ? Verdict::kDelivered : Verdict::kLate;
 }
 
-void TakeError(const ErrorBody& error, CallResult* result) {
+void ApplyError(const ErrorBody& error, CallResult* result) {
   result->code = error.code.empty() ? "no_code" : error.code;
   result->outcome = error.outcome;
-  result->retry_told = error.retry_after_ms >= 0;
+  result->has_retry_after = error.retry_after_ms >= 0;
 }
 
-void JudgeStream(const TraceItem& item,
-                 const StreamCheck& check,
-                 base::Time due,
-                 CallResult* result) {
+void EvaluateStream(const TraceItem& item,
+                    const StreamCheck& check,
+                    base::Time due,
+                    CallResult* result) {
   if (check.has_tokens()) {
     result->first_token_s = SecondsBetween(due, check.first_token());
   }
@@ -65,7 +65,7 @@
     result->verdict = Verdict::kBroken;
     result->code = "token_order";
   } else if (check.whole()) {
-    result->verdict = JudgeWhole(item, result->last_byte_s);
+    result->verdict = EvaluateComplete(item, result->last_byte_s);
     result->outcome = "ran";
   } else {
     result->verdict = Verdict::kCut;
@@ -75,7 +75,7 @@
   }
 }
 
-// A whole answer carries its own request's id back.
+// Whether the response echoes the id of this request or none.
 bool IsOwnAnswer(const httplib::Response& response, const TraceItem& item) {
   return !response.has_header("X-Request-Id") ||
          response.get_header_value("X-Request-Id") == item.id.str();
@@ -118,12 +118,12 @@
                 const TraceItem& item,
                 const std::string& body,
                 base::Time due,
-                base::Duration patience) {
+                base::Duration grace_period) {
   httplib::Client client(endpoint.address, endpoint.port);
   client.set_tcp_nodelay(true);
   client.set_keep_alive(false);
   client.set_connection_timeout(std::chrono::seconds(5));
-  client.set_read_timeout(item.deadline + patience);
+  client.set_read_timeout(item.deadline + grace_period);
 
   httplib::Request request;
   request.method = "POST";
@@ -156,22 +156,23 @@
   result.last_byte_s = SecondsBetween(due, base::BootClock::now());
   result.status = response.status > 0 ? response.status : 0;
   if (is_stream && result.status == kOk) {
-    JudgeStream(item, check, due, &result);
+    EvaluateStream(item, check, due, &result);
   } else if (!ended) {
-    // The library names a time-out and a broken connection alike.
-    const bool gave_up =
+    // cpp-httplib reports a timeout and a broken connection with the same
+    // error.
+    const bool timed_out =
         error == httplib::Error::Read &&
-        base::BootClock::now() - sent >= item.deadline + patience;
-    result.code = gave_up ? "gave_up_waiting" : httplib::to_string(error);
+        base::BootClock::now() - sent >= item.deadline + grace_period;
+    result.code = timed_out ? "gave_up_waiting" : httplib::to_string(error);
     result.verdict = whole.empty() ? Verdict::kLost : Verdict::kCut;
   } else if (result.status != kOk) {
     result.verdict = Verdict::kRefused;
-    TakeError(ReadErrorBody(whole), &result);
+    ApplyError(ReadErrorBody(whole), &result);
   } else if (item.kind == CallKind::kChat && !IsWholeAnswer(whole)) {
     result.verdict = Verdict::kCut;
     result.code = "not_whole";
   } else {
-    result.verdict = JudgeWhole(item, result.last_byte_s);
+    result.verdict = EvaluateComplete(item, result.last_byte_s);
     result.outcome = "ran";
   }
   if (result.status == kOk && !IsOwnAnswer(response, item)) {
--- a/bench/load/deployment.h
+++ b/bench/load/deployment.h
@@ -1,5 +1,5 @@
-// What a deployment file says of callers and engines. The topology in the same
-// file is read by scripts/run-demo.
+// Workload and engines of a deployment file. The topology in the same file is
+// read by scripts/run-demo.
 #ifndef LYNXGLADE_BENCH_LOAD_DEPLOYMENT_H_
 #define LYNXGLADE_BENCH_LOAD_DEPLOYMENT_H_
 
@@ -11,13 +11,13 @@
 
 namespace lynxglade::bench {
 
-// Closed interval to draw from.
+// A closed interval to sample from.
 struct Interval {
   double low = 0;
   double high = 0;
 };
 
-// One contract's part of the offered load.
+// Share of one contract in the offered load.
 struct ContractLoad {
   base::ContractId id;
   double traffic = 1;  // weight among the contracts
@@ -34,13 +34,12 @@
   // Prompt and output tokens of a request together: log-normal.
   double tokens_mean = 500;
   double tokens_sigma = 0.5;
-  // The prompt:output ratio swings between these, once within two half
-  // periods.
+  // The prompt:output ratio oscillates between these with a period of twice
+  // swing_half_period_s.
   double ratio_high = 3;
   double ratio_low = 1.0 / 3;
   double swing_half_period_s = 120;
-  // Requests of one group (an album, a job) share the leading part of their
-  // prompt.
+  // Requests of one group share the leading part of their prompt.
   int prefix_groups = 16;
   double prefix_share = 0.5;
   double whole_share = 0.3;
@@ -49,21 +48,21 @@
   double plain_share = 0;
   double plain_non_idempotent_share = 0;
   std::string plain_path;
-  // Of the non-idempotent requests, those that the caller sends again under
-  // the same key through another instance.
+  // Share of the non-idempotent requests that the caller sends again with the
+  // same key through another instance.
   double repeat_share = 0;
 };
 
-// The model engines of the workload's service, all alike.
+// The model engines of the workload's service, which are identical.
 struct EngineFleet {
   int engines = 0;
   double prefill_tokens_per_s = 0;
   double decode_tokens_per_s = 0;
-  // Of one stream at most.
+  // Maximum of one stream.
   double stream_tokens_per_s = 0;
-  // KV cache moved from a prefill to a decode engine.
+  // Rate of KV cache transfer from a prefill to a decode engine.
   double kv_tokens_per_s = 0;
-  // A change of role: the time it takes, and the drain before it.
+  // Duration of a role change and of the drain before it.
   double change_s = 0;
   double drain_s = 0;
   double role_change_price = 0;
@@ -76,7 +75,7 @@
   EngineFleet fleet;
 };
 
-// Reads a file of bench/deployments. Nothing on failure, with the reason in
+// Reads a file of bench/deployments. On failure returns nullopt and sets
 // `last_error`.
 std::optional<Deployment> LoadDeployment(const std::string& path,
                                          std::string* last_error);
--- a/bench/load/driver.cc
+++ b/bench/load/driver.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Hands requests to threads; a thread is started when all others are busy.
+// Distributes requests to threads; starts a thread when all others are busy.
 class CallerPool {
  public:
   CallerPool(const DriverOptions& options, base::Time start, Tally* tally)
@@ -76,11 +76,11 @@
     tally_->NoteSendLag(
         std::chrono::duration<double>(base::BootClock::now() - due).count());
     tally_->Finish(item, Call(NextEntry(), options_.workload, item, body, due,
-                              options_.patience));
+                              options_.grace_period));
     if (item.repeated) {
       tally_->FinishRepeat(item,
                            Call(NextEntry(), options_.workload, item, body,
-                                base::BootClock::now(), options_.patience));
+                                base::BootClock::now(), options_.grace_period));
     }
   }
 
--- a/bench/load/driver.h
+++ b/bench/load/driver.h
@@ -1,5 +1,5 @@
-// Plays a trace against entry instances, open loop: a request is sent when
-// its time has come, whatever became of those before it.
+// Plays a trace against entry instances in an open loop: each request is sent
+// at its scheduled time, regardless of the earlier requests.
 #ifndef LYNXGLADE_BENCH_LOAD_DRIVER_H_
 #define LYNXGLADE_BENCH_LOAD_DRIVER_H_
 
@@ -16,24 +16,25 @@
 namespace lynxglade::bench {
 
 struct DriverOptions {
-  // Requests go to these in turn, as a balancer would spread them; a repeat
-  // goes to the next one.
+  // Requests are distributed round-robin, as by a load balancer; a repeat goes
+  // to the next instance.
   std::vector<Endpoint> entries;
   Workload workload;
-  // Threads that each hold one request; more arrivals count as unsent.
+  // Maximum number of threads, one per request; further arrivals count as
+  // unsent.
   std::size_t max_in_flight = 2000;
-  // How long after its deadline an answer is still waited for.
-  base::Duration patience = std::chrono::seconds(60);
+  // Time to wait for a response after its deadline.
+  base::Duration grace_period = std::chrono::seconds(60);
 };
 
-// Called about once a second on a thread of the driver, with the time since
-// the start and the requests under way.
+// Called about once per second on a thread of the driver, with the time since
+// the start and the number of in-flight requests.
 using ProgressHook =
     std::function<void(base::Duration since_start, std::size_t in_flight)>;
 
-// Plays `trace` and returns when every request has ended. Stops offering when
-// `stop` turns true. Starts its threads with small stacks; the process-wide
-// default stack size is set by the caller of this function.
+// Plays `trace` and returns when every request has ended. Sends no more
+// requests once `stop` is true. Its threads use the process-wide default stack
+// size, which the caller should make small.
 void PlayTrace(const DriverOptions& options,
                const std::vector<TraceItem>& trace,
                const std::atomic<bool>& stop,
--- a/bench/load/journals.cc
+++ b/bench/load/journals.cc
@@ -30,8 +30,8 @@
   return parsed;
 }
 
-// The prefill half of a split request: it makes one token, and the request's
-// own run is the decode half.
+// The prefill part of a split request generates one token; the decode part is
+// counted as the run of the request.
 constexpr std::int64_t kPrefillHalfTokens = 1;
 
 bool IsRun(const json& run) {
@@ -39,7 +39,7 @@
          run.value("max_tokens", std::int64_t{0}) != kPrefillHalfTokens;
 }
 
-// Adds one stand-in's runs to the count of runs of each request.
+// Adds the runs of one fake to the run count of each request.
 void CountRuns(const json& journal, std::map<std::string, int>* runs) {
   for (const json& run : journal.value("runs", json::array())) {
     if (IsRun(run)) {
@@ -56,7 +56,7 @@
       }));
 }
 
-// One journal, or those of all stand-ins behind a control port.
+// Returns the single journal, or the list that a control port serves.
 json JournalsOf(const json& answer) {
   return answer.value("journals", json::array({answer}));
 }
@@ -91,9 +91,9 @@
       std::ranges::count_if(trace, [&](const TraceItem& item) {
         return item.non_idempotent && runs_of(item.id.str()) > 1;
       }));
-  std::ranges::copy_if(not_run, std::back_inserter(findings.untrue_ids),
+  std::ranges::copy_if(not_run, std::back_inserter(findings.untrue_not_run_ids),
                        [&](const std::string& id) { return runs_of(id) > 0; });
-  findings.untrue_not_run = findings.untrue_ids.size();
+  findings.untrue_not_run = findings.untrue_not_run_ids.size();
   return findings;
 }
 
--- a/bench/load/journals.h
+++ b/bench/load/journals.h
@@ -1,4 +1,4 @@
-// What the stand-ins say they ran, against what the callers were told.
+// Compares the journals of the fakes with the responses to the callers.
 #ifndef LYNXGLADE_BENCH_LOAD_JOURNALS_H_
 #define LYNXGLADE_BENCH_LOAD_JOURNALS_H_
 
@@ -13,22 +13,23 @@
 namespace lynxglade::bench {
 
 struct JournalFindings {
-  std::size_t read = 0;    // stand-ins that answered
-  std::size_t unread = 0;  // those that did not: the rest is then a lower bound
+  std::size_t read = 0;  // fakes that answered
+  std::size_t unread =
+      0;  // fakes that did not; the counts below are then lower bounds
   std::uint64_t runs = 0;
-  // Non-idempotent requests with more than one run: broken promises.
+  // Non-idempotent requests that ran more than once; must be 0.
   std::uint64_t non_idempotent_doubled = 0;
-  // Requests refused as "not_run" that a stand-in ran: broken promises.
+  // Requests rejected as "not_run" that a fake ran; must be 0.
   std::uint64_t untrue_not_run = 0;
-  // Their ids, to look them up.
-  std::vector<std::string> untrue_ids;
+  // Request ids counted by untrue_not_run.
+  std::vector<std::string> untrue_not_run_ids;
   // Orders that took an engine out of service, for any reason.
   std::uint64_t role_changes = 0;
 };
 
-// Reads GET /journal of every port in `targets`: stand-ins, or control ports
-// that answer for many. `not_run` are the ids of the requests whose refusal
-// said so.
+// Reads GET /journal of each endpoint in `targets`: a fake, or a control port
+// that serves the journals of several. `not_run` has the ids of the requests
+// that were rejected as "not_run".
 JournalFindings ReadJournals(const std::vector<Endpoint>& targets,
                              const std::vector<TraceItem>& trace,
                              const std::set<std::string>& not_run);
--- a/bench/load/load_main.cc
+++ b/bench/load/load_main.cc
@@ -1,5 +1,5 @@
-// lynxglade-load: plays a seeded trace against entry instances and reports
-// what the callers saw.
+// lynxglade-load: plays a seeded trace against entry instances and reports the
+// results as seen by the callers.
 #include <pthread.h>
 
 #include <atomic>
@@ -27,7 +27,7 @@
 namespace {
 
 constexpr int kExitBadSetting = 2;
-// Sent requests wait on their threads; a small stack is enough for one.
+// Each in-flight request occupies a thread, which needs only a small stack.
 constexpr std::size_t kStackBytes = 256UL * 1024;
 constexpr std::size_t kProgressWindow = 10;
 
@@ -93,7 +93,7 @@
           streams_only.getValue()};
 }
 
-// Reads "address:port,address:port"; nothing when a part is not one.
+// Parses "address:port,address:port"; nullopt when a part is invalid.
 std::optional<std::vector<Endpoint>> ParseEndpoints(const std::string& text) {
   std::vector<Endpoint> endpoints;
   std::istringstream in(text);
--- a/bench/load/report.cc
+++ b/bench/load/report.cc
@@ -86,7 +86,7 @@
       {"repeats", totals->repeats},
       {"uncounted_streams", totals->uncounted},
       {"driver",
-       {{"worst_send_lag_ms", totals->worst_send_lag_s * kMillis},
+       {{"worst_send_lag_ms", totals->max_send_lag_s * kMillis},
         {"unsent", totals->unsent}}},
       {"journals",
        {{"read", journals.read},
@@ -94,7 +94,7 @@
         {"runs", journals.runs},
         {"role_changes", journals.role_changes},
         {"non_idempotent_doubled", journals.non_idempotent_doubled},
-        {"untrue_ids", journals.untrue_ids},
+        {"untrue_ids", journals.untrue_not_run_ids},
         {"untrue_not_run", journals.untrue_not_run}}}};
   return report.dump(2) + "\n";
 }
@@ -141,7 +141,7 @@
       static_cast<unsigned long long>(journals.non_idempotent_doubled),
       static_cast<unsigned long long>(journals.untrue_not_run));
   out += Line("driver                 worst send lag %.1f ms  unsent %llu\n",
-              totals->worst_send_lag_s * kMillis,
+              totals->max_send_lag_s * kMillis,
               static_cast<unsigned long long>(totals->unsent));
   return out;
 }
--- a/bench/load/report.h
+++ b/bench/load/report.h
@@ -1,4 +1,4 @@
-// The report of a run: JSON for programs, lines for people, rows for gnuplot.
+// Reports of a run as JSON, as text and as rows for gnuplot.
 #ifndef LYNXGLADE_BENCH_LOAD_REPORT_H_
 #define LYNXGLADE_BENCH_LOAD_REPORT_H_
 
@@ -13,12 +13,12 @@
 
 struct RunFacts {
   std::string deployment;
-  std::string label;  // what is compared, free text
+  std::string label;  // free text that identifies the run
   std::uint64_t seed = 0;
   double seconds = 0;
 };
 
-// Both sort the samples of `totals`.
+// Both functions reorder the samples of `totals`.
 std::string MakeJsonReport(const RunFacts& facts,
                            const JournalFindings& journals,
                            Totals* totals);
@@ -26,8 +26,8 @@
                            const JournalFindings& journals,
                            Totals* totals);
 
-// One row a second: time, offered, delivered worth share, first-token p95 in
-// milliseconds, prompt:output ratio.
+// One row per second: time, offered requests, delivered share of the worth, p95
+// of time to first token in milliseconds, prompt:output ratio.
 std::string MakePlotRows(const Workload& workload, Totals* totals);
 
 }  // namespace lynxglade::bench
--- a/bench/load/tally.cc
+++ b/bench/load/tally.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kMostFailedListed = 200;
+constexpr std::size_t kMaxFailedListed = 200;
 
 void AddOffer(const TraceItem& item, Counts* counts) {
   ++counts->offered;
@@ -69,21 +69,21 @@
   }
   if (result.verdict == Verdict::kRefused) {
     ++totals_.refusals[result.code];
-    totals_.refusals_with_retry_time += result.retry_told ? 1 : 0;
+    totals_.refusals_with_retry_time += result.has_retry_after ? 1 : 0;
     return;
   }
   const std::string failure =
       std::string(ToString(result.verdict)) + ":" + result.code;
   ++totals_.failures[failure];
-  if (totals_.failed_requests.size() < kMostFailedListed) {
+  if (totals_.failed_requests.size() < kMaxFailedListed) {
     totals_.failed_requests.push_back(failure + " " + item.id.str());
   }
 }
 
 void Tally::FinishRepeat(const TraceItem& item, const CallResult& result) {
   const std::lock_guard lock(mutex_);
-  // What the first answer said is no longer a claim about the journal when
-  // the repeat, which has the same request id, may have run.
+  // The repeat has the same request id and may have run, so the "not_run" of
+  // the first response can no longer be checked against the journals.
   if (result.outcome != "not_run") {
     totals_.not_run.erase(item.id.str());
   }
@@ -93,7 +93,7 @@
 
 void Tally::NoteSendLag(double seconds) {
   const std::lock_guard lock(mutex_);
-  totals_.worst_send_lag_s = std::max(totals_.worst_send_lag_s, seconds);
+  totals_.max_send_lag_s = std::max(totals_.max_send_lag_s, seconds);
 }
 
 void Tally::NoteUnsent(const TraceItem& item) {
--- a/bench/load/trace.cc
+++ b/bench/load/trace.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Spread of one request's ratio around the mix's, on the logarithm.
+// Standard deviation of the logarithm of the ratio of one request.
 constexpr double kRatioSigma = 0.35;
 constexpr std::int64_t kLeastTokens = 4;
 constexpr std::int64_t kMostTokens = 16000;
@@ -26,10 +26,11 @@
       std::chrono::duration<double>(s));
 }
 
-// Draws requests; all randomness comes from one generator, in a fixed order.
-class Drawer {
+// Samples requests from one generator in a fixed order, for reproducible
+// traces.
+class RequestSampler {
  public:
-  Drawer(const Deployment& deployment, std::uint64_t seed)
+  RequestSampler(const Deployment& deployment, std::uint64_t seed)
       : deployment_(deployment), generator_(seed) {}
 
   double GapSeconds() {
@@ -106,7 +107,7 @@
   std::mt19937_64 generator_;
 };
 
-// `n` words of three letters and a space: four bytes a token.
+// `n` words of three letters and a space: four bytes per token.
 std::string Words(std::uint64_t seed, std::int64_t n) {
   constexpr std::uint64_t kLetters = 26;
   const base::RandomSource random = base::SeededRandom(seed);
@@ -137,12 +138,12 @@
                                  base::Duration length,
                                  std::size_t max_requests,
                                  std::uint64_t seed) {
-  Drawer drawer(deployment, seed);
+  RequestSampler sampler(deployment, seed);
   std::vector<TraceItem> trace;
-  base::Duration at = Seconds(drawer.GapSeconds());
+  base::Duration at = Seconds(sampler.GapSeconds());
   while (at < length && trace.size() < max_requests) {
-    trace.push_back(drawer.Draw(at, trace.size()));
-    at += Seconds(drawer.GapSeconds());
+    trace.push_back(sampler.Draw(at, trace.size()));
+    at += Seconds(sampler.GapSeconds());
   }
   return trace;
 }
--- a/bench/load/trace.h
+++ b/bench/load/trace.h
@@ -1,5 +1,5 @@
-// A seeded trace of what the callers send, made before the run, so that runs
-// that are compared see the same requests at the same times.
+// A seeded trace of requests, generated before the run so that compared runs
+// send the same requests at the same times.
 #ifndef LYNXGLADE_BENCH_LOAD_TRACE_H_
 #define LYNXGLADE_BENCH_LOAD_TRACE_H_
 
@@ -28,18 +28,18 @@
   int priority = 5;
   bool stream = true;
   bool non_idempotent = false;
-  // Sent a second time under the same key, once the first has ended.
+  // Sent again with the same key after the first call has ended.
   bool repeated = false;
   base::Tokens prompt{0};
   base::Tokens output{0};
   // The part of the prompt that all requests of the group share.
   base::Tokens shared_prefix{0};
   int prefix_group = 0;
-  std::uint64_t seed = 0;  // of the prompt's own words
+  std::uint64_t seed = 0;  // of the part of the prompt that is not shared
 };
 
-// Prompt:output ratio at a time after the start: starts high, swings on the
-// logarithm.
+// Prompt:output ratio at a time after the start. Starts at the high value and
+// oscillates on a logarithmic scale.
 double RatioAt(const Workload& workload, base::Duration at) noexcept;
 
 // Poisson arrivals for `length`, at most `max_requests`.
--- a/bench/overhead/burst.cc
+++ b/bench/overhead/burst.cc
@@ -25,7 +25,7 @@
 
 enum class BurstPhase { kConnecting, kWaiting, kEnded };
 
-// One connection of the burst; closes its socket.
+// One connection of the burst; owns its socket.
 struct BurstConnection {
   explicit BurstConnection(int descriptor) : fd(descriptor) {}
   ~BurstConnection() { ::close(fd); }
@@ -58,7 +58,7 @@
       ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
   const int result =
       ::connect(connection->fd, reinterpret_cast<sockaddr*>(&to), sizeof to);
-  // In progress is the usual answer; a failure later shows when it is polled.
+  // EINPROGRESS is expected; a later failure is reported by poll().
   if (result != 0 && errno != EINPROGRESS) {
     End(*connection, /*failed=*/true);
   }
--- a/bench/overhead/measurements.cc
+++ b/bench/overhead/measurements.cc
@@ -22,8 +22,8 @@
 
 constexpr base::Duration kPatience = seconds(10);
 constexpr std::int64_t kShortOutput = 2;
-// Longest pause before a request. The stand-in engines work in ticks: without
-// pauses that vary, one side could always meet the same phase of them.
+// Maximum random pause before a request. The fake engines work in ticks;
+// without random pauses, one side could always hit the same phase of the ticks.
 constexpr std::uint64_t kPauseMicros = 20000;
 constexpr std::uint64_t kPauseSeed = 1;
 
@@ -65,7 +65,7 @@
   return text.str();
 }
 
-// Watches a process and the streams under way until stopped.
+// Samples a process and the number of in-flight streams until stopped.
 class Watcher {
  public:
   Watcher(int pid, const std::atomic<std::size_t>& open)
@@ -85,7 +85,7 @@
       thread_.join();
     }
   }
-  std::size_t most_at_once() const noexcept { return most_at_once_; }
+  std::size_t max_concurrent() const noexcept { return most_at_once_; }
   const ProcessUsage& usage() const noexcept { return usage_; }
 
  private:
@@ -132,8 +132,8 @@
            &samples.direct_whole_s);
     };
     const auto through = [&] {
-      send(entry, 2 * i + 1, &samples.through_first_token_s,
-           &samples.through_whole_s);
+      send(entry, 2 * i + 1, &samples.entry_first_token_s,
+           &samples.entry_whole_s);
     };
     if (i % 2 == 0) {
       direct();
@@ -150,7 +150,7 @@
   const std::string folder = "/proc/" + std::to_string(pid);
   const std::string stat = ReadFile(folder + "/stat");
   const std::string status = ReadFile(folder + "/status");
-  // The name in brackets may hold spaces; fields are counted after it.
+  // The name in parentheses may contain spaces; fields are counted after it.
   const std::size_t name_end = stat.rfind(')');
   if (name_end == std::string::npos || status.empty()) {
     return std::nullopt;
@@ -208,7 +208,7 @@
   watcher.Stop();
   const auto after = ReadUsage(pid);
   findings.seconds = SecondsSince(start);
-  findings.most_at_once = watcher.most_at_once();
+  findings.max_concurrent = watcher.max_concurrent();
   findings.usage = watcher.usage();
   if (before && after) {
     findings.usage.cpu_s = after->cpu_s - before->cpu_s;
--- a/bench/overhead/overhead_main.cc
+++ b/bench/overhead/overhead_main.cc
@@ -1,4 +1,5 @@
-// lynxglade-overhead: what one entry instance adds and needs.
+// lynxglade-overhead: measures the latency that one entry instance adds and the
+// resources that it uses.
 #include <pthread.h>
 
 #include <algorithm>
@@ -20,7 +21,7 @@
 
 constexpr double kMillis = 1000;
 constexpr std::size_t kStackBytes = 256UL * 1024;
-// A dropped connection attempt is repeated by the kernel after a second.
+// The kernel retries a dropped connection attempt after one second.
 constexpr double kRetransmittedSeconds = 0.9;
 
 struct Settings {
@@ -59,12 +60,12 @@
   std::printf("latency: %zu pairs, interleaved, one at a time, failed %zu\n",
               settings.count, samples.failed);
   PrintRow("first token, direct", &samples.direct_first_token_s);
-  PrintRow("first token, through", &samples.through_first_token_s);
+  PrintRow("first token, through", &samples.entry_first_token_s);
   PrintRow("whole answer, direct", &samples.direct_whole_s);
-  PrintRow("whole answer, through", &samples.through_whole_s);
-  PrintAdded("first token, added", &samples.through_first_token_s,
+  PrintRow("whole answer, through", &samples.entry_whole_s);
+  PrintAdded("first token, added", &samples.entry_first_token_s,
              &samples.direct_first_token_s);
-  PrintAdded("whole answer, added", &samples.through_whole_s,
+  PrintAdded("whole answer, added", &samples.entry_whole_s,
              &samples.direct_whole_s);
   return samples.failed == 0 ? 0 : 1;
 }
@@ -77,7 +78,7 @@
   std::printf(
       "streams: %zu through one instance, whole %zu, failed %zu, most at once "
       "%zu\n",
-      settings.count, found.whole, found.failed, found.most_at_once);
+      settings.count, found.whole, found.failed, found.max_concurrent);
   PrintRow("first token", &found.first_token_s);
   PrintRow("between tokens", &found.gap_s);
   std::printf(
--- a/bench/planner/curve_main.cc
+++ b/bench/planner/curve_main.cc
@@ -1,5 +1,6 @@
-// planner_curve: goodput by worth and role changes of the planner over a range
-// of prices, beside the baselines, on the same seeded traces.
+// planner_curve: compares the goodput by worth and the number of role changes
+// of the planner, over a range of prices, with baselines on the same seeded
+// traces.
 #include <algorithm>
 #include <array>
 #include <chrono>
@@ -37,7 +38,8 @@
   int first_seed = 1;
   double load = 1;  // factor on the deployment's requests a second
   std::string start = "mixed";
-  process::RolePlannerOptions planner;  // price and time out are set by run
+  process::RolePlannerOptions
+      planner;  // price and outage time are set by each run
 };
 
 // One run of one policy.
@@ -120,7 +122,7 @@
     }
   }
 
-  // Runs a policy over all seeds; `make` gives a fresh one for each.
+  // Runs a policy on all seeds; `make` creates a new policy for each.
   std::vector<Outcome> Run(const FluidOptions& fluid,
                            const std::function<Policy()>& make) const {
     std::vector<Outcome> outcomes;
@@ -131,8 +133,8 @@
     return outcomes;
   }
 
-  // One row: goodput and changes with their spread, and the goodput over the
-  // reference's, paired by seed.
+  // Prints one row: goodput and changes with their spread, and the goodput
+  // relative to the reference, paired by seed.
   void Print(const char* policy,
              double price,
              const std::vector<Outcome>& outcomes,
@@ -160,7 +162,7 @@
   std::vector<std::vector<TraceItem>> traces_;
 };
 
-// The best, for each seed, of the oracle's options and of no change at all.
+// For each seed, the best of all oracle options and of making no change.
 std::vector<Outcome> RunOracle(const Comparison& comparison,
                                const FluidOptions& fluid,
                                const Workload& workload,
--- a/bench/planner/fluid_service.cc
+++ b/bench/planner/fluid_service.cc
@@ -12,11 +12,11 @@
 using request::EngineRole;
 
 constexpr double kEpsilon = 1e-9;
-// Time over which the mixed engines' room for decode is averaged, as a router
-// would know it from load reports.
-constexpr double kRoomSeconds = 2;
-// Room that a mixed engine is never taken to be below.
-constexpr double kLeastRoom = 0.05;
+// Averaging period of the decode capacity of mixed engines, similar to the
+// information that a router has from load reports.
+constexpr double kCapacityAveragingSeconds = 2;
+// Lower bound of the assumed decode capacity of a mixed engine.
+constexpr double kMinDecodeCapacity = 0.05;
 
 double Seconds(base::Duration d) {
   return std::chrono::duration<double>(d).count();
@@ -32,9 +32,9 @@
   EndChange();
   const Offered offered = TakeArrivals(now_s_ + seconds);
   now_s_ += seconds;
-  DropHopeless(&waiting_);
-  DropHopeless(&decode_engines_.jobs);
-  DropHopeless(&mixed_engines_.jobs);
+  DropMissedDeadlines(&waiting_);
+  DropMissedDeadlines(&decode_engines_.jobs);
+  DropMissedDeadlines(&mixed_engines_.jobs);
 
   const process::EngineRates& rates = options_.rates;
   const double own_prefill =
@@ -44,18 +44,19 @@
       [](double sum, const Job& job) { return sum + job.prefill_left; });
   const double mixed_time = counts_.mixed * seconds;
   const double stream_budget = options_.per_stream_tokens_per_s * seconds;
-  MixedParts parts;
+  MixedShares parts;
   if (mixed_time > 0) {
     parts = DivideMixed(std::max(0.0, prefill_total - own_prefill) /
                             (mixed_time * rates.prefill_tokens_per_s),
-                        Wanted(mixed_engines_, stream_budget) /
+                        DecodeDemand(mixed_engines_, stream_budget) /
                             (mixed_time * rates.decode_tokens_per_s));
   }
   Decode(&decode_engines_, counts_.decode * rates.decode_tokens_per_s * seconds,
          stream_budget);
-  // A stream on a mixed engine stands still while the engine prefills.
+  // A stream on a mixed engine stalls while the engine prefills.
   const double room = process::MixedDecodeCapacity(rates, parts.prefill);
-  mixed_room_ += (room - mixed_room_) * std::min(1.0, seconds / kRoomSeconds);
+  mixed_decode_capacity_ += (room - mixed_decode_capacity_) *
+                            std::min(1.0, seconds / kCapacityAveragingSeconds);
   Decode(&mixed_engines_, parts.decode * mixed_time * rates.decode_tokens_per_s,
          stream_budget * room);
   Prefill(own_prefill +
@@ -105,7 +106,7 @@
     ++counts_.Of(*change_to_);
     change_to_.reset();
   }
-  // Streams move on when the last engine of their kind has gone.
+  // Moves streams when the last engine of their kind is gone.
   const auto move_all = [](Pool* from, Pool* to) {
     std::ranges::move(from->jobs, std::back_inserter(to->jobs));
     from->jobs.clear();
@@ -117,15 +118,15 @@
   }
 }
 
-void FluidService::DropHopeless(std::deque<Job>* jobs) const {
+void FluidService::DropMissedDeadlines(std::deque<Job>* jobs) const {
   std::erase_if(*jobs, [&](const Job& job) {
     return now_s_ + job.decode_left / options_.per_stream_tokens_per_s >
            job.deadline_s + kEpsilon;
   });
 }
 
-FluidService::MixedParts FluidService::DivideMixed(double prefill_want,
-                                                   double decode_want) const {
+FluidService::MixedShares FluidService::DivideMixed(double prefill_want,
+                                                    double decode_want) const {
   const process::EngineRates& rates = options_.rates;
   const double both_prefill =
       rates.mixed_prefill_share * (1 - rates.mixed_penalty);
@@ -163,7 +164,8 @@
   };
   const double at_decode = backlog(decode_engines_, counts_.decode);
   const double at_mixed = backlog(
-      mixed_engines_, counts_.mixed * std::max(kLeastRoom, mixed_room_));
+      mixed_engines_,
+      counts_.mixed * std::max(kMinDecodeCapacity, mixed_decode_capacity_));
   const bool to_decode =
       at_decode >= 0 && (at_mixed < 0 || at_decode <= at_mixed);
   job.ready_s = now_s_;
@@ -175,7 +177,8 @@
   }
 }
 
-double FluidService::Wanted(const Pool& pool, double stream_budget) const {
+double FluidService::DecodeDemand(const Pool& pool,
+                                  double stream_budget) const {
   return std::accumulate(
       pool.jobs.begin(), pool.jobs.end(), 0.0, [&](double sum, const Job& job) {
         return sum + std::min(job.decode_left, stream_budget);
--- a/bench/planner/fluid_service.h
+++ b/bench/planner/fluid_service.h
@@ -1,10 +1,10 @@
-// A queue model of one service, to compare role policies with.
+// A queue model of one service for the comparison of role policies.
 //
-// Time goes in small steps. Requests are single, work is fluid: prompts are
-// prefilled in order of arrival by the prefill and mixed engines, answers are
-// decoded in order by the decode and mixed engines, each stream at no more
-// than its own rate. A request that can no longer meet its deadline is
-// dropped. It is no model of the cluster: no routing, no zones, no faults.
+// Time advances in small steps. Requests are discrete and work is fluid: the
+// prefill and mixed engines prefill prompts in order of arrival, the decode and
+// mixed engines decode responses in order, each stream at its maximum rate at
+// most. A request that can no longer meet its deadline is dropped. Routing,
+// zones and faults are not modelled.
 #ifndef LYNXGLADE_BENCH_PLANNER_FLUID_SERVICE_H_
 #define LYNXGLADE_BENCH_PLANNER_FLUID_SERVICE_H_
 
@@ -20,16 +20,16 @@
 
 struct FluidOptions {
   process::EngineRates rates;
-  // Tokens a second of one stream at most.
+  // Maximum rate of one stream.
   double per_stream_tokens_per_s = 100;
-  // Tokens of KV cache a second from a prefill to a decode engine.
+  // Rate of KV cache transfer from a prefill to a decode engine.
   double kv_tokens_per_s = 200000;
-  // Seconds that an engine is out for a change of role.
+  // Time that an engine is out of service for a role change.
   double out_of_service_s = 10;
   process::RoleCounts initial;
 };
 
-// What was offered during a step.
+// Work offered during a step.
 struct Offered {
   double prefill_tokens = 0;
   double decode_tokens = 0;
@@ -42,10 +42,10 @@
   FluidService(const FluidOptions& options,
                const std::vector<TraceItem>& trace);
 
-  // Does the work of the next `seconds`.
+  // Advances the model by `seconds`; returns the work offered meanwhile.
   Offered Step(double seconds);
-  // Takes an engine of role `from` out; it returns in role `to`. Only while
-  // changing() is false.
+  // Takes an engine of role `from` out of service; it returns with role `to`.
+  // Must not be called while changing().
   void StartChange(request::EngineRole from, request::EngineRole to);
 
   // Whether all requests have ended.
@@ -54,12 +54,12 @@
   const process::RoleCounts& counts() const noexcept { return counts_; }
   bool changing() const noexcept { return change_to_.has_value(); }
   int changes() const noexcept { return changes_; }
-  // Worth delivered in time over worth offered.
+  // Worth delivered in time divided by worth offered.
   double Goodput() const noexcept;
 
  private:
   struct Job {
-    double ready_s = 0;  // not decoded before: KV cache on its way
+    double ready_s = 0;  // end of the KV cache transfer; not decoded before
     double deadline_s = 0;
     double worth = 0;
     double prefill_left = 0;
@@ -70,20 +70,20 @@
   struct Pool {
     std::deque<Job> jobs;
   };
-  // Parts of the mixed engines' time.
-  struct MixedParts {
+  // Shares of the time of the mixed engines.
+  struct MixedShares {
     double prefill = 0;
     double decode = 0;
   };
 
   Offered TakeArrivals(double until_s);
   void EndChange();
-  void DropHopeless(std::deque<Job>* jobs) const;
-  MixedParts DivideMixed(double prefill_want, double decode_want) const;
+  void DropMissedDeadlines(std::deque<Job>* jobs) const;
+  MixedShares DivideMixed(double prefill_want, double decode_want) const;
   void Prefill(double budget);
   void StartDecode(Job job);
   void Decode(Pool* pool, double budget, double stream_budget);
-  double Wanted(const Pool& pool, double stream_budget) const;
+  double DecodeDemand(const Pool& pool, double stream_budget) const;
 
   FluidOptions options_;
   const std::vector<TraceItem>& trace_;
@@ -94,8 +94,8 @@
   double change_ends_s_ = 0;
   int changes_ = 0;
   std::deque<Job> waiting_;
-  // Part of the mixed engines' time that prefill left lately, averaged.
-  double mixed_room_ = 1;
+  // Moving average of the decode capacity that prefill leaves on mixed engines.
+  double mixed_decode_capacity_ = 1;
   Pool decode_engines_;
   Pool mixed_engines_;
   double worth_offered_ = 0;
--- a/bench/planner/policies.cc
+++ b/bench/planner/policies.cc
@@ -26,10 +26,11 @@
 constexpr std::array kRoles = {EngineRole::kPrefill, EngineRole::kDecode,
                                EngineRole::kMixed};
 constexpr double kFollowedSeconds = 60;
-// Part of the rates that the baselines count on, as the planner does.
+// Usable fraction of the rates that the baselines assume, as the planner does.
 constexpr double kUsable = 0.95;
-// What the oracle must gain for a change, so that ties stay as they are.
-constexpr double kLeastGain = 1e-6;
+// Minimum gain for which the oracle makes a change, so that ties keep the
+// split.
+constexpr double kMinGain = 1e-6;
 
 base::Duration FromSeconds(double s) {
   return std::chrono::duration_cast<base::Duration>(
@@ -59,8 +60,9 @@
          2;
 }
 
-// A change that leads from one split towards another.
-std::optional<Change> Towards(const RoleCounts& from, const RoleCounts& to) {
+// Returns a change that leads from one split towards another.
+std::optional<Change> ChangeTowards(const RoleCounts& from,
+                                    const RoleCounts& to) {
   const auto surplus = [&](EngineRole role) {
     return from.Of(role) - to.Of(role);
   };
@@ -80,7 +82,7 @@
   return {tokens * ratio / (1 + ratio), tokens / (1 + ratio)};
 }
 
-// The engines as the planner is shown them.
+// The engines as input of the planner.
 std::vector<process::PlannedEngine> MakeFleet(const RoleCounts& counts) {
   std::vector<process::PlannedEngine> fleet;
   for (const EngineRole role : kRoles) {
@@ -102,7 +104,7 @@
              double length_s,
              const OracleOptions& options)
       : step_s_(fluid.out_of_service_s),
-        price_(options.price_s / step_s_ + kLeastGain),
+        price_(options.price_s / step_s_ + kMinGain),
         splits_(AllSplits(fluid.initial.total())) {
     const auto steps = static_cast<std::size_t>(std::ceil(length_s / step_s_));
     plan_.resize(steps);
@@ -253,8 +255,8 @@
       return std::pair(ServedFraction(Usable(fluid.rates), split, demand),
                        -Distance(service.counts(), split));
     };
-    return Towards(service.counts(),
-                   *std::ranges::max_element(splits, {}, rank));
+    return ChangeTowards(service.counts(),
+                         *std::ranges::max_element(splits, {}, rank));
   };
 }
 
--- a/bench/planner/policies.h
+++ b/bench/planner/policies.h
@@ -1,5 +1,4 @@
-// The policies that planner_curve compares: the project's planner and the
-// baselines, which live here only.
+// The policies that planner_curve compares: the role planner and baselines.
 #ifndef LYNXGLADE_BENCH_PLANNER_POLICIES_H_
 #define LYNXGLADE_BENCH_PLANNER_POLICIES_H_
 
@@ -17,30 +16,30 @@
   request::EngineRole to;
 };
 
-// Called after every step with what was offered in it; may ask for one change
-// while none is under way.
+// Called after every step with the work offered in it. May request one change
+// while none is in progress.
 using Policy = std::function<std::optional<Change>(const FluidService& service,
                                                    const Offered& offered,
                                                    double step_s)>;
 
-// The engines stay as they start.
+// Keeps the initial roles.
 Policy NeverChange();
 
-// The project's planner.
+// The role planner of the control plane.
 Policy Planner(const FluidOptions& fluid,
                const process::RolePlannerOptions& options);
 
-// Moves, one engine after the other, to the split that would have served the
-// last minute best.
+// Moves one engine at a time towards the optimal split for the demand of the
+// last minute.
 Policy FollowLastMinute(const FluidOptions& fluid);
 
-// Knows the mean mix of the whole run beforehand: the best sequence of changes
-// by dynamic programming over all splits, on rates without queues. Because
+// Knows the mean mix of the whole run in advance: finds the best sequence of
+// changes by dynamic programming over all splits, on rates without queues. As
 // queues carry work over, the caller tries several options and keeps the best.
 struct OracleOptions {
-  // Part of the engines' rates that is counted on.
+  // Assumed usable fraction of the engine rates.
   double usable = 0.95;
-  // Price of a change, in seconds of all offered worth.
+  // Price of a change, in seconds of the total offered worth.
   double price_s = 0;
 };
 Policy Oracle(const FluidOptions& fluid,
@@ -48,7 +47,7 @@
               double length_s,
               const OracleOptions& options);
 
-// The fixed split that serves the whole run's mean mix best.
+// The best fixed split for the mean mix of the whole run.
 process::RoleCounts BestFixedSplit(const FluidOptions& fluid,
                                    const Workload& workload,
                                    double length_s);
--- a/bench/router_benchmark.cc
+++ b/bench/router_benchmark.cc
@@ -1,5 +1,5 @@
-// Time of one routing decision, and of building the index, at several sizes of
-// the table. Half the picks ask for a prefix seen before, half for a new one.
+// Time of a routing decision and of building the index at several table sizes.
+// Half of the picks use a known prefix, half a new one.
 
 #include <cstdint>
 #include <memory>
@@ -45,8 +45,8 @@
   const TargetIndex index(
       MakeTable(static_cast<std::size_t>(state.range(0)), now));
   RouterOptions options;
-  // Local: the caller's zone only. Otherwise all targets are candidates, so
-  // a new prefix is weighed against every one.
+  // Local: only targets in the zone of the caller are candidates. Otherwise all
+  // targets are, and a new prefix is compared with each.
   options.prefer_local_zone = state.range(1) != 0;
   const base::RandomSource random = base::SystemRandom();
   Router router(options, random);
--- a/bench/routing_experiment.cc
+++ b/bench/routing_experiment.cc
@@ -1,5 +1,5 @@
-// Routing policies, and the default with each mechanism off, on one seeded
-// trace of the fleet model. One JSON line a run.
+// Compares routing policies, and the default with each mechanism disabled, on
+// one seeded trace of the fleet model. Prints one JSON line per run.
 //
 // Usage: routing_experiment [repetitions, default 5]
 
--- a/bench/slices_benchmark.cc
+++ b/bench/slices_benchmark.cc
@@ -1,6 +1,6 @@
-// Compares the ways of giving targets a home: balance, movement against the
-// least possible, and time. Prints a table; everything but the times is the
-// same in each run.
+// Compares algorithms that assign targets to owners: balance, movement relative
+// to the minimum, and time. Prints a table; all values except times are
+// deterministic.
 #include <algorithm>
 #include <chrono>
 #include <cstdint>
@@ -24,7 +24,7 @@
   int targets;
 };
 
-// One set of names; ids are hashes, as real ones are random.
+// A set of members and targets. Ids are hashes, as real ids are random.
 struct Fleet {
   Members members;
   Targets targets;
@@ -51,35 +51,35 @@
   return fleet;
 }
 
-double MaxOverMean(const Fleet& fleet, const Homes& homes) {
+double MaxOverMean(const Fleet& fleet, const Owners& owners) {
   std::map<base::InstanceId, int> count;
-  for (const auto& home : homes) {
+  for (const auto& home : owners) {
     ++count[home];
   }
   const auto most = std::ranges::max_element(
       count, {}, [](const auto& entry) { return entry.second; });
   return most->second * static_cast<double>(fleet.members.size()) /
-         static_cast<double>(homes.size());
+         static_cast<double>(owners.size());
 }
 
-// Targets present before and after whose home changed.
+// Number of targets present both before and after whose owner changed.
 int Moved(const Fleet& before,
-          const Homes& homes_before,
+          const Owners& owners_before,
           const Fleet& after,
-          const Homes& homes_after) {
+          const Owners& owners_after) {
   std::map<base::TargetId, base::InstanceId> old;
   for (std::size_t i = 0; i < before.targets.size(); ++i) {
-    old.emplace(before.targets[i], homes_before[i]);
+    old.emplace(before.targets[i], owners_before[i]);
   }
   int moved = 0;
   for (std::size_t i = 0; i < after.targets.size(); ++i) {
     const auto it = old.find(after.targets[i]);
-    moved += it != old.end() && it->second != homes_after[i] ? 1 : 0;
+    moved += it != old.end() && it->second != owners_after[i] ? 1 : 0;
   }
   return moved;
 }
 
-// A member's place in the order of joining, spread over the seeds.
+// The index of a member in joining order, distributed over the seeds.
 std::ptrdiff_t AnyIndex(const Fleet& fleet, int seed) {
   return static_cast<std::ptrdiff_t>(base::Hash64(std::to_string(seed)) %
                                      fleet.members.size());
@@ -88,34 +88,34 @@
 struct Change {
   std::string name;
   std::function<void(Fleet*, int seed)> apply;
-  // Least number of targets that have to move, given who had how many.
-  std::function<double(const Fleet&, const Homes&)> least;
+  // Minimum number of targets that must move, given the previous owners.
+  std::function<double(const Fleet&, const Owners&)> least;
 };
 
 std::vector<Change> AllChanges() {
-  const auto none = [](const Fleet&, const Homes&) { return 0.0; };
+  const auto none = [](const Fleet&, const Owners&) { return 0.0; };
   return {
       {"member goes",
        [](Fleet* f, int seed) {
          f->members.erase(f->members.begin() + AnyIndex(*f, seed));
        },
-       [](const Fleet& f, const Homes& homes) {
-         return static_cast<double>(homes.size()) /
+       [](const Fleet& f, const Owners& owners) {
+         return static_cast<double>(owners.size()) /
                 static_cast<double>(f.members.size());
        }},
       {"member comes",
        [](Fleet* f, int seed) {
          f->members.push_back({MemberId(seed, 1 << 20), 1.0});
        },
-       [](const Fleet& f, const Homes& homes) {
-         return static_cast<double>(homes.size()) /
+       [](const Fleet& f, const Owners& owners) {
+         return static_cast<double>(owners.size()) /
                 static_cast<double>(f.members.size() + 1);
        }},
       {"weight doubles",
        [](Fleet* f, int seed) { f->members[AnyIndex(*f, seed)].weight = 2.0; },
-       [](const Fleet& f, const Homes& homes) {
+       [](const Fleet& f, const Owners& owners) {
          const auto n = static_cast<double>(f.members.size());
-         return static_cast<double>(homes.size()) * (2.0 / (n + 1) - 1.0 / n);
+         return static_cast<double>(owners.size()) * (2.0 / (n + 1) - 1.0 / n);
        }},
       {"1 in 18 targets goes",
        [](Fleet* f, int) {
@@ -148,7 +148,8 @@
   std::printf(" %5.2f (%5.2f) |", sum / kSeeds, worst);
 }
 
-// Moved targets: as a multiple of the least, or in percent where none need to.
+// Prints moved targets as a multiple of the minimum, or in percent where the
+// minimum is 0.
 void PrintMovement(const Placement& placement,
                    const Size& size,
                    const Change& change) {
@@ -159,10 +160,10 @@
     const Fleet before = MakeFleet(size, seed);
     Fleet after = before;
     change.apply(&after, seed);
-    const Homes homes = placement.place(before.members, before.targets);
-    moved += Moved(before, homes, after,
+    const Owners owners = placement.place(before.members, before.targets);
+    moved += Moved(before, owners, after,
                    placement.place(after.members, after.targets));
-    least += change.least(before, homes);
+    least += change.least(before, owners);
     targets += static_cast<double>(before.targets.size());
   }
   if (least > 0) {
--- a/bench/slices_placements.cc
+++ b/bench/slices_placements.cc
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr double kTwoToMinus53 = 1.0 / 9007199254740992.0;
-// No member takes more than this much above the mean.
+// Maximum load of a member relative to the mean.
 constexpr double kLoadBound = 1.25;
 
 double Uniform(std::uint64_t hash) {
@@ -29,13 +29,13 @@
       [](double sum, const process::SliceMember& m) { return sum + m.weight; });
 }
 
-Homes Rendezvous(const Members& members, const Targets& targets) {
+Owners Rendezvous(const Members& members, const Targets& targets) {
   const process::Slices slices(members);
-  Homes homes;
+  Owners owners;
   std::ranges::transform(
-      targets, std::back_inserter(homes),
+      targets, std::back_inserter(owners),
       [&](const base::TargetId& target) { return slices.OwnerOf(target); });
-  return homes;
+  return owners;
 }
 
 // Sub-cluster draws after R. J. Honicky and E. L. Miller, "RUSH: Balanced,
@@ -44,7 +44,7 @@
 // by one, so each is a sub-cluster of one server; from the newest to the
 // oldest, a draw seeded by target and sub-cluster is compared with the
 // sub-cluster's part of the weight of itself and all older ones.
-Homes RushDraws(const Members& members, const Targets& targets) {
+Owners RushDraws(const Members& members, const Targets& targets) {
   std::vector<double> older(members.size());
   std::vector<std::uint64_t> seeds(members.size());
   double sum = 0;
@@ -63,45 +63,45 @@
     }
     return members[0].id;
   };
-  Homes homes;
-  std::ranges::transform(targets, std::back_inserter(homes), home_of);
-  return homes;
+  Owners owners;
+  std::ranges::transform(targets, std::back_inserter(owners), home_of);
+  return owners;
 }
 
-// The same where the order of joining is not known alike to all, so that ids
-// have to order the sub-clusters.
-Homes RushDrawsById(const Members& members, const Targets& targets) {
+// RushDraws() with sub-clusters ordered by id, for members that do not agree on
+// the joining order.
+Owners RushDrawsById(const Members& members, const Targets& targets) {
   Members sorted = members;
   std::ranges::sort(sorted, {}, &process::SliceMember::id);
   return RushDraws(sorted, targets);
 }
 
-// Every target draws its home anew whenever the members change.
-Homes RandomSubsets(const Members& members, const Targets& targets) {
+// Each target draws a new owner whenever the members change.
+Owners RandomSubsets(const Members& members, const Targets& targets) {
   std::vector<double> upto;
   double sum = 0;
   for (const auto& member : members) {
     upto.push_back(sum += member.weight);
   }
-  Homes homes;
+  Owners owners;
   std::ranges::transform(
-      targets, std::back_inserter(homes), [&](const base::TargetId& target) {
+      targets, std::back_inserter(owners), [&](const base::TargetId& target) {
         const double z = Uniform(base::Hash64(target.str())) * sum;
         const auto it = std::ranges::upper_bound(upto, z);
         return members[static_cast<std::size_t>(it - upto.begin())].id;
       });
-  return homes;
+  return owners;
 }
 
-// All targets in one shuffled order, cut into runs by weight.
-Homes SubsetShuffle(const Members& members, const Targets& targets) {
+// Splits a shuffled list of all targets into runs by weight.
+Owners SubsetShuffle(const Members& members, const Targets& targets) {
   std::vector<std::size_t> order(targets.size());
   std::iota(order.begin(), order.end(), 0);
   std::ranges::sort(order, {}, [&](std::size_t i) {
     return base::Hash64(targets[i].str(), 1);
   });
   const double total = TotalWeight(members);
-  Homes homes(targets.size());
+  Owners owners(targets.size());
   double sum = 0;
   std::size_t next = 0;
   for (const auto& member : members) {
@@ -109,15 +109,15 @@
     const auto end = static_cast<std::size_t>(
         std::llround(sum / total * static_cast<double>(targets.size())));
     for (; next < end; ++next) {
-      homes[order[next]] = member.id;
+      owners[order[next]] = member.id;
     }
   }
-  return homes;
+  return owners;
 }
 
-// Rendezvous in which a full member passes a target on to its next choice.
-// Needs all targets at once, the same at every instance.
-Homes BoundedRendezvous(const Members& members, const Targets& targets) {
+// Rendezvous hashing in which a full member passes a target on to its next
+// choice. Requires the complete, identical target list at every instance.
+Owners BoundedRendezvous(const Members& members, const Targets& targets) {
   const double total = TotalWeight(members);
   std::vector<std::size_t> room;
   std::vector<std::uint64_t> seeds;
@@ -132,7 +132,7 @@
   std::ranges::sort(order, {}, [&](std::size_t i) {
     return base::Hash64(targets[i].str(), 1);
   });
-  Homes homes(targets.size());
+  Owners owners(targets.size());
   for (const std::size_t i : order) {
     std::size_t best = members.size();
     double best_score = 0;
@@ -146,9 +146,9 @@
       }
     }
     --room[best];
-    homes[i] = members[best].id;
+    owners[i] = members[best].id;
   }
-  return homes;
+  return owners;
 }
 
 }  // namespace
--- a/bench/slices_placements.h
+++ b/bench/slices_placements.h
@@ -1,5 +1,5 @@
-// Ways to give each target a home among the members of a zone; compared by
-// slices_benchmark. The one in use is process::Slices.
+// Algorithms that assign each target an owner among the members of a zone, for
+// comparison by slices_benchmark. Production uses process::Slices.
 #ifndef LYNXGLADE_BENCH_SLICES_PLACEMENTS_H_
 #define LYNXGLADE_BENCH_SLICES_PLACEMENTS_H_
 
@@ -12,18 +12,18 @@
 
 namespace lynxglade::bench {
 
-// Members in the order in which they joined.
+// Members in joining order.
 using Members = std::vector<process::SliceMember>;
 using Targets = std::vector<base::TargetId>;
-// The home of each target, in the targets' order.
-using Homes = std::vector<base::InstanceId>;
+// The owner of each target, in the order of the targets.
+using Owners = std::vector<base::InstanceId>;
 
 struct Placement {
   std::string name;
-  std::function<Homes(const Members&, const Targets&)> place;
+  std::function<Owners(const Members&, const Targets&)> place;
 };
 
-// All ways, the one in use first.
+// All algorithms, the production one first.
 std::vector<Placement> AllPlacements();
 
 }  // namespace lynxglade::bench
--- a/bench/views_cost.cc
+++ b/bench/views_cost.cc
@@ -1,9 +1,9 @@
-// What views and membership cost an instance in bytes and messages, idle and
-// under change, and how long a configuration delta takes to reach everybody.
+// Bytes and messages per instance for views and membership, idle and under
+// change, and the time for a configuration delta to reach all instances.
 //
-// Whole Gossip objects on a virtual clock, joined by the tests' fake network
-// with delays of up to 5 ms; the bytes are those of the encoded messages,
-// without the framing of WebSocket, TLS and TCP. Prints one line a size:
+// Runs Gossip objects on a virtual clock over the fake network of the tests
+// with delays of up to 5 ms. Bytes are those of encoded messages, without
+// WebSocket, TLS and TCP framing. Prints one line per size:
 //   views_cost [members ...]
 #include <algorithm>
 #include <chrono>
@@ -29,14 +29,14 @@
 constexpr int kSettleSeconds = 60;
 constexpr int kIdleSeconds = 120;
 constexpr int kChangeSeconds = 60;
-// The target's rates: 8,000 configuration changes a day, one kilobyte each,
-// and one engine's state changing every second over the whole deployment.
+// Load: 8,000 configuration changes per day of one kilobyte each, and one
+// engine state change per second in the whole deployment.
 constexpr int kSecondsPerDelta = 11;
 constexpr std::size_t kDeltaBytes = 1000;
 constexpr std::size_t kTargetBytes = 150;
-// Each home reports this many targets' loads every second, each of the size of
-// an engine's encoded report.
-constexpr int kTargetsPerHome = 35;
+// Each owner reports the loads of this many targets every second, each with the
+// size of an encoded engine report.
+constexpr int kTargetsPerOwner = 35;
 constexpr std::size_t kLoadBytes = 290;
 
 struct Totals {
@@ -115,7 +115,7 @@
                                      kDeltaBytes));
     }
     for (std::size_t i = 0; i < net->count(); ++i) {
-      for (int t = 0; t < kTargetsPerHome; ++t) {
+      for (int t = 0; t < kTargetsPerOwner; ++t) {
         net->node(i).Publish(
             Fact(*net, ViewKind::kLoad,
                  "e" + std::to_string(i) + "-" + std::to_string(t), epoch,
