--- a/fuzz/store_documents.cc
+++ b/fuzz/store_documents.cc
@@ -15,7 +15,7 @@
     fuzz::Check(entry->id.str() == "i-1", "the key names the target");
     fuzz::Check(entry->port > 0 && !entry->ip.empty(), "an address");
     fuzz::Check(entry->slots >= 0, "slots");
-    fuzz::Check(!entry->born || entry->born->value() >= 0, "birth");
+    fuzz::Check(!entry->start_time || entry->start_time->value() >= 0, "birth");
   }
   platform::DocumentFault other;
   const auto table = platform::ReadConfiguration(text, &other);
--- a/src/base/units.h
+++ b/src/base/units.h
@@ -53,7 +53,7 @@
 using Worth = StrongNumber<struct WorthTag, double>;
 // When a target's process was started, in Unix milliseconds by its own clock:
 // tells the lives of one target apart, and orders nothing.
-using BornMillis = StrongNumber<struct BornMillisTag, std::int64_t>;
+using StartMillis = StrongNumber<struct StartMillisTag, std::int64_t>;
 // A revision of the platform's key-value service; 0 means none.
 using Revision = StrongNumber<struct RevisionTag, std::int64_t>;
 // The number that an order carries; a holder with a greater one has taken
--- a/src/main/entry_views.cc
+++ b/src/main/entry_views.cc
@@ -98,7 +98,7 @@
        {"zone", entry->zone.str()},
        {"stage", ToString(entry->stage)},
        {"draining", entry->draining},
-       {"born", entry->born ? entry->born->value() : -1},
+       {"born", entry->start_time ? entry->start_time->value() : -1},
        {"revision", item.revision.value()}});
   engines_.Put(*entry, clock_());
 }
--- a/src/process/stage_orders.cc
+++ b/src/process/stage_orders.cc
@@ -123,7 +123,7 @@
     co_return;
   }
   // The engine has restarted since the plan was made.
-  if (report->born != engine->entry.born) {
+  if (report->start_time != engine->entry.start_time) {
     Log(LogLevel::kInfo, "stage_order_withheld",
         {{"target", engine->entry.id.str()},
          {"reason", "target restarted after the order was planned"}});
--- a/src/process/stage_orders.h
+++ b/src/process/stage_orders.h
@@ -36,7 +36,7 @@
   // Number of orders accepted since the engine started.
   std::int64_t accepted_orders = 0;
   // Start time of the engine process, as in its table entry.
-  std::optional<base::BornMillis> born;
+  std::optional<base::StartMillis> start_time;
 };
 
 struct StageOrder {
--- a/src/request/passthrough/engine_table.cc
+++ b/src/request/passthrough/engine_table.cc
@@ -80,7 +80,7 @@
 void EngineTable::Upsert(const EngineEntry& entry, base::Time joined) {
   missing_.erase(entry.id);
   EngineHandle& engine = engines_[entry.id];
-  if (engine && engine->entry.born != entry.born) {
+  if (engine && engine->entry.start_time != entry.start_time) {
     engine->entry.draining = true;
     engine = nullptr;
   }
--- a/src/request/passthrough/engine_table.h
+++ b/src/request/passthrough/engine_table.h
@@ -44,7 +44,7 @@
   // Identifies one lifetime of the target; nothing on platforms that do not
   // report it. Any other value, earlier or later, is another lifetime, as
   // clocks may be adjusted.
-  std::optional<base::BornMillis> born;
+  std::optional<base::StartMillis> start_time;
 
   friend bool operator==(const EngineEntry&, const EngineEntry&) = default;
 };
--- a/tests/main/entry_views_test.cc
+++ b/tests/main/entry_views_test.cc
@@ -141,7 +141,8 @@
     return std::ranges::all_of(targets_, [this](const auto& row) {
       const auto engine = views_.engines().Find(base::TargetId(row.first));
       return engine && engine->entry.draining == row.second &&
-             engine->entry.born == base::BornMillis(lives_.at(row.first));
+             engine->entry.start_time ==
+                 base::StartMillis(lives_.at(row.first));
     });
   }
 
--- a/tests/platform/store_documents_test.cc
+++ b/tests/platform/store_documents_test.cc
@@ -92,16 +92,16 @@
   EXPECT_EQ(entry->port, 8080);
   EXPECT_TRUE(entry->draining);
   EXPECT_EQ(entry->stage, EngineStage::kPrefill);
-  EXPECT_EQ(entry->born, base::BornMillis(1'783'786'258'670));
+  EXPECT_EQ(entry->start_time, base::StartMillis(1'783'786'258'670));
 }
 
 // Platforms that do not tell, and plain targets.
 TEST(StoreDocuments, AnEntryMayLackItsBirthAndItsStage) {
   DocumentFault fault;
-  const auto unborn = ReadTargetEntry(
+  const auto without_start_time = ReadTargetEntry(
       "servers/i", EntryWith(",\n        \"born\":1783786258670", ""), &fault);
-  ASSERT_TRUE(unborn) << fault.detail;
-  EXPECT_FALSE(unborn->born);
+  ASSERT_TRUE(without_start_time) << fault.detail;
+  EXPECT_FALSE(without_start_time->start_time);
   const auto plain = ReadTargetEntry(
       "servers/i", EntryWith("\"stage\":\"prefill\",", ""), &fault);
   ASSERT_TRUE(plain) << fault.detail;
--- a/tests/process/stage_orders_test.cc
+++ b/tests/process/stage_orders_test.cc
@@ -173,7 +173,7 @@
 // engine counts orders from zero, so it could accept an order twice.
 TEST_F(StageOrdersTest, RestartedEngineGetsNoOrderPlannedBeforeTheRestart) {
   for (auto& [id, report] : reports_) {
-    report.born = base::BornMillis(5);
+    report.start_time = base::StartMillis(5);
   }
   Start();
   RunPeriods(5);
--- a/tests/request/passthrough/engine_table_test.cc
+++ b/tests/request/passthrough/engine_table_test.cc
@@ -52,22 +52,22 @@
   EXPECT_EQ(table.size(), 0U);
 }
 
-EngineEntry EntryBornAt(const std::string& id, std::int64_t born) {
+EngineEntry EntryStartedAt(const std::string& id, std::int64_t start_time) {
   EngineEntry entry = Entry(id);
-  entry.born = base::BornMillis(born);
+  entry.start_time = base::StartMillis(start_time);
   return entry;
 }
 
 // State learnt about a target belongs to one lifetime of it.
 TEST(EngineTable, NewLifetimeStartsWithoutState) {
   EngineTable table(kGrace);
-  table.Put(EntryBornAt("a", 1000), kNow - std::chrono::minutes(1));
+  table.Put(EntryStartedAt("a", 1000), kNow - std::chrono::minutes(1));
   const EngineHandle before = table.Find(base::TargetId("a"));
   before->in_flight = 3;
   before->prefills[0].prefill_tokens = 5000;
   before->reported = {.running = 9, .waiting = 2, .slots = 64};
   before->health.OnFailure(kNow);
-  table.Put(EntryBornAt("a", 2000), kNow);
+  table.Put(EntryStartedAt("a", 2000), kNow);
   const EngineHandle after = table.Find(base::TargetId("a"));
   ASSERT_NE(after, before);
   EXPECT_EQ(after->in_flight, 0);
@@ -83,9 +83,9 @@
 
 TEST(EngineTable, EarlierOrMissingBirthIsAnotherLifetimeToo) {
   EngineTable table(kGrace);
-  table.Put(EntryBornAt("a", 2000), kNow);
+  table.Put(EntryStartedAt("a", 2000), kNow);
   const EngineHandle first = table.Find(base::TargetId("a"));
-  table.Put(EntryBornAt("a", 1000), kNow);
+  table.Put(EntryStartedAt("a", 1000), kNow);
   const EngineHandle earlier = table.Find(base::TargetId("a"));
   EXPECT_NE(earlier, first);
   table.Put(Entry("a"), kNow);
@@ -115,9 +115,9 @@
 
 TEST(EngineTable, SameLifetimeKeepsItsState) {
   EngineTable table(kGrace);
-  table.Put(EntryBornAt("a", 1000), kNow);
+  table.Put(EntryStartedAt("a", 1000), kNow);
   const EngineHandle before = table.Find(base::TargetId("a"));
-  EngineEntry entry = EntryBornAt("a", 1000);
+  EngineEntry entry = EntryStartedAt("a", 1000);
   entry.draining = true;
   table.Put(entry, kNow);
   EXPECT_EQ(table.Find(base::TargetId("a")), before);
