--- a/src/base/bounded_json.cc
+++ b/src/base/bounded_json.cc
@@ -10,7 +10,7 @@
   const auto watch_depth = [&](int depth, nlohmann::json::parse_event_t,
                                nlohmann::json&) {
     too_deep = too_deep || depth > max_depth;
-    // False drops the value, which keeps what is built shallow.
+    // Returning false drops the value, which limits the depth of the result.
     return depth <= max_depth;
   };
   nlohmann::json parsed = nlohmann::json::parse(text, watch_depth,
--- a/src/base/bounded_json.h
+++ b/src/base/bounded_json.h
@@ -1,7 +1,7 @@
-// JSON from outside, read with bounds on its nesting and its numbers.
+// Parses untrusted JSON with limits on nesting depth and number range.
 //
-// The library parses without recursion but writes and compares by recursion,
-// so text that nests too deeply would exhaust a connection thread's stack.
+// The JSON library parses without recursion but serializes and compares
+// recursively, so deep nesting could exhaust a connection thread's stack.
 #ifndef LYNXGLADE_BASE_BOUNDED_JSON_H_
 #define LYNXGLADE_BASE_BOUNDED_JSON_H_
 
@@ -15,13 +15,13 @@
 
 inline constexpr int kMaxJsonDepth = 64;
 
-// Nothing when the text is not JSON or nests deeper than `max_depth`.
+// Nothing if the text is not valid JSON or nests deeper than `max_depth`.
 std::optional<nlohmann::json> ParseBoundedJson(std::string_view text,
                                                int max_depth = kMaxJsonDepth);
 
-// A member that is a whole number from `low` to `high`. Nothing when it is
-// missing, of another type (a real number, too) or outside: converting such a
-// number would be undefined, or would wrap around into the range.
+// The member as an integer from `low` to `high`. Nothing if it is missing, out
+// of range or of another type, including a floating-point number: converting
+// such a value could be undefined behaviour or wrap around into the range.
 std::optional<std::int64_t> WholeMember(const nlohmann::json& object,
                                         const char* name,
                                         std::int64_t low,
--- a/src/base/hash.h
+++ b/src/base/hash.h
@@ -1,5 +1,5 @@
 // Stable 64-bit hashing (xxHash). The value is the same on every instance, so
-// it may be used in keys that instances share.
+// it can be used in keys shared between instances.
 #ifndef LYNXGLADE_BASE_HASH_H_
 #define LYNXGLADE_BASE_HASH_H_
 
@@ -9,10 +9,9 @@
 
 namespace lynxglade::base {
 
-// Hash of bytes under a seed.
 std::uint64_t Hash64(std::string_view bytes, std::uint64_t seed = 0) noexcept;
 
-// Hash of a pair, for rendezvous weights.
+// Hash of an ordered pair, for rendezvous hashing.
 std::uint64_t HashPair(std::string_view a, std::string_view b) noexcept;
 
 // 16 lower-case hexadecimal digits.
--- a/src/base/log.cc
+++ b/src/base/log.cc
@@ -29,19 +29,19 @@
 
 using TextSink = sinks::synchronous_sink<sinks::text_ostream_backend>;
 
-// Lines that may be written in a second, and at once after a quiet time: ten
-// times what a busy instance of today writes.
-constexpr double kLinesPerSecond = 500;
-constexpr double kBurstLines = 1000;
+// Limits of standard output: the sustained rate, and the burst after a pause.
+constexpr double kMaxLinesPerSecond = 500;
+constexpr double kMaxBurstLines = 1000;
 
-// Takes tokens from a bucket that fills with time.
-class LineBudget {
+// Token bucket.
+class LineRateLimiter {
  public:
   bool TryTake() {
     const Time now = BootClock::now();
-    const double seconds = std::chrono::duration<double>(now - filled_).count();
-    filled_ = now;
-    tokens_ = std::min(kBurstLines, tokens_ + seconds * kLinesPerSecond);
+    const double seconds =
+        std::chrono::duration<double>(now - last_refill_).count();
+    last_refill_ = now;
+    tokens_ = std::min(kMaxBurstLines, tokens_ + seconds * kMaxLinesPerSecond);
     if (tokens_ < 1) {
       return false;
     }
@@ -50,11 +50,11 @@
   }
 
  private:
-  double tokens_ = kBurstLines;
-  Time filled_ = BootClock::now();
+  double tokens_ = kMaxBurstLines;
+  Time last_refill_ = BootClock::now();
 };
 
-// Standard output, written without waiting.
+// Writes to standard output without blocking.
 class NonBlockingBackend
     : public sinks::basic_formatted_sink_backend<char,
                                                  sinks::synchronized_feeding> {
@@ -65,7 +65,7 @@
   }
 
   void consume(const boost::log::record_view&, const string_type& line) {
-    if (!budget_.TryTake() || !Write(WithLosses(line))) {
+    if (!rate_limiter_.TryTake() || !Write(WithDroppedCount(line))) {
       ++dropped_;
       return;
     }
@@ -73,21 +73,23 @@
   }
 
  private:
-  // Lines are JSON objects: what was lost goes in before the closing brace.
-  std::string WithLosses(const std::string& line) const {
+  // Inserts the number of dropped lines before the closing brace of the JSON
+  // object.
+  std::string WithDroppedCount(const std::string& line) const {
     if (dropped_ == 0 || !line.ends_with('}')) {
       return line + '\n';
     }
     return line.substr(0, line.size() - 1) +
            ",\"dropped_lines\":" + std::to_string(dropped_) + "}\n";
   }
-  // A line shorter than a pipe's atomic size is written whole or not at all.
+  // A line of at most PIPE_BUF bytes is written to a pipe as a whole or not at
+  // all.
   static bool Write(const std::string& text) {
     return ::write(STDOUT_FILENO, text.data(), text.size()) ==
            static_cast<ssize_t>(text.size());
   }
 
-  LineBudget budget_;
+  LineRateLimiter rate_limiter_;
   std::uint64_t dropped_ = 0;
 };
 
@@ -169,8 +171,8 @@
   if (!initialized || level < log_threshold) {
     return;
   }
-  // Bytes that are not UTF-8 (a caller's header, say) are replaced, so that a
-  // log line never fails.
+  // Invalid UTF-8, such as bytes from a caller's header, is replaced instead of
+  // throwing.
   const std::string text =
       FormatLine(level, event, fields)
           .dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,7 +1,6 @@
-// Structured logs: one JSON object a line.
+// Structured logging: one JSON object per line, written through Boost.Log.
 //
-// The sink is Boost.Log; this header names none of its types, so that it is
-// cheap to include.
+// This header includes no Boost header, to keep it cheap to include.
 #ifndef LYNXGLADE_BASE_LOG_H_
 #define LYNXGLADE_BASE_LOG_H_
 
@@ -17,7 +16,7 @@
 
 enum class LogLevel { kDebug, kInfo, kWarning, kError };
 
-// One named value of a log line. Secrets must never be passed.
+// A named value of a log line. Must not contain a secret.
 struct LogField {
   std::string_view name;
   std::variant<std::string, std::int64_t, double, bool> value;
@@ -35,27 +34,27 @@
       : name(n), value(static_cast<std::int64_t>(v)) {}
 };
 
-// Where lines go.
 enum class LogOutput {
-  // Waits for whoever reads it.
+  // Blocks while the reader is slow.
   kStandardError,
-  // Never waits: a line that does not fit the pipe, or that comes after too
-  // many others within a second, is dropped and counted; the next line that is
-  // written says how many were lost ("dropped_lines").
+  // Never blocks: a line that exceeds the rate limit or does not fit into the
+  // pipe is dropped and counted. The next line that is written has the number
+  // of
+  // dropped lines in "dropped_lines".
   kStandardOutput,
 };
 
-// Sends lines of `threshold` and above to `output`, each with the time in Unix
-// milliseconds, the level, the instance and the event. Call once, before the
-// first thread starts; without it Log() drops its lines.
+// Writes lines of `threshold` and above to `output`, each with the Unix time in
+// milliseconds, the level, the instance and the event. Call once, before any
+// other thread starts; until then Log() discards its lines.
 void InitLog(LogLevel threshold,
              std::string_view instance,
              LogOutput output = LogOutput::kStandardError);
 
-// Reads "debug", "info", "warning" or "error"; returns false on other text.
+// Parses "debug", "info", "warning" or "error"; returns false for other text.
 bool ParseLogLevel(std::string_view text, LogLevel* level) noexcept;
 
-// Writes one line. `event` is a stable lower_snake_case name. Thread-safe.
+// `event` is a stable lower_snake_case name. Thread-safe.
 void Log(LogLevel level,
          std::string_view event,
          std::initializer_list<LogField> fields = {});
--- a/src/base/metrics.cc
+++ b/src/base/metrics.cc
@@ -29,12 +29,13 @@
                                     acc::tag::sum,
                                     acc::tag::extended_p_square_quantile>>;
 
-// The estimator interpolates between its markers, so the list reaches past
-// the quantiles that are asked for.
+// The estimator interpolates between markers, so they extend beyond the
+// exported quantiles.
 constexpr std::array<double, 6> kMarkers = {0.25, 0.5, 0.75, 0.95, 0.99, 0.999};
-constexpr std::array<double, 3> kShownQuantiles = {0.5, 0.95, 0.99};
-// The estimator is of no use for few samples; these are kept as they are.
-constexpr std::size_t kExactSamples = 64;
+constexpr std::array<double, 3> kExportedQuantiles = {0.5, 0.95, 0.99};
+// The estimate is poor for few samples, so quantiles of up to this many are
+// computed exactly.
+constexpr std::size_t kMaxExactSamples = 64;
 
 using SeriesKey = std::pair<std::string, Labels>;
 
@@ -46,8 +47,8 @@
   return out;
 }
 
-// Appends to the family of that name, which is the last one when names come
-// in order.
+// Appends a metric to the last family, or to a new one if the last has another
+// name. Keys must be passed in order.
 prometheus::ClientMetric& AppendMetric(
     std::vector<prometheus::MetricFamily>& families,
     const SeriesKey& key,
@@ -67,7 +68,7 @@
 }  // namespace
 
 struct LatencyQuantiles::Details {
-  // Nearest rank over the first samples, while there are no others.
+  // Nearest-rank quantile of `first`; valid while it holds all samples.
   double ExactQuantile(double quantile) const {
     std::vector<double> sorted = first;
     std::ranges::sort(sorted);
@@ -88,7 +89,7 @@
   const double seconds = std::chrono::duration<double>(sample).count();
   std::lock_guard lock(details_->mutex);
   details_->set(seconds);
-  if (details_->first.size() < kExactSamples) {
+  if (details_->first.size() < kMaxExactSamples) {
     details_->first.push_back(seconds);
   }
 }
@@ -98,7 +99,7 @@
   if (acc::count(details_->set) == 0) {
     return 0;
   }
-  if (acc::count(details_->set) <= kExactSamples) {
+  if (acc::count(details_->set) <= kMaxExactSamples) {
     return details_->ExactQuantile(quantile);
   }
   return acc::quantile(details_->set, acc::quantile_probability = quantile);
@@ -166,7 +167,7 @@
         AppendMetric(families, key, prometheus::MetricType::Summary).summary;
     summary.sample_count = latency->count();
     summary.sample_sum = latency->SumSeconds();
-    for (double q : kShownQuantiles) {
+    for (double q : kExportedQuantiles) {
       summary.quantile.push_back({q, latency->Seconds(q)});
     }
   }
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,9 +1,10 @@
-// Counters, gauges and latency quantiles, and their text page.
+// Counters, gauges and latency quantiles, exported in the Prometheus text
+// format.
 //
-// Names follow the Prometheus rules: lynxglade_<what>_total for counters,
-// seconds for times. A family is created on first use; the handle stays valid
-// for the life of the Metrics object. Quantiles are estimated by
-// Boost.Accumulators; the text page is written by prometheus-cpp.
+// Names follow the Prometheus conventions: counters end in "_total", times are
+// in seconds. A series is created on first use, and its handle stays valid for
+// the lifetime of the Metrics object. Quantiles are estimated by
+// Boost.Accumulators.
 #ifndef LYNXGLADE_BASE_METRICS_H_
 #define LYNXGLADE_BASE_METRICS_H_
 
@@ -18,10 +19,9 @@
 
 namespace lynxglade::base {
 
-// Label names and values of one series.
 using Labels = std::map<std::string, std::string>;
 
-// A number that only rises. All methods are thread-safe and lock-free.
+// Monotonically increasing. Thread-safe and lock-free.
 class Counter {
  public:
   void Add(std::uint64_t n = 1) noexcept {
@@ -36,7 +36,7 @@
 };
 
 // Estimates the quantiles 0.5, 0.95 and 0.99 of a stream of durations.
-// Thread-safe; a short lock a call.
+// Thread-safe.
 class LatencyQuantiles {
  public:
   LatencyQuantiles();
@@ -46,11 +46,9 @@
 
   void Record(Duration sample);
 
-  // Seconds at the quantile, 0 when nothing was recorded. `quantile` is one
-  // of 0.5, 0.95, 0.99.
+  // `quantile` must be 0.5, 0.95 or 0.99. Returns 0 if nothing was recorded.
   double Seconds(double quantile) const;
   std::uint64_t count() const;
-  // Sum of all samples in seconds.
   double SumSeconds() const;
 
  private:
@@ -58,7 +56,7 @@
   std::unique_ptr<Details> details_;
 };
 
-// Owns every series of a process.
+// Owns all series of a process. Thread-safe.
 class Metrics {
  public:
   Metrics();
@@ -66,20 +64,20 @@
   Metrics(const Metrics&) = delete;
   Metrics& operator=(const Metrics&) = delete;
 
-  // The series of that name and labels; made on first use. Thread-safe.
+  // The series with that name and labels, created on first use.
   Counter& GetCounter(const std::string& name, const Labels& labels = {});
   LatencyQuantiles& GetLatency(const std::string& name,
                                const Labels& labels = {});
-  // Registers a gauge read whenever the page is written. `read` must be
-  // thread-safe and outlive this object's last Render().
+  // Registers a gauge whose value is read in Render(). `read` must be
+  // thread-safe and valid until the last Render().
   void AddGauge(const std::string& name,
                 const Labels& labels,
                 std::function<double()> read);
 
-  // The page in the Prometheus text format.
+  // All series in the Prometheus text format.
   std::string Render() const;
 
-  // Value of one counter, 0 when it was never made; for tests and reports.
+  // The counter's value, 0 if it does not exist.
   std::uint64_t CounterValue(const std::string& name,
                              const Labels& labels = {}) const;
 
--- a/src/base/outcome.h
+++ b/src/base/outcome.h
@@ -1,4 +1,4 @@
-// What is known of a request's run.
+// Whether a request is known to have been executed by a target.
 #ifndef LYNXGLADE_BASE_OUTCOME_H_
 #define LYNXGLADE_BASE_OUTCOME_H_
 
@@ -6,16 +6,15 @@
 
 namespace lynxglade::base {
 
-// kNotRun is a promise: no target started the work. It may be claimed only
-// when every attempt either never left this process or was refused by its
-// target with the target's own word.
+// kNotRun guarantees that no target started the work. It may be used only if
+// each attempt was either not sent or rejected by the target itself.
 enum class Outcome {
   kNotRun,
   kRan,
   kUnknown,
 };
 
-// "not_run", "ran" or "unknown", as callers and logs see it.
+// "not_run", "ran" or "unknown", as in logs and in answers to callers.
 constexpr std::string_view ToString(Outcome outcome) noexcept {
   switch (outcome) {
     case Outcome::kNotRun:
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,4 +1,4 @@
-// A source of random numbers that is handed in, so that a test can seed it.
+// Random numbers from an injected source, so that tests can be deterministic.
 #ifndef LYNXGLADE_BASE_RANDOM_H_
 #define LYNXGLADE_BASE_RANDOM_H_
 
@@ -8,14 +8,14 @@
 
 namespace lynxglade::base {
 
-// Returns 64 uniform random bits a call. The daemon's is thread-safe
-// (a generator per thread); a test's need not be.
+// Returns 64 uniform random bits per call. Whether it is thread-safe depends on
+// the source.
 using RandomSource = std::function<std::uint64_t()>;
 
-// A thread-safe source seeded from the operating system.
+// Thread-safe: one generator per thread, seeded by the operating system.
 RandomSource SystemRandom();
 
-// A deterministic source; not thread-safe.
+// Deterministic; not thread-safe.
 RandomSource SeededRandom(std::uint64_t seed);
 
 // Uniform in [0, bound); bound must be greater than 0.
--- a/src/base/snapshot.h
+++ b/src/base/snapshot.h
@@ -1,4 +1,4 @@
-// A value that is read by every request and replaced as a whole.
+// An immutable value that is read often and replaced as a whole.
 #ifndef LYNXGLADE_BASE_SNAPSHOT_H_
 #define LYNXGLADE_BASE_SNAPSHOT_H_
 
@@ -8,8 +8,7 @@
 
 namespace lynxglade::base {
 
-// Holds an immutable T behind an atomic shared pointer. Get and Set may be
-// called from any thread; what Get returned stays alive while it is held.
+// Thread-safe. A handle from Get() keeps its value alive, also after Set().
 template <typename T>
 class Snapshot {
  public:
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,7 +1,7 @@
-// Time as the system sees it.
+// Clocks, time points and durations.
 //
-// Decisions never read a clock of their own: they take a Clock through the
-// constructor, so that a test can drive them at any speed.
+// Code that decides by time takes a Clock in its constructor, so that tests can
+// control the time.
 #ifndef LYNXGLADE_BASE_TIME_H_
 #define LYNXGLADE_BASE_TIME_H_
 
@@ -11,35 +11,36 @@
 
 namespace lynxglade::base {
 
-// A clock that goes on while the machine is suspended (CLOCK_BOOTTIME), so
-// that a lease cannot look alive after a sleep that outlasted it. Meets the
-// standard's TrivialClock requirements.
+// CLOCK_BOOTTIME: also advances while the machine is suspended, so that a lease
+// that expired during a suspend is seen as expired. Meets the standard's
+// TrivialClock requirements.
 struct BootClock {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<BootClock>;
-  // The standard names it. NOLINTNEXTLINE(readability-identifier-naming)
+  // Name required by the standard.
+  // NOLINTNEXTLINE(readability-identifier-naming)
   static constexpr bool is_steady = true;
 
-  // Thread-safe; never fails on Linux.
+  // Thread-safe.
   static time_point now() noexcept;
 };
 
 using Time = BootClock::time_point;
 using Duration = BootClock::duration;
 
-// Returns the present. BootClock::now in the daemon, a variable in tests.
+// Returns the current time: BootClock::now, or a fake clock in tests.
 using Clock = std::function<Time()>;
 
-// Milliseconds since the Unix epoch, for logs and for messages to outsiders.
-// Never used to decide anything.
+// Milliseconds since the Unix epoch, for logs and for data exchanged with other
+// systems. Can be adjusted at any time: do not base timeouts or leases on it.
 std::int64_t WallMillis() noexcept;
 
-// Whole milliseconds of a duration, rounded towards zero.
+// Rounds towards zero.
 std::int64_t ToMillis(Duration d) noexcept;
 
-// Milliseconds with their fraction, the unit in which costs are compared.
+// Milliseconds with a fraction; the unit of routing costs.
 using FineMillis = std::chrono::duration<double, std::milli>;
 inline double ToFineMillis(Duration d) noexcept {
   return FineMillis(d).count();
--- a/src/base/units.h
+++ b/src/base/units.h
@@ -8,7 +8,7 @@
 
 namespace lynxglade::base {
 
-// A number that only mixes with numbers of the same Tag.
+// A number that can be combined only with numbers of the same Tag.
 template <typename Tag, typename Rep>
 class StrongNumber {
  public:
@@ -47,19 +47,19 @@
   return out << n.value();
 }
 
-// A count of model tokens.
+// Number of model tokens.
 using Tokens = StrongNumber<struct TokensTag, std::int64_t>;
-// What one delivered request counts towards goodput; stated by the caller.
+// The weight of a completed request in goodput, as stated by the caller.
 using Worth = StrongNumber<struct WorthTag, double>;
-// When a target's process was started, in Unix milliseconds by its own clock:
-// tells the lives of one target apart, and orders nothing.
+// Start time of a target's process in Unix milliseconds, by the target's clock.
+// Identifies one lifetime of the target; must not be used for ordering.
 using StartMillis = StrongNumber<struct StartMillisTag, std::int64_t>;
 // A revision of the platform's key-value service; 0 means none.
 using Revision = StrongNumber<struct RevisionTag, std::int64_t>;
-// The number that an order carries; a holder with a greater one has taken
+// Carried by each order; a greater token means that a newer holder has taken
 // over. It is the revision at which the holder's lease key was created.
 using FencingToken = StrongNumber<struct FencingTokenTag, std::int64_t>;
-// The count of orders given to one engine; each intended state has its own.
+// Number of orders given to one engine; each desired state has its own.
 using Generation = StrongNumber<struct GenerationTag, std::int64_t>;
 
 }  // namespace lynxglade::base
--- a/src/base/whole_number.cc
+++ b/src/base/whole_number.cc
@@ -10,7 +10,7 @@
                                        std::int64_t high) noexcept {
   std::int64_t n = 0;
   const char* end = text.data() + text.size();
-  // The call takes both ends of the text.
+  // from_chars() gets the end as well, so no terminating zero is needed.
   // NOLINTNEXTLINE(bugprone-suspicious-stringview-data-usage)
   const auto [rest, ec] = std::from_chars(text.data(), end, n);
   if (ec != std::errc() || rest != end || n < low || n > high) {
--- a/src/base/whole_number.h
+++ b/src/base/whole_number.h
@@ -1,4 +1,4 @@
-// Whole numbers in text from outside.
+// Parses integers in untrusted text.
 #ifndef LYNXGLADE_BASE_WHOLE_NUMBER_H_
 #define LYNXGLADE_BASE_WHOLE_NUMBER_H_
 
@@ -8,7 +8,7 @@
 
 namespace lynxglade::base {
 
-// All of the text as a decimal number from `low` to `high`.
+// Nothing unless the whole text is a decimal integer from `low` to `high`.
 std::optional<std::int64_t> ParseWhole(std::string_view text,
                                        std::int64_t low,
                                        std::int64_t high) noexcept;
