--- a/src/main/daemon.cc
+++ b/src/main/daemon.cc
@@ -124,9 +124,9 @@
     d.last_reason += process::ToString(error);
     return false;
   }
-  d.orders = std::make_unique<OrdersPart>(d.settings, d.control, d.key_value,
-                                          d.registry, d.MakeOrdersHooks(),
-                                          d.random, d.metrics);
+  d.fleet_control = std::make_unique<FleetControl>(
+      d.settings, d.control, d.key_value, d.registry, d.MakeFleetControlHooks(),
+      d.random, d.metrics);
   d.SubscribeToViews();
   d.configuration.Start();
   d.fleet.Start();
@@ -147,7 +147,7 @@
   Details& d = *details_;
   d.leaving = true;
   d.views.Leave();
-  d.orders->Stop();
+  d.fleet_control->Stop();
   std::this_thread::sleep_for(kLeaveNotice);
   d.serving.Stop();
   d.caller_server->Stop();
--- a/src/main/daemon_hooks.cc
+++ b/src/main/daemon_hooks.cc
@@ -208,13 +208,13 @@
   for (const char* path : {"/v1/admin/fleet", "/v1/admin/targets"}) {
     routes.push_back({path, OperatorRole::kReadOnly, OperatorRole::kFleet,
                       [this](const connection::ApiCall& call) {
-                        return orders->HandleFleet(call);
+                        return fleet_control->HandleFleet(call);
                       }});
   }
   routes.push_back({"/v1/admin/planner", OperatorRole::kReadOnly,
                     OperatorRole::kFleet,
                     [this](const connection::ApiCall& call) {
-                      return orders->HandlePlanner(call);
+                      return fleet_control->HandlePlanner(call);
                     }});
   routes.push_back({"/v1/admin/quarantine", OperatorRole::kReadOnly,
                     OperatorRole::kFleet, quarantine});
@@ -224,8 +224,8 @@
   return routes;
 }
 
-OrdersHooks Daemon::Details::MakeOrdersHooks() {
-  OrdersHooks hooks;
+FleetControlHooks Daemon::Details::MakeFleetControlHooks() {
+  FleetControlHooks hooks;
   hooks.configuration = [this] { return configuration.Current(); };
   hooks.offered = [this] {
     std::map<base::ServiceName, process::OfferedTotals> out;
@@ -294,7 +294,7 @@
   views.Subscribe(process::ViewKind::kTarget,
                   [this](const process::ViewItem& item) {
                     fleet.OnFact(item);
-                    orders->Hear(item);
+                    fleet_control->Hear(item);
                   });
   views.Subscribe(process::ViewKind::kLoad, to_fleet);
   views.Subscribe(process::ViewKind::kListed, to_fleet);
--- a/src/main/details/daemon_details.h
+++ b/src/main/details/daemon_details.h
@@ -20,7 +20,7 @@
 #include "connection/tls_material.h"
 #include "main/check_report.h"
 #include "main/daemon_options.h"
-#include "main/orders_part.h"
+#include "main/fleet_control.h"
 #include "process/admin_front.h"
 #include "process/certificate_reload.h"
 #include "process/control_system.h"
@@ -55,7 +55,7 @@
   process::AdminFrontHooks MakeAdminHooks();
   std::vector<process::AdminRoute> MakeAdminRoutes();
   process::FleetWatchHooks MakeFleetHooks();
-  OrdersHooks MakeOrdersHooks();
+  FleetControlHooks MakeFleetControlHooks();
   process::ViewServiceHooks MakeViewHooks();
   void SubscribeToViews();
   void MakeServers();
@@ -95,7 +95,7 @@
   version::ConfigurationPlane configuration;
   process::FleetWatch fleet;
   // From Start() to Stop().
-  std::unique_ptr<OrdersPart> orders;
+  std::unique_ptr<FleetControl> fleet_control;
   connection::CallerFront caller_front;
   process::AdminFront admin_front;
   // Null without TLS.
--- a/src/main/orders_part.cc
+++ b/src/main/fleet_control.cc
@@ -1,4 +1,4 @@
-#include "main/orders_part.h"
+#include "main/fleet_control.h"
 
 #include <algorithm>
 #include <iterator>
@@ -37,13 +37,13 @@
 
 }  // namespace
 
-OrdersPart::OrdersPart(const process::Settings& settings,
-                       process::ControlSystem& control,
-                       const connection::KeyValue& key_value,
-                       const process::TargetRegistry& registry,
-                       OrdersHooks hooks,
-                       base::RandomSource random,
-                       base::Metrics& metrics)
+FleetControl::FleetControl(const process::Settings& settings,
+                           process::ControlSystem& control,
+                           const connection::KeyValue& key_value,
+                           const process::TargetRegistry& registry,
+                           FleetControlHooks hooks,
+                           base::RandomSource random,
+                           base::Metrics& metrics)
     : hooks_(std::move(hooks)),
       registry_(registry),
       metrics_(metrics),
@@ -63,26 +63,27 @@
       planning_task_(kPlanningInterval, [this] { planning_.Tick(); }),
       weight_task_(kWeightInterval, [this] { ReadWeightLimits(); }) {}
 
-void OrdersPart::Stop() {
+void FleetControl::Stop() {
   planning_task_.Stop();
   weight_task_.Stop();
   orders_.Stop();
 }
 
-void OrdersPart::Hear(const process::ViewItem& item) {
+void FleetControl::Hear(const process::ViewItem& item) {
   orders_.OnTargetView(item);
 }
 
-connection::ApiAnswer OrdersPart::HandleFleet(const connection::ApiCall& call) {
+connection::ApiAnswer FleetControl::HandleFleet(
+    const connection::ApiCall& call) {
   return orders_.Handle(call);
 }
 
-connection::ApiAnswer OrdersPart::HandlePlanner(
+connection::ApiAnswer FleetControl::HandlePlanner(
     const connection::ApiCall&) const {
   return {200, planning_.StatusJson()};
 }
 
-process::RolePlanningHooks OrdersPart::MakePlanningHooks() {
+process::RolePlanningHooks FleetControl::MakePlanningHooks() {
   process::RolePlanningHooks out;
   out.clock = base::BootClock::now;
   out.wall_millis = base::WallMillis;
@@ -93,7 +94,7 @@
   return out;
 }
 
-process::OrderHooks OrdersPart::MakeOrderHooks() {
+process::OrderHooks FleetControl::MakeOrderHooks() {
   process::OrderHooks out;
   out.engines = [this] { return EngineRows(); };
   out.configuration = hooks_.configuration;
@@ -103,7 +104,7 @@
   return out;
 }
 
-std::vector<process::EngineRow> OrdersPart::EngineRows() const {
+std::vector<process::EngineRow> FleetControl::EngineRows() const {
   std::map<base::TargetId, request::TargetState> states;
   const auto index = registry_.Index();
   for (const request::Target& target : index->table().targets) {
@@ -129,7 +130,7 @@
   return out;
 }
 
-void OrdersPart::ReadWeightLimits() {
+void FleetControl::ReadWeightLimits() {
   connection::PlatformError error{};
   if (const auto limits = weight_store_.ReadLimits(&error)) {
     loads_per_minute_ = limits->loads_per_minute;
--- a/src/main/orders_part.h
+++ b/src/main/fleet_control.h
@@ -1,7 +1,7 @@
 // The daemon's orders part: authority over the zone's engines, the role
 // planner, and what both need to know.
-#ifndef LYNXGLADE_MAIN_ORDERS_PART_H_
-#define LYNXGLADE_MAIN_ORDERS_PART_H_
+#ifndef LYNXGLADE_MAIN_FLEET_CONTROL_H_
+#define LYNXGLADE_MAIN_FLEET_CONTROL_H_
 
 #include <atomic>
 #include <cstddef>
@@ -29,7 +29,7 @@
 namespace lynxglade {
 
 // All must be thread-safe and must not block.
-struct OrdersHooks {
+struct FleetControlHooks {
   std::function<std::shared_ptr<const version::Configuration>()> configuration;
   // What this instance's callers asked of each service since its start.
   std::function<std::map<base::ServiceName, process::OfferedTotals>()> offered;
@@ -38,18 +38,18 @@
 };
 
 // Lives as long as the daemon. Thread-safe.
-class OrdersPart {
+class FleetControl {
  public:
   // All references must outlive it. Starts the work.
-  OrdersPart(const process::Settings& settings,
-             process::ControlSystem& control,
-             const connection::KeyValue& key_value,
-             const process::TargetRegistry& registry,
-             OrdersHooks hooks,
-             base::RandomSource random,
-             base::Metrics& metrics);
-  OrdersPart(const OrdersPart&) = delete;
-  OrdersPart& operator=(const OrdersPart&) = delete;
+  FleetControl(const process::Settings& settings,
+               process::ControlSystem& control,
+               const connection::KeyValue& key_value,
+               const process::TargetRegistry& registry,
+               FleetControlHooks hooks,
+               base::RandomSource random,
+               base::Metrics& metrics);
+  FleetControl(const FleetControl&) = delete;
+  FleetControl& operator=(const FleetControl&) = delete;
 
   // Gives the leases back. Blocks for a few calls' time-outs at most.
   void Stop();
@@ -68,7 +68,7 @@
   std::vector<process::EngineRow> EngineRows() const;
   void ReadWeightLimits();
 
-  const OrdersHooks hooks_;
+  const FleetControlHooks hooks_;
   const process::TargetRegistry& registry_;
   base::Metrics& metrics_;
   connection::WeightStore weight_store_;
@@ -81,4 +81,4 @@
 
 }  // namespace lynxglade
 
-#endif  // LYNXGLADE_MAIN_ORDERS_PART_H_
+#endif  // LYNXGLADE_MAIN_FLEET_CONTROL_H_
