--- a/src/main/check_report.cc
+++ b/src/main/check_report.cc
@@ -55,7 +55,7 @@
   return rows;
 }
 
-json Probe(const OutsideService& service) {
+json Probe(const ExternalService& service) {
   const std::optional<std::string> reason = service.probe();
   return {{"name", service.name},
           {"reachable", !reason},
@@ -71,7 +71,7 @@
 
 }  // namespace
 
-std::vector<OutsideService> PlatformServices(
+std::vector<ExternalService> PlatformServices(
     const process::Settings& settings,
     const connection::KeyValue& key_value) {
   const auto probe_key_value = [&key_value]() -> std::optional<std::string> {
@@ -100,11 +100,11 @@
 }
 
 connection::ApiHandler MakeCheckHandler(const process::Settings& settings,
-                                        std::vector<OutsideService> services) {
+                                        std::vector<ExternalService> services) {
   return [rows = SettingsOf(settings),
           services = std::move(services)](const connection::ApiCall&) {
     json probed = json::array();
-    for (const OutsideService& it : services) {
+    for (const ExternalService& it : services) {
       probed.push_back(Probe(it));
     }
     const json body = {{"settings", rows}, {"services", std::move(probed)}};
--- a/src/main/check_report.h
+++ b/src/main/check_report.h
@@ -16,21 +16,21 @@
 
 // A service that the instance needs. `probe` blocks for about a time-out and
 // returns why the service is not reachable, or nothing.
-struct OutsideService {
+struct ExternalService {
   std::string name;
   std::function<std::optional<std::string>()> probe;
 };
 
 // The platform's three services under these settings. `key_value` must
 // outlive what is returned.
-std::vector<OutsideService> PlatformServices(
+std::vector<ExternalService> PlatformServices(
     const process::Settings& settings,
     const connection::KeyValue& key_value);
 
 // Answers {"settings":[{name,value}],"services":[{name,reachable,reason}]}.
 // Secrets are shown as "set" or "not set". Probes run one after another.
 connection::ApiHandler MakeCheckHandler(const process::Settings& settings,
-                                        std::vector<OutsideService> services);
+                                        std::vector<ExternalService> services);
 
 }  // namespace lynxglade
 
--- a/tests/main/check_report_test.cc
+++ b/tests/main/check_report_test.cc
@@ -34,7 +34,7 @@
       std::chrono::seconds(1));
   const auto services = PlatformServices(settings, key_value);
   ASSERT_EQ(services.size(), 3u);
-  for (const OutsideService& it : services) {
+  for (const ExternalService& it : services) {
     EXPECT_TRUE(it.probe()) << it.name;
   }
 }
