--- a/tests/base/base_test.cc
+++ b/tests/base/base_test.cc
@@ -33,13 +33,13 @@
 }
 
 TEST(HashTest, IsStableOverBuilds) {
-  // Instances of different builds share keys made of these values.
+  // Instances of different builds share keys that contain these values.
   EXPECT_EQ(ToHex(Hash64("lynxglade")), ToHex(Hash64("lynxglade")));
   EXPECT_NE(HashPair("a", "b"), HashPair("b", "a"));
   EXPECT_EQ(ToHex(0x1fu), "000000000000001f");
 }
 
-TEST(MetricsTest, PageShowsCountersByLabelAndQuantiles) {
+TEST(MetricsTest, RendersCountersByLabelAndEstimatesQuantiles) {
   Metrics metrics;
   metrics.GetCounter("x_total", {{"reason", "shed"}}).Add(3);
   metrics.GetCounter("x_total", {{"reason", "no_target"}}).Add();
--- a/tests/main/check_report_test.cc
+++ b/tests/main/check_report_test.cc
@@ -6,7 +6,7 @@
 namespace lynxglade {
 namespace {
 
-TEST(CheckReportTest, TellsWhatIsReachableAndNoSecret) {
+TEST(CheckReportTest, ReportsReachabilityWithoutSecrets) {
   process::Settings settings;
   settings.zone = base::ZoneId("a");
   settings.bootstrap_operator_key = "s3cret";
@@ -23,8 +23,8 @@
   EXPECT_EQ(body.at("settings")[2].at("value"), "a");
 }
 
-TEST(CheckReportTest, EveryServiceIsProbed) {
-  // No address: each probe must say so instead of passing.
+TEST(CheckReportTest, ProbesEveryService) {
+  // Without an address, each probe must fail.
   const process::Settings settings;
   const connection::KeyValue key_value(
       [](const connection::KvCall&, connection::KvError* error) {
--- a/tests/main/ctl_commands_test.cc
+++ b/tests/main/ctl_commands_test.cc
@@ -10,20 +10,20 @@
 namespace lynxglade::ctl {
 namespace {
 
-struct Outcome {
+struct RunRecord {
   CtlResult result;
   std::vector<CtlRequest> sent;
 };
 
-Outcome Do(std::vector<std::string> words,
-           std::optional<CtlAnswer> answer = CtlAnswer{200, "{}"},
-           bool json = false,
-           const std::string& file = "") {
+RunRecord RunCtl(std::vector<std::string> words,
+                 std::optional<CtlAnswer> answer = CtlAnswer{200, "{}"},
+                 bool json = false,
+                 const std::string& file = "") {
   CtlOptions options;
   options.words = std::move(words);
   options.json = json;
   options.file = file;
-  Outcome run;
+  RunRecord run;
   run.result = RunCommand(
       options,
       [&](const CtlRequest& request) {
@@ -31,15 +31,16 @@
         return answer;
       },
       [](const std::string& name) {
-        return name == "there" ? std::optional<std::string>("{\"changes\":[]}")
-                               : std::nullopt;
+        return name == "there"
+                   ? std::optional<std::string>("{\"changes\":[]}")
+                   : std::nullopt;
       });
   return run;
 }
 
-TEST(CtlCommandsTest, WordsBecomeCalls) {
+TEST(CtlCommandsTest, SubcommandsMapToApiCalls) {
   const auto call = [](std::vector<std::string> words) {
-    const Outcome run = Do(std::move(words));
+    const RunRecord run = RunCtl(std::move(words));
     return run.sent.size() == 1 ? run.sent[0].method + " " + run.sent[0].path +
                                       " " + run.sent[0].body
                                 : run.result.err;
@@ -52,11 +53,11 @@
   EXPECT_EQ(call({"drain", "engine-1"}),
             "POST /v1/admin/targets/engine-1/drain {}");
   EXPECT_EQ(call({"audit"}), "GET /v1/admin/audit?limit=50 ");
-  EXPECT_EQ(Do({"plan"}, CtlAnswer{201, "{}"}, false, "there").sent[0].body,
+  EXPECT_EQ(RunCtl({"plan"}, CtlAnswer{201, "{}"}, false, "there").sent[0].body,
             "{\"changes\":[]}");
 }
 
-TEST(CtlCommandsTest, WrongUseSendsNothing) {
+TEST(CtlCommandsTest, InvalidUsageSendsNoRequest) {
   const std::vector<std::vector<std::string>> wrong = {
       {},
       {"none"},
@@ -69,18 +70,18 @@
       {"plan"},
       {"plans", "extra"}};
   for (const auto& words : wrong) {
-    const Outcome run = Do(words);
+    const RunRecord run = RunCtl(words);
     EXPECT_EQ(run.result.exit_code, kExitUsage);
     EXPECT_TRUE(run.sent.empty());
     EXPECT_FALSE(run.result.err.empty());
   }
-  EXPECT_EQ(Do({"plan"}, CtlAnswer{}, false, "gone").result.exit_code,
+  EXPECT_EQ(RunCtl({"plan"}, CtlAnswer{}, false, "gone").result.exit_code,
             kExitUsage);
 }
 
-TEST(CtlCommandsTest, ExitCodesTellScriptsWhatHappened) {
+TEST(CtlCommandsTest, ExitCodesDistinguishFailures) {
   const auto code = [](std::optional<CtlAnswer> answer) {
-    return Do({"check"}, std::move(answer)).result.exit_code;
+    return RunCtl({"check"}, std::move(answer)).result.exit_code;
   };
   EXPECT_EQ(code(CtlAnswer{200, "{}"}), kExitOk);
   EXPECT_EQ(code(CtlAnswer{409, R"({"error":{"code":"conflict"}})"}),
@@ -94,20 +95,20 @@
       kExitUnreachable);
 }
 
-TEST(CtlCommandsTest, TablesShowValuesAndJsonPassesThrough) {
+TEST(CtlCommandsTest, PrintsTablesOrJson) {
   const CtlAnswer answer{
       200,
       R"({"plans":[{"id":"abc","base":4,"can_confirm":true,"changes":2}]})"};
-  const std::string table = Do({"plans"}, answer).result.out;
+  const std::string table = RunCtl({"plans"}, answer).result.out;
   EXPECT_NE(table.find("abc   4     yes"), std::string::npos) << table;
-  const std::string json = Do({"plans"}, answer, true).result.out;
+  const std::string json = RunCtl({"plans"}, answer, true).result.out;
   EXPECT_EQ(json.front(), '{');
   EXPECT_NE(json.find("\"can_confirm\": true"), std::string::npos);
 }
 
-// Answers that lack members, or hold others than expected, are still shown.
-TEST(CtlCommandsTest, StrangeAnswersDoNotBreakTheTables) {
-  const std::vector<std::vector<std::string>> shown = {
+// Answers with missing members or members of other types must not throw.
+TEST(CtlCommandsTest, PrintsAnswersWithUnexpectedMembers) {
+  const std::vector<std::vector<std::string>> commands = {
       {"plans"},     {"show", "x"},          {"config", "show"},
       {"contracts"}, {"config", "status"},   {"audit"},
       {"fleet"},     {"quarantine", "list"}, {"instances"},
@@ -115,13 +116,13 @@
   for (const char* body :
        {"{}", R"({"plans":7,"contracts":"x","engines":[1],"shares":[null]})",
         R"({"contracts":{"a":{"intents":5}},"operators":[],"audit":[{}]})"}) {
-    for (const auto& words : shown) {
-      EXPECT_EQ(Do(words, CtlAnswer{200, body}).result.exit_code, kExitOk);
+    for (const auto& words : commands) {
+      EXPECT_EQ(RunCtl(words, CtlAnswer{200, body}).result.exit_code, kExitOk);
     }
   }
 }
 
-TEST(CtlTableTest, ValuesCannotWriteToTheTerminal) {
+TEST(CtlTableTest, ReplacesControlCharacters) {
   EXPECT_EQ(FormatTable({"A", "B"}, {{"x\x1b[2J", "y"}}),
             "A      B\nx?[2J  y\n");
 }
--- a/tests/main/entry_views_test.cc
+++ b/tests/main/entry_views_test.cc
@@ -1,5 +1,5 @@
-// What an instance believes of configuration and targets, while the store
-// fails, forgets its history and cuts watches.
+// An instance's view of configuration and targets while the store fails,
+// compacts its history and ends watches early.
 #include "main/entry_views.h"
 
 #include <algorithm>
@@ -28,16 +28,16 @@
 using std::chrono::milliseconds;
 namespace asio = connection::event::asio;
 
-// Entries that are missing after an outage are kept so long.
-constexpr base::Duration kGrace = milliseconds(2000);
+// Entries missing after an outage are kept for this long.
+constexpr base::Duration kEntryGrace = milliseconds(2000);
 
-std::string Entry(bool draining, int life = 0) {
+std::string Entry(bool draining, int start_time = 0) {
   return std::string(
              R"({"backend":"s","address":"10.0.0.1:80","zone":"a",)"
              R"("version":"v1","slots":6,"coldRemainingMs":0,"sequence":1,)"
              R"("phase":")") +
          (draining ? "draining" : "ready") + R"(","born":)" +
-         std::to_string(life) + "}";
+         std::to_string(start_time) + "}";
 }
 
 std::string Configuration(int version) {
@@ -45,7 +45,7 @@
          R"(,"routes":[],"services":[]})";
 }
 
-// One run: an instance's views, a store, and a clock that moves by steps.
+// An instance's views, a store, and a clock advanced by the test.
 class Schedule {
  public:
   explicit Schedule(std::uint64_t seed) : random_(base::SeededRandom(seed)) {
@@ -73,7 +73,7 @@
         store_.Write("op/config", Configuration(++version_));
         break;
       case 5:
-        // An older one, and one that cannot be read, never come into force.
+        // An older or malformed configuration must not come into force.
         store_.Write("op/config",
                      Draw(2) == 0 ? Configuration(version_ - 1) : "{");
         store_.Write("op/config", Configuration(version_));
@@ -91,49 +91,50 @@
         store_.Fail(std::nullopt);
         break;
       case 10:
-        // From another writer: it names no target, whatever was there.
+        // An invalid entry by another writer replaces a target's entry.
         store_.Write("servers/" + id, Draw(2) == 0 ? "{" : "{\"slots\":1}");
         targets_.erase(id);
         break;
       case 11:
-        // The target crashed and starts again, at a time that may be earlier.
-        lives_[id] = Draw(100);
+        // The target restarts; its clock may have been set back.
+        start_times_[id] = Draw(100);
         Put(id, false);
         break;
       default:
         now_ += milliseconds(Draw(3000));
         views_.engines().Expire(now_);
     }
-    // Mostly the instance keeps up; at times several things happen at once.
+    // Sometimes several changes happen before the instance handles them.
     if (Draw(3) != 0) {
-      Work();
+      RunPending();
     }
     const int in_force = static_cast<int>(views_.routes()->version());
-    went_back_ = went_back_ || in_force < newest_seen_;
-    newest_seen_ = std::max(newest_seen_, in_force);
+    version_decreased_ = version_decreased_ || in_force < max_version_seen_;
+    max_version_seen_ = std::max(max_version_seen_, in_force);
   }
 
-  // The store works, and what may be late has come.
-  void Settle() {
+  // Ends the fault, waits out the grace period, and runs until the views match
+  // the store.
+  void Converge() {
     store_.Fail(std::nullopt);
     now_ += milliseconds(1);
-    // Something to hear, whatever the follower is waiting for.
+    // Ends a pending watch.
     store_.Write("lynxglade/other", "");
     RunUntil(loop_, [&] { return follower_.Age() < milliseconds(1); });
-    now_ += kGrace;
+    now_ += kEntryGrace;
     views_.engines().Expire(now_);
-    RunUntil(loop_, [this] { return Agrees(); });
+    RunUntil(loop_, [this] { return MatchesStore(); });
   }
 
-  bool went_back() const noexcept { return went_back_; }
+  bool version_decreased() const noexcept { return version_decreased_; }
 
  private:
   void Put(const std::string& id, bool draining) {
-    store_.Write("servers/" + id, Entry(draining, lives_[id]));
+    store_.Write("servers/" + id, Entry(draining, start_times_[id]));
     targets_[id] = draining;
   }
 
-  bool Agrees() {
+  bool MatchesStore() {
     if (views_.engines().size() != targets_.size() ||
         views_.routes()->version() != version_) {
       return false;
@@ -142,12 +143,12 @@
       const auto engine = views_.engines().Find(base::TargetId(row.first));
       return engine && engine->entry.draining == row.second &&
              engine->entry.start_time ==
-                 base::StartMillis(lives_.at(row.first));
+                 base::StartMillis(start_times_.at(row.first));
     });
   }
 
-  // What is due, or becomes due within a pause between tries.
-  void Work() {
+  // Runs what is due now or becomes due within one retry delay.
+  void RunPending() {
     loop_.restart();
     loop_.run_one_for(microseconds(60));
     process::RunReady(loop_);
@@ -174,18 +175,17 @@
       base::SeededRandom(1),
       metrics_};
   int version_ = 2;
-  int newest_seen_ = 0;
-  bool went_back_ = false;
-  // When each target says that it was born.
-  std::map<std::string, int> lives_;
-  // Draining or not, by id, as the store has it.
+  int max_version_seen_ = 0;
+  bool version_decreased_ = false;
+  // Start time that each target reports, by id.
+  std::map<std::string, int> start_times_;
+  // Whether each target in the store is draining, by id.
   std::map<std::string, bool> targets_;
 };
 
-// 50 schedules a case, 10,000 in all: a configuration in force is never
-// followed by an older one, and once the store works the views are what it
-// holds.
-RC_GTEST_PROP(EntryViews, AgreeWithTheStoreInTheEnd, ()) {
+// A configuration in force is never replaced by an older one, and the views
+// match the store once it works again.
+RC_GTEST_PROP(EntryViews, ConvergeToTheStore, ()) {
   constexpr int kSchedules = 50;
   constexpr int kSteps = 30;
   const auto seed =
@@ -195,8 +195,8 @@
     for (int k = 0; k < kSteps; ++k) {
       schedule.Step();
     }
-    schedule.Settle();
-    RC_ASSERT(!schedule.went_back());
+    schedule.Converge();
+    RC_ASSERT(!schedule.version_decreased());
   }
 }
 
--- a/tests/platform/relay_fixture.cc
+++ b/tests/platform/relay_fixture.cc
@@ -74,7 +74,7 @@
                 "Lynxglade-Not-Executed: 1\r\n");
 }
 
-Reply Read(const std::string& request) {
+Reply PrefillDone(const std::string& request) {
   return Answer(request, "200 OK",
                 R"({"kvHandle":"k1","tokens":17020,"version":1})", "");
 }
@@ -95,7 +95,6 @@
          "chunked\r\n\r\n";
 }
 
-// Events first..last of a stream, with or without its end.
 Reply Stream(const std::string& request, int first, int last, Then then) {
   std::string bytes = StreamHead(request);
   for (int id = first; id <= last; ++id) {
@@ -139,7 +138,7 @@
           .prefill_times = prefill_times_,
           .generation_times = generation_times_,
           .answers = answers_,
-          .retry_budget = allowance_,
+          .retry_budget = retry_budget_,
           .zones = zones_,
           .metrics = metrics_,
           .clock = base::BootClock::now,
@@ -199,12 +198,12 @@
   return client.ReadToEnd();
 }
 
-void RelayTest::UseUpShare() {
+void RelayTest::ExhaustRetryBudget() {
   const base::ServiceName service("s");
-  while (const auto held = allowance_.TryReserve(
+  while (const auto reserved = retry_budget_.TryReserve(
              service, 1, request::passthrough::ArrivalPurpose::kFirstPrefill,
              /*instances=*/1, base::BootClock::now())) {
-    allowance_.Charge(service, *held);
+    retry_budget_.Charge(service, *reserved);
   }
 }
 
--- a/tests/platform/relay_fixture.h
+++ b/tests/platform/relay_fixture.h
@@ -1,5 +1,5 @@
-// A relay on loopback with the users' protocol: a caller's side, and targets
-// that answer with bytes written down in a test.
+// Test fixture: a relay on loopback with the platform's protocol, a client, and
+// targets with scripted answers.
 #ifndef LYNXGLADE_TESTS_PLATFORM_RELAY_FIXTURE_H_
 #define LYNXGLADE_TESTS_PLATFORM_RELAY_FIXTURE_H_
 
@@ -22,13 +22,13 @@
 
 inline constexpr char kProofLine[] = "Lynxglade-Instance-Signature: s\r\n";
 
-// A header's value in a request's bytes; empty if it is not there.
+// The header's value in a raw request; empty if it is missing.
 std::string Header(const std::string& request, const std::string& name);
 
-// The line by which an answer names its request.
+// The header line in which an answer repeats the id of its request.
 std::string Echo(const std::string& request);
 
-// An answer to the request with that body; `more` are whole header lines.
+// An answer to the request; `more` holds complete header lines.
 connection::ScriptedServer::Reply Answer(const std::string& request,
                                          const std::string& status,
                                          const std::string& body,
@@ -36,22 +36,21 @@
 connection::ScriptedServer::Reply Ok(const std::string& request);
 connection::ScriptedServer::Reply NotRun(const std::string& request);
 
-// Header lines of a prompt that is read apart where that can be, and the answer
-// of an engine that has read it.
+// Header lines of a prompt long enough for a prefill engine, and the answer of
+// a prefill engine that has prefilled it.
 inline constexpr char kPromptLines[] =
     "Lynxglade-Model: m\r\nLynxglade-Token-Usage: 17020,13\r\n"
     "Lynxglade-Prefix-Hash: aa:13300,bb:3720\r\n";
-connection::ScriptedServer::Reply Read(const std::string& request);
+connection::ScriptedServer::Reply PrefillDone(const std::string& request);
 
-// Events first..last of a stream, with its end if the connection is kept.
+// Events first..last of a stream; the final chunk is sent only with kKeep.
 connection::ScriptedServer::Reply Stream(const std::string& request,
                                          int first,
                                          int last,
                                          connection::ScriptedServer::Then then);
-// One event of a stream, and a chunk of a chunked body.
+// One event of a stream, and one chunk of a chunked body.
 std::string Event(int id);
 std::string Chunk(const std::string& bytes);
-// The head of a stream's answer.
 std::string StreamHead(const std::string& request);
 
 // Routes /safe/, /unsafe/, /stream/ and /resumable/ to service "s".
@@ -65,7 +64,7 @@
   ~RelayTest() override;
 
   void StartRelay();
-  // A target whose handler gets the request; ids count up from t0.
+  // Adds a target with the next id: t0, t1, ...
   connection::ScriptedServer& AddTarget(
       connection::ScriptedServer::Handler handler,
       request::passthrough::EngineStage stage =
@@ -73,11 +72,12 @@
   static std::string Request(const std::string& path,
                              const std::string& more = {},
                              const std::string& id = "r1");
-  // Everything the caller gets.
+  // Sends the request and returns all bytes of the answer.
   std::string Call(const std::string& request);
+  // Number of requests that all targets have received.
   std::size_t Arrivals() const;
-  // No retry and no first reading can be paid for any more.
-  void UseUpShare();
+  // Spends the retry budget: retries and charged first prefills are rejected.
+  void ExhaustRetryBudget();
 
   connection::event::asio::io_context loop_;
   base::Metrics metrics_;
@@ -89,7 +89,7 @@
   request::passthrough::EnginePicker picker_{{.zone = base::ZoneId("a")},
                                              prefill_times_,
                                              base::SeededRandom(1)};
-  request::passthrough::SharedRetryBudget allowance_{{}};
+  request::passthrough::SharedRetryBudget retry_budget_{{}};
   request::passthrough::ZoneHealth zones_;
   request::passthrough::RelayOptions options_;
   bool accepts_ = true;
--- a/tests/platform/relay_schedules_test.cc
+++ b/tests/platform/relay_schedules_test.cc
@@ -1,5 +1,5 @@
-// Requests through the relay while targets do whatever targets do: what callers
-// are told is held against what the targets have run.
+// Random target faults: the status that the caller gets is compared with what
+// the targets have executed.
 #include <algorithm>
 #include <array>
 #include <cstddef>
@@ -21,82 +21,83 @@
 using Reply = ScriptedServer::Reply;
 using Then = ScriptedServer::Then;
 
-// What a target does with one arrival.
-enum class Act {
+// How a target handles one arrival.
+enum class Behaviour {
   kAnswer,
   kReject,
   kRejectOther,
   kFail,
   kResetSilently,
   kCloseSilently,
-  kTearBody,
-  kNoProof,
+  kTruncateBody,
+  kNoSignature,
   kGarbage,
   kForeignAnswerFirst,
   kExtraBytes,
 };
-constexpr int kActs = static_cast<int>(Act::kExtraBytes) + 1;
+constexpr int kBehaviours = static_cast<int>(Behaviour::kExtraBytes) + 1;
 
-bool Runs(Act act) {
-  return act != Act::kReject && act != Act::kRejectOther;
+bool Runs(Behaviour behaviour) {
+  return behaviour != Behaviour::kReject &&
+         behaviour != Behaviour::kRejectOther;
 }
 
-// What the targets have seen of each request, by its id.
-struct Journal {
+// What the targets have received and executed of one request.
+struct TargetLog {
   int arrivals = 0;
   int runs = 0;
 };
 
 class RelaySchedulesTest : public RelayTest {
  protected:
-  // `acts`: what happens to the first, second, ... arrival of a request.
-  void Plan(const std::string& id, std::vector<Act> acts) {
+  // `behaviours`: for the first, second, ... arrival of the request.
+  void Plan(const std::string& id, std::vector<Behaviour> behaviours) {
     const std::lock_guard lock(mutex_);
-    plans_[id] = std::move(acts);
+    plans_[id] = std::move(behaviours);
   }
-  Journal Of(const std::string& id) {
+  TargetLog LogOf(const std::string& id) {
     const std::lock_guard lock(mutex_);
-    return journal_[id];
+    return logs_[id];
   }
   Reply Do(const std::string& request) {
     const std::string id = Header(request, "Lynxglade-Attempt-Id");
-    Act act = Act::kAnswer;
+    Behaviour behaviour = Behaviour::kAnswer;
     {
       const std::lock_guard lock(mutex_);
-      Journal& seen = journal_[id];
-      const auto& acts = plans_[id];
+      TargetLog& seen = logs_[id];
+      const auto& behaviours = plans_[id];
       const auto n = static_cast<std::size_t>(seen.arrivals++);
-      act = n < acts.size() ? acts[n] : Act::kAnswer;
-      seen.runs += Runs(act) ? 1 : 0;
+      behaviour = n < behaviours.size() ? behaviours[n] : Behaviour::kAnswer;
+      seen.runs += Runs(behaviour) ? 1 : 0;
     }
-    return Play(act, request);
+    return Play(behaviour, request);
   }
 
  private:
-  static Reply Play(Act act, const std::string& request) {
+  static Reply Play(Behaviour behaviour, const std::string& request) {
     Reply reply = Ok(request);
-    switch (act) {
-      case Act::kAnswer:
+    switch (behaviour) {
+      case Behaviour::kAnswer:
         break;
-      case Act::kReject:
+      case Behaviour::kReject:
         return NotRun(request);
-      case Act::kRejectOther:
+      case Behaviour::kRejectOther:
         return Answer(request, "421 Misdirected Request", "", "");
-      case Act::kFail:
+      case Behaviour::kFail:
         return Answer(request, "500 Internal Server Error", "oh");
-      case Act::kResetSilently:
+      case Behaviour::kResetSilently:
         return {"", Then::kReset};
-      case Act::kCloseSilently:
+      case Behaviour::kCloseSilently:
         return {"", Then::kClose};
-      case Act::kTearBody:
+      case Behaviour::kTruncateBody:
         reply.bytes.pop_back();
         reply.then = Then::kClose;
         break;
-      case Act::kNoProof:
+      case Behaviour::kNoSignature:
         return Answer(request, "200 OK", "fine", "");
-      case Act::kGarbage:
+      case Behaviour::kGarbage:
         return {"this is no answer\r\n\r\n", Then::kClose};
-      case Act::kForeignAnswerFirst: {
+      case Behaviour::kForeignAnswerFirst: {
         std::string other = request;
         const std::string mine =
             "Lynxglade-Attempt-Id: " + Header(request, "Lynxglade-Attempt-Id");
@@ -105,7 +106,7 @@
         reply.bytes = Answer(other, "200 OK", "not yours").bytes + reply.bytes;
         break;
       }
-      case Act::kExtraBytes:
+      case Behaviour::kExtraBytes:
         reply.bytes += "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra";
         break;
     }
@@ -113,15 +114,16 @@
   }
 
   std::mutex mutex_;
-  std::map<std::string, std::vector<Act>> plans_;
-  std::map<std::string, Journal> journal_;
+  std::map<std::string, std::vector<Behaviour>> plans_;
+  std::map<std::string, TargetLog> logs_;
 };
 
 struct Outcome {
   std::string answer;
-  Journal seen;
+  TargetLog seen;
 
-  // A status that promises that the request was not run and will not be.
+  // Whether the status guarantees that the request was not and will not be
+  // executed.
   bool PromisesNotRun() const {
     constexpr std::array kPromises{"408", "421", "429", "503"};
     return std::ranges::any_of(
@@ -129,12 +131,12 @@
   }
 };
 
-// 100 requests a case, 20,000 in all: what may not run twice does not, a
-// refusal that says not-run is true, success is the whole answer of a run, and
-// every caller gets an answer.
-RC_GTEST_FIXTURE_PROP(RelaySchedulesTest, CallersAreToldTheTruth, ()) {
+// A non-idempotent request runs at most once, a status that guarantees "not
+// run" is correct, a success is a complete answer of an execution, and every
+// caller gets an answer.
+RC_GTEST_FIXTURE_PROP(RelaySchedulesTest, StatusMatchesExecution, ()) {
   constexpr int kRequests = 100;
-  constexpr int kMostActs = 4;
+  constexpr int kMaxBehaviours = 4;
   const auto seed =
       *rc::gen::resize(rc::kNominalSize, rc::gen::arbitrary<std::uint64_t>());
   const base::RandomSource random = base::SeededRandom(seed);
@@ -146,13 +148,15 @@
   }
   for (int i = 0; i < kRequests; ++i) {
     const std::string id = "q" + std::to_string(i);
-    std::vector<Act> acts(static_cast<std::size_t>(draw(kMostActs + 1)));
-    std::ranges::generate(acts, [&] { return static_cast<Act>(draw(kActs)); });
-    Plan(id, std::move(acts));
+    std::vector<Behaviour> behaviours(
+        static_cast<std::size_t>(draw(kMaxBehaviours + 1)));
+    std::ranges::generate(
+        behaviours, [&] { return static_cast<Behaviour>(draw(kBehaviours)); });
+    Plan(id, std::move(behaviours));
     const bool safe = i % 2 == 0;
     Outcome outcome;
     outcome.answer = Call(Request(safe ? "/safe/x" : "/unsafe/x", {}, id));
-    outcome.seen = Of(id);
+    outcome.seen = LogOf(id);
     RC_ASSERT(outcome.answer.starts_with("HTTP/1.1 "));
     RC_ASSERT(outcome.seen.runs <= (safe ? 2 : 1));
     RC_ASSERT(!outcome.PromisesNotRun() || outcome.seen.runs == 0);
--- a/tests/platform/relay_test.cc
+++ b/tests/platform/relay_test.cc
@@ -1,5 +1,5 @@
-// The whole path on loopback: caller, relay, the users' protocol, and targets
-// that answer with bytes written down here.
+// The relay on loopback, from caller to target, with the platform's protocol
+// and targets with scripted answers.
 #include "request/passthrough/relay.h"
 
 #include <atomic>
@@ -22,7 +22,7 @@
 using Reply = ScriptedServer::Reply;
 using Then = ScriptedServer::Then;
 
-TEST_F(RelayTest, PassesRequestAndAnswerOn) {
+TEST_F(RelayTest, ForwardsRequestAndAnswer) {
   ScriptedServer& target = AddTarget(Ok);
   const std::string answer =
       Call(Request("/safe/x?q=1", "Lynxglade-Stage: prefill\r\nX-Own: 7\r\n"));
@@ -36,7 +36,7 @@
   EXPECT_EQ(Header(seen, "Lynxglade-Attempt-Id"), "r1");
   EXPECT_EQ(Header(seen, "Lynxglade-Expect-Instance"), "t0");
   EXPECT_EQ(Header(seen, "X-Own"), "7");
-  // What only the system may set does not come from a caller.
+  // Headers that callers may not set are removed.
   EXPECT_EQ(Header(seen, "Lynxglade-Stage"), "");
   EXPECT_EQ(Header(seen, "Connection"), "");
   const int left = std::stoi(Header(seen, "Lynxglade-Deadline-Ms"));
@@ -44,7 +44,7 @@
   EXPECT_LE(left, 5000);
 }
 
-TEST_F(RelayTest, RefusesWhatItCannotRoute) {
+TEST_F(RelayTest, RejectsRequestsThatItCannotRoute) {
   AddTarget(Ok);
   EXPECT_TRUE(IsStatus(Call(Request("/nowhere/x")), "404"));
   thread_->Do([this] {
@@ -57,10 +57,9 @@
   EXPECT_EQ(Arrivals(), 0U);
 }
 
-// The load this answers: most instances of a zone restart at once, so that the
-// balancer sends a stopping one requests until its last second; what it took
-// then was cut off with the process.
-TEST_F(RelayTest, AnInstanceThatCannotFinishARequestRefusesItAtOnce) {
+// A load balancer may send requests to a stopping instance until it exits;
+// accepted requests would be interrupted.
+TEST_F(RelayTest, AStoppingInstanceRejectsRequestsAtOnce) {
   AddTarget(Ok);
   accepts_ = false;
   const std::string answer = Call(Request("/unsafe/x"));
@@ -69,29 +68,29 @@
   EXPECT_EQ(Arrivals(), 0U);
 }
 
-TEST_F(RelayTest, WithoutATargetTellsWhenToComeBack) {
+TEST_F(RelayTest, WithoutATargetSendsRetryAfter) {
   const std::string answer = Call(Request("/unsafe/x"));
   EXPECT_TRUE(IsStatus(answer, "503"));
   EXPECT_NE(answer.find("Retry-After: 0."), std::string::npos);
 }
 
-// --- What may be repeated
+// --- Retries
 
-TEST_F(RelayTest, ARequestThatWasNotRunGoesToAnotherTarget) {
+TEST_F(RelayTest, ARequestThatWasNotRunIsRetriedElsewhere) {
   AddTarget(NotRun);
   AddTarget(NotRun);
   AddTarget(Ok);
   EXPECT_TRUE(IsStatus(Call(Request("/unsafe/x")), "200"));
 }
 
-TEST_F(RelayTest, WhereNoTargetRunsItTheRefusalSaysSo) {
+TEST_F(RelayTest, ReportsNotRunIfAllTargetsReject) {
   AddTarget(NotRun);
   AddTarget(NotRun);
   EXPECT_TRUE(IsStatus(Call(Request("/unsafe/x")), "503"));
   EXPECT_EQ(Arrivals(), 2U);
 }
 
-TEST_F(RelayTest, AnUnsafeRequestOfUnknownOutcomeIsNeverSentAgain) {
+TEST_F(RelayTest, ANonIdempotentRequestOfUnknownOutcomeIsNotRetried) {
   for (int i = 0; i < 2; ++i) {
     AddTarget([](const std::string&) { return Reply{"", Then::kReset}; });
   }
@@ -99,7 +98,7 @@
   EXPECT_EQ(Arrivals(), 1U);
 }
 
-TEST_F(RelayTest, AnIdempotentRequestOfUnknownOutcomeIsSentAgain) {
+TEST_F(RelayTest, AnIdempotentRequestOfUnknownOutcomeIsRetried) {
   std::atomic<int> calls = 0;
   for (int i = 0; i < 2; ++i) {
     AddTarget([&calls](const std::string& request) {
@@ -110,7 +109,7 @@
   EXPECT_EQ(Arrivals(), 2U);
 }
 
-TEST_F(RelayTest, AttemptsAreBounded) {
+TEST_F(RelayTest, AttemptsAreLimited) {
   for (int i = 0; i < 4; ++i) {
     AddTarget([](const std::string&) { return Reply{"", Then::kReset}; });
   }
@@ -118,15 +117,15 @@
   EXPECT_EQ(Arrivals(), 2U);
 }
 
-TEST_F(RelayTest, WithoutAllowanceNothingIsSentAgain) {
-  UseUpShare();
+TEST_F(RelayTest, WithoutRetryBudgetNothingIsRetried) {
+  ExhaustRetryBudget();
   AddTarget(NotRun);
   AddTarget(NotRun);
   EXPECT_TRUE(IsStatus(Call(Request("/unsafe/x")), "503"));
   EXPECT_EQ(Arrivals(), 1U);
 }
 
-TEST_F(RelayTest, ATargetsFailureIsPassedOnIfNoOtherDoesBetter) {
+TEST_F(RelayTest, ATargetsErrorIsForwardedIfNoRetrySucceeds) {
   const auto failing = [](const std::string& request) {
     return Answer(request, "500 Internal Server Error", "oh");
   };
@@ -140,7 +139,7 @@
   EXPECT_EQ(Arrivals(), 3U);
 }
 
-TEST_F(RelayTest, AnotherTargetAtTheAddressRunsNothing) {
+TEST_F(RelayTest, AMisdirectedRequestIsReportedAsNotRun) {
   AddTarget([](const std::string& request) {
     return Answer(request, "421 Misdirected Request", "",
                   "Lynxglade-Instance-Id: other\r\n");
@@ -148,16 +147,16 @@
   EXPECT_TRUE(IsStatus(Call(Request("/unsafe/x")), "503"));
 }
 
-// --- Answers that are not what they seem
+// --- Invalid answers
 
-TEST_F(RelayTest, ASuccessWithoutProofIsNotPassedOn) {
+TEST_F(RelayTest, ASuccessWithoutSignatureIsNotForwarded) {
   AddTarget([](const std::string& request) {
     return Answer(request, "200 OK", "fine", "");
   });
   EXPECT_TRUE(IsStatus(Call(Request("/unsafe/x")), "502"));
 }
 
-TEST_F(RelayTest, AnEncodedBodyIsNotPassedOn) {
+TEST_F(RelayTest, AnEncodedBodyIsNotForwarded) {
   AddTarget([](const std::string& request) {
     return Answer(request, "200 OK", "fine",
                   std::string(kProofLine) + "Content-Encoding: gzip\r\n");
@@ -165,7 +164,7 @@
   EXPECT_TRUE(IsStatus(Call(Request("/unsafe/x")), "502"));
 }
 
-TEST_F(RelayTest, ATornAnswerIsNotPassedOn) {
+TEST_F(RelayTest, ATruncatedAnswerIsNotForwarded) {
   AddTarget([](const std::string& request) {
     return Reply{"HTTP/1.1 200 OK\r\n" + Echo(request) + kProofLine +
                      "Content-Length: 10\r\n\r\nfin",
@@ -174,7 +173,7 @@
   EXPECT_TRUE(IsStatus(Call(Request("/unsafe/x")), "502"));
 }
 
-TEST_F(RelayTest, BytesThatAreNoAnswerAreNotPassedOn) {
+TEST_F(RelayTest, AMalformedAnswerIsNotForwarded) {
   AddTarget([](const std::string&) {
     return Reply{"no answer at all\r\n\r\n", Then::kClose};
   });
@@ -195,8 +194,8 @@
   EXPECT_TRUE(IsStatus(Call(Request("/unsafe/x")), "502"));
 }
 
-// An extra answer to an earlier request stands where the next is due.
-TEST_F(RelayTest, AnswersToOtherRequestsArePassedOver) {
+// A duplicate answer to an earlier request arrives before the expected answer.
+TEST_F(RelayTest, AnswersToOtherRequestsAreSkipped) {
   std::atomic<int> calls = 0;
   AddTarget([&calls](const std::string& request) {
     Reply reply = Ok(request);
@@ -212,7 +211,7 @@
   EXPECT_EQ(targets_[0]->connections(), 1);
 }
 
-TEST_F(RelayTest, AConnectionWithBytesAfterTheAnswerIsNotUsedAgain) {
+TEST_F(RelayTest, AConnectionWithBytesAfterTheAnswerIsNotReused) {
   AddTarget([](const std::string& request) {
     Reply reply = Ok(request);
     reply.bytes += "HTTP/1.1 200 OK\r\n";
@@ -223,7 +222,7 @@
   EXPECT_EQ(targets_[0]->connections(), 2);
 }
 
-TEST_F(RelayTest, AConnectionThatTheTargetClosedIsNotUsedAgain) {
+TEST_F(RelayTest, AConnectionClosedByTheTargetIsNotReused) {
   AddTarget([](const std::string& request) {
     Reply reply = Ok(request);
     reply.then = Then::kClose;
@@ -236,7 +235,7 @@
 
 // --- Streams
 
-TEST_F(RelayTest, PassesAStreamOn) {
+TEST_F(RelayTest, ForwardsAStream) {
   AddTarget([](const std::string& request) {
     return Stream(request, 1, 3, Then::kKeep);
   });
@@ -246,7 +245,7 @@
   EXPECT_TRUE(answer.ends_with("0\r\n\r\n"));
 }
 
-TEST_F(RelayTest, ATornStreamDoesNotLookComplete) {
+TEST_F(RelayTest, AnInterruptedStreamDoesNotLookComplete) {
   for (int i = 0; i < 2; ++i) {
     AddTarget([](const std::string& request) {
       return Stream(request, 1, 2, Then::kReset);
@@ -256,7 +255,7 @@
   EXPECT_EQ(Arrivals(), 1U);
 }
 
-TEST_F(RelayTest, AResumableStreamGoesOnAtAnotherTarget) {
+TEST_F(RelayTest, AResumableStreamContinuesAtAnotherTarget) {
   std::atomic<int> calls = 0;
   const auto handler = [&calls](const std::string& request) {
     if (++calls == 1) {
@@ -280,7 +279,7 @@
   EXPECT_EQ(Arrivals(), 2U);
 }
 
-TEST_F(RelayTest, AResumableStreamThatCannotGoOnDoesNotLookComplete) {
+TEST_F(RelayTest, AResumableStreamThatCannotContinueDoesNotLookComplete) {
   std::atomic<int> calls = 0;
   const auto handler = [&calls](const std::string& request) {
     return ++calls == 1 ? Stream(request, 1, 2, Then::kReset) : NotRun(request);
@@ -290,9 +289,9 @@
   EXPECT_FALSE(Call(Request("/resumable/x")).ends_with("0\r\n\r\n"));
 }
 
-// --- Time
+// --- Timeouts and cancellation
 
-TEST_F(RelayTest, ARequestThatMayHaveRunEndsWithoutAPromise) {
+TEST_F(RelayTest, ATimeoutAfterSendingIsNotReportedAsNotRun) {
   AddTarget([](const std::string&) { return Reply{"", Then::kHang}; });
   const std::string request =
       "POST /unsafe/x HTTP/1.1\r\nHost: h\r\nLynxglade-Attempt-Id: r1\r\n"
@@ -301,7 +300,7 @@
   EXPECT_TRUE(IsStatus(Call(request), "504"));
 }
 
-TEST_F(RelayTest, ATargetIsLeftWhenTheCallerLeaves) {
+TEST_F(RelayTest, TheTargetRequestEndsWhenTheCallerDisconnects) {
   AddTarget([](const std::string&) { return Reply{"", Then::kHang}; });
   StartRelay();
   const auto engine = engines_.Find(base::TargetId("t0"));
@@ -313,29 +312,30 @@
   thread_->Await([&] { return engine->in_flight == 0; });
 }
 
-// --- Prompts that one engine reads and another runs
+// --- Separate prefill and decode engines
 
-TEST_F(RelayTest, APromptIsReadAtOneEngineAndRunAtAnother) {
-  ScriptedServer& reader = AddTarget(Read, EngineStage::kPrefill);
-  ScriptedServer& runner = AddTarget([](const std::string& request) {
+TEST_F(RelayTest, APromptIsPrefilledAndDecodedOnDifferentEngines) {
+  ScriptedServer& prefill_engine =
+      AddTarget(PrefillDone, EngineStage::kPrefill);
+  ScriptedServer& decode_engine = AddTarget([](const std::string& request) {
     return Stream(request, 1, 2, Then::kKeep);
   });
   EXPECT_TRUE(Call(Request("/stream/x", kPromptLines)).ends_with("0\r\n\r\n"));
-  ASSERT_EQ(reader.requests().size(), 1U);
-  ASSERT_EQ(runner.requests().size(), 1U);
-  EXPECT_EQ(Header(reader.requests()[0], "Lynxglade-Stage"), "prefill");
-  EXPECT_EQ(Header(runner.requests()[0], "Lynxglade-Stage"), "");
-  EXPECT_EQ(Header(runner.requests()[0], "Lynxglade-Kv-Source"),
-            "127.0.0.1:" + std::to_string(reader.port()) + "/k1");
-  EXPECT_EQ(Header(runner.requests()[0], "Lynxglade-Prefix-Hash"),
+  ASSERT_EQ(prefill_engine.requests().size(), 1U);
+  ASSERT_EQ(decode_engine.requests().size(), 1U);
+  EXPECT_EQ(Header(prefill_engine.requests()[0], "Lynxglade-Stage"), "prefill");
+  EXPECT_EQ(Header(decode_engine.requests()[0], "Lynxglade-Stage"), "");
+  EXPECT_EQ(Header(decode_engine.requests()[0], "Lynxglade-Kv-Source"),
+            "127.0.0.1:" + std::to_string(prefill_engine.port()) + "/k1");
+  EXPECT_EQ(Header(decode_engine.requests()[0], "Lynxglade-Prefix-Hash"),
             "aa:13300,bb:3720");
 }
 
-// An engine with free slots that rejects cannot have the cache: the prompt is
-// read elsewhere, and the handle is given back.
-TEST_F(RelayTest, ACacheThatCannotBeFetchedIsReadAgainElsewhere) {
-  AddTarget(Read, EngineStage::kPrefill);
-  AddTarget(Read, EngineStage::kPrefill);
+// A decode engine that rejects with free slots could not fetch the KV cache:
+// the prompt is prefilled elsewhere and the handle is released.
+TEST_F(RelayTest, APromptWhoseCacheCannotBeFetchedIsPrefilledElsewhere) {
+  AddTarget(PrefillDone, EngineStage::kPrefill);
+  AddTarget(PrefillDone, EngineStage::kPrefill);
   std::atomic<int> runs = 0;
   for (int i = 0; i < 2; ++i) {
     AddTarget([&runs](const std::string& request) {
@@ -355,11 +355,10 @@
   EXPECT_EQ(freed, 1);
 }
 
-// The load this answers: an engine that is ordered to change its stage, or is
-// leaving, rejects everything within a millisecond. It looked like the least
-// loaded one, so that a zone's requests all went there until the retry
-// allowance was spent: 88 quick requests of 2,620 were refused.
-TEST_F(RelayTest, ATargetThatRejectsWithRoomIsAvoided) {
+// An engine that changes its stage or leaves rejects requests immediately, so
+// it looks like the least loaded one. Without avoidance it would get all
+// requests until the retry budget is spent.
+TEST_F(RelayTest, ATargetThatRejectsWithFreeSlotsIsAvoided) {
   ScriptedServer& rejecting = AddTarget(NotRun);
   ScriptedServer& running = AddTarget(Ok);
   for (int i = 0; i < 8; ++i) {
@@ -369,11 +368,10 @@
   EXPECT_EQ(running.requests().size(), 8U);
 }
 
-// The load this answers: engines whose addresses targets of another service had
-// taken while a zone could not hear the store; with no other engine in reach
-// the zone's prompts went there again and again, each against that service's
-// retries (315 arrivals in ten seconds, 249 allowed).
-TEST_F(RelayTest, ATargetAtAReusedAddressIsNotAskedAgain) {
+// During a store outage, another service's target may reuse an engine's
+// address. Each request sent there counts against the retry budget of that
+// service.
+TEST_F(RelayTest, ATargetAtAReusedAddressIsNotTriedAgain) {
   ScriptedServer& stranger = AddTarget([](const std::string& request) {
     return Answer(request, "421 Misdirected Request", "", "");
   });
@@ -383,10 +381,11 @@
   EXPECT_EQ(stranger.requests().size(), 1U);
 }
 
-// It is not the cache's fault if the engine has rejected others, too: the
-// prompt is not read a second time.
-TEST_F(RelayTest, ACacheIsKeptForAnotherRunnerIfTheFirstRejectsEverything) {
-  ScriptedServer& reader = AddTarget(Read, EngineStage::kPrefill);
+// An engine that has rejected other requests, too, says nothing about the KV
+// cache: the prompt is not prefilled a second time.
+TEST_F(RelayTest, TheCacheIsKeptIfTheDecodeEngineRejectsEverything) {
+  ScriptedServer& prefill_engine =
+      AddTarget(PrefillDone, EngineStage::kPrefill);
   AddTarget([](const std::string& request) {
     return Stream(request, 1, 2, Then::kKeep);
   });
@@ -395,26 +394,26 @@
   const auto engine = engines_.Find(base::TargetId("t2"));
   thread_->Do([&] {
     engine->health.OnRejection(true, base::BootClock::now());
-    // The runner looks less loaded.
+    // The rejecting engine looks less loaded.
     engines_.Find(base::TargetId("t1"))->in_flight = 5;
     return true;
   });
   EXPECT_TRUE(Call(Request("/stream/x", kPromptLines)).ends_with("0\r\n\r\n"));
   EXPECT_EQ(rejecting.requests().size(), 1U);
-  EXPECT_EQ(reader.requests().size(), 1U);
+  EXPECT_EQ(prefill_engine.requests().size(), 1U);
 }
 
-// The load this answers: engines that fall silent together. A prompt whose
-// homes they were was given to an engine that generates after two of them, and
-// held up its streams.
-TEST_F(RelayTest, EnginesThatCannotBeReachedAreNoFailedReads) {
+// Unreachable prefill engines must not count as failed prefills: otherwise,
+// after two of them, the prompt would be prefilled on a decode engine and delay
+// its streams.
+TEST_F(RelayTest, UnreachableEnginesDoNotCountAsFailedPrefills) {
   for (int i = 0; i < 3; ++i) {
-    AddTarget(Read, EngineStage::kPrefill);
+    AddTarget(PrefillDone, EngineStage::kPrefill);
   }
-  ScriptedServer& runner = AddTarget([](const std::string& request) {
+  ScriptedServer& decode_engine = AddTarget([](const std::string& request) {
     return Stream(request, 1, 2, Then::kKeep);
   });
-  // Nobody listens where three more readers are said to be.
+  // Three more prefill engines at an address where nothing listens.
   for (int i = 3; i < 6; ++i) {
     request::passthrough::EngineEntry entry =
         engines_.Find(base::TargetId("t0"))->entry;
@@ -422,22 +421,22 @@
     entry.port = 1;
     engines_.Put(entry, base::Time());
   }
-  // Busier than those, but not for longer than the caller stays.
+  // The reachable ones have more work, but would finish within the timeout.
   for (const char* id : {"t0", "t1", "t2"}) {
     engines_.Find(base::TargetId(id))->prefills[0].prefill_tokens = 30'000;
   }
   EXPECT_TRUE(Call(Request("/stream/x", kPromptLines)).ends_with("0\r\n\r\n"));
-  ASSERT_EQ(runner.requests().size(), 1U);
-  EXPECT_NE(Header(runner.requests()[0], "Lynxglade-Kv-Source"), "");
+  ASSERT_EQ(decode_engine.requests().size(), 1U);
+  EXPECT_NE(Header(decode_engine.requests()[0], "Lynxglade-Kv-Source"), "");
 }
 
-TEST_F(RelayTest, WhereNoEngineReadsTheRunnerDoes) {
+TEST_F(RelayTest, IfPrefillEnginesRejectTheDecodeEnginePrefills) {
   AddTarget(NotRun, EngineStage::kPrefill);
-  ScriptedServer& runner = AddTarget([](const std::string& request) {
+  ScriptedServer& decode_engine = AddTarget([](const std::string& request) {
     return Stream(request, 1, 2, Then::kKeep);
   });
   EXPECT_TRUE(Call(Request("/stream/x", kPromptLines)).ends_with("0\r\n\r\n"));
-  EXPECT_EQ(Header(runner.requests()[0], "Lynxglade-Kv-Source"), "");
+  EXPECT_EQ(Header(decode_engine.requests()[0], "Lynxglade-Kv-Source"), "");
 }
 
 }  // namespace
--- a/tests/platform/store_client_test.cc
+++ b/tests/platform/store_client_test.cc
@@ -22,7 +22,7 @@
 using process::StoreItems;
 namespace asio = connection::event::asio;
 
-// A page of a list, each item with the value "v".
+// One page of a list answer; each item has the value "v".
 std::string Page(std::int64_t at,
                  const std::vector<std::pair<std::string, int>>& items,
                  bool more) {
@@ -38,7 +38,7 @@
 
 class StoreClientTest : public testing::Test {
  protected:
-  // Lists from a store that answers with these pages in turn.
+  // Calls List() on a store that answers with these pages in turn.
   std::optional<StoreItems> List(std::vector<std::string> pages,
                                  Freshness freshness) {
     std::size_t next = 0;
@@ -70,7 +70,7 @@
   std::vector<std::string> requests_;
 };
 
-TEST_F(StoreClientTest, ACurrentListIsAsOfItsFirstPage) {
+TEST_F(StoreClientTest, ACurrentListHasTheLowestRevisionOfItsPages) {
   const auto listed =
       List({Page(50, {{"a", 10}}, true), Page(52, {{"b", 51}}, false)},
            Freshness::kCurrent);
@@ -81,8 +81,8 @@
   EXPECT_NE(requests_[1].find("after=a"), std::string::npos);
 }
 
-// It may state the store's revision and show an older state.
-TEST_F(StoreClientTest, AListThatMayLagIsAsOfItsNewestItem) {
+// The stated revision can be newer than the content of the page.
+TEST_F(StoreClientTest, AStaleListHasTheRevisionOfItsNewestItem) {
   const auto listed =
       List({Page(50, {{"a", 10}, {"b", 40}}, false)}, Freshness::kMayBeStale);
   ASSERT_TRUE(listed);
@@ -90,9 +90,9 @@
   EXPECT_NE(requests_[0].find("allowStale=1"), std::string::npos);
 }
 
-// Each page may lag by itself: a watch from the newer one's revision would
-// never tell what the older one has missed.
-TEST_F(StoreClientTest, PagesThatMayLagAreAsOfTheOldest) {
+// Each page can be stale by a different amount: a watch from the newer revision
+// would miss changes that the older page does not contain.
+TEST_F(StoreClientTest, AStaleListHasTheLowestRevisionOfItsPages) {
   const auto listed =
       List({Page(50, {{"a", 48}}, true), Page(50, {{"b", 30}}, false)},
            Freshness::kMayBeStale);
@@ -100,7 +100,7 @@
   EXPECT_EQ(listed->revision, base::Revision(30));
 }
 
-TEST_F(StoreClientTest, AnEmptyListThatMayLagIsAsOfNothing) {
+TEST_F(StoreClientTest, AnEmptyStaleListHasRevisionZero) {
   const auto listed = List({Page(50, {}, false)}, Freshness::kMayBeStale);
   ASSERT_TRUE(listed);
   EXPECT_EQ(listed->revision, base::Revision(0));
--- a/tests/platform/store_documents_test.cc
+++ b/tests/platform/store_documents_test.cc
@@ -47,8 +47,8 @@
   EXPECT_EQ(table->limits().idle_timeout, std::chrono::seconds(15));
 }
 
-// A document is taken whole or not at all, and the reason names the member.
-TEST(StoreDocuments, RefusesWhatItCannotRead) {
+// An invalid part rejects the whole document, and the fault names the member.
+TEST(StoreDocuments, RejectsInvalidConfigurations) {
   const std::string good = kConfiguration;
   const auto with = [&good](const std::string& from, const std::string& to) {
     std::string text = good;
@@ -77,7 +77,7 @@
         "models":[{"name":"m","version":1,"adapters":[]}],"sequence":4,
         "born":1783786258670})";
 
-// kEntry with one text in place of another.
+// kEntry with the first `from` replaced by `to`.
 std::string EntryWith(const std::string& from, const std::string& to) {
   std::string text = kEntry;
   return text.replace(text.find(from), from.size(), to);
@@ -95,8 +95,8 @@
   EXPECT_EQ(entry->start_time, base::StartMillis(1'783'786'258'670));
 }
 
-// Platforms that do not tell, and plain targets.
-TEST(StoreDocuments, AnEntryMayLackItsBirthAndItsStage) {
+// Some platforms do not report the start time; plain targets have no stage.
+TEST(StoreDocuments, AnEntryMayLackItsStartTimeAndStage) {
   DocumentFault fault;
   const auto without_start_time = ReadTargetEntry(
       "servers/i", EntryWith(",\n        \"born\":1783786258670", ""), &fault);
@@ -108,7 +108,7 @@
   EXPECT_EQ(plain->stage, EngineStage::kPlain);
 }
 
-TEST(StoreDocuments, RefusesAnEntryWithoutAnAddress) {
+TEST(StoreDocuments, RejectsAnEntryWithoutAValidAddress) {
   for (const char* address : {"", "10.0.0.1", "10.0.0.1:0", "10.0.0.1:x",
                               "ten:80", "10.0.0.256:80", ":80"}) {
     DocumentFault fault;
@@ -118,8 +118,9 @@
   }
 }
 
-// Another writer's entry: every member of a target's own is looked at.
-TEST(StoreDocuments, RefusesAnEntryThatNoTargetWrote) {
+// All members that a target writes are checked, so that entries of other
+// writers are rejected.
+TEST(StoreDocuments, RejectsAnEntryNotWrittenByATarget) {
   using enum DocumentFaultKind;
   struct Row {
     const char* from;
@@ -158,11 +159,11 @@
   }
 }
 
-// Whatever lies in the store, reading it ends with a table or a reason.
-RC_GTEST_PROP(StoreDocuments, DamagedDocumentsNeverThrow, ()) {
+// Any content either parses or is rejected with a reason; nothing throws.
+RC_GTEST_PROP(StoreDocuments, CorruptedDocumentsNeverThrow, ()) {
   std::string text = *rc::gen::element<std::string>(kConfiguration, kEntry);
-  const int damages = *rc::gen::inRange(1, 6);
-  for (int i = 0; i < damages; ++i) {
+  const int corruptions = *rc::gen::inRange(1, 6);
+  for (int i = 0; i < corruptions; ++i) {
     const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
     text[at] = *rc::gen::arbitrary<char>();
   }
