--- a/fuzz/store_documents.cc
+++ b/fuzz/store_documents.cc
@@ -18,7 +18,7 @@
     fuzz::Check(!entry->start_time || entry->start_time->value() >= 0, "birth");
   }
   platform::DocumentFault other;
-  const auto table = platform::ReadConfiguration(text, &other);
+  const auto table = platform::ParseConfiguration(text, &other);
   fuzz::Check(table || !other.detail.empty(), "a configuration or a reason");
   fuzz::Check(!table || table->version() >= 0, "version");
   return 0;
--- a/src/main/entry_views.cc
+++ b/src/main/entry_views.cc
@@ -50,7 +50,7 @@
     return;
   }
   platform::DocumentFault fault;
-  auto table = platform::ReadConfiguration(item.value, &fault);
+  auto table = platform::ParseConfiguration(item.value, &fault);
   if (!table) {
     Log(LogLevel::kError, "configuration_refused",
         {{"revision", item.revision.value()},
--- a/tests/platform/store_documents_test.cc
+++ b/tests/platform/store_documents_test.cc
@@ -29,7 +29,7 @@
 
 TEST(StoreDocuments, ReadsAConfiguration) {
   DocumentFault fault;
-  const auto table = ReadConfiguration(kConfiguration, &fault);
+  const auto table = ParseConfiguration(kConfiguration, &fault);
   ASSERT_TRUE(table) << fault.detail;
   EXPECT_EQ(table->version(), 7);
   const auto* stream = table->Find("h", "/a/x");
@@ -66,7 +66,7 @@
            {with("\"weight\":90", "\"weight\":-1"), "weight"},
            {with("\"backend\":\"s\"", "\"backend\":5"), "backend"}}) {
     DocumentFault fault;
-    EXPECT_FALSE(ReadConfiguration(text, &fault)) << part;
+    EXPECT_FALSE(ParseConfiguration(text, &fault)) << part;
     EXPECT_NE(fault.detail.find(part), std::string::npos) << fault.detail;
   }
 }
@@ -168,7 +168,7 @@
     text[at] = *rc::gen::arbitrary<char>();
   }
   DocumentFault fault;
-  const auto table = ReadConfiguration(text, &fault);
+  const auto table = ParseConfiguration(text, &fault);
   RC_ASSERT(table || !fault.detail.empty());
   DocumentFault entry_fault;
   const auto entry = ReadTargetEntry("servers/x", text, &entry_fault);
