--- a/fuzz/store_documents.cc
+++ b/fuzz/store_documents.cc
@@ -9,7 +9,7 @@
   using namespace lynxglade;
   const std::string_view text = fuzz::TextOf(data, size);
   platform::DocumentFault fault;
-  const auto entry = platform::ReadTargetEntry("servers/i-1", text, &fault);
+  const auto entry = platform::ParseTargetEntry("servers/i-1", text, &fault);
   fuzz::Check(entry || !fault.detail.empty(), "an entry or a reason");
   if (entry) {
     fuzz::Check(entry->id.str() == "i-1", "the key names the target");
--- a/src/main/entry_views.cc
+++ b/src/main/entry_views.cc
@@ -86,7 +86,7 @@
     return;
   }
   platform::DocumentFault fault;
-  const auto entry = platform::ReadTargetEntry(item.key, item.value, &fault);
+  const auto entry = platform::ParseTargetEntry(item.key, item.value, &fault);
   if (!entry) {
     RecordRejected(item, fault);
     engines_.RemoveInvalid(id);
@@ -110,7 +110,7 @@
   const auto previously_rejected = std::exchange(rejected_, {});
   for (const StoreItem& item : items) {
     platform::DocumentFault fault;
-    const auto entry = platform::ReadTargetEntry(item.key, item.value, &fault);
+    const auto entry = platform::ParseTargetEntry(item.key, item.value, &fault);
     if (entry) {
       entries.push_back(*entry);
       continue;
--- a/tests/platform/store_documents_test.cc
+++ b/tests/platform/store_documents_test.cc
@@ -85,7 +85,7 @@
 
 TEST(StoreDocuments, ReadsATargetEntry) {
   DocumentFault fault;
-  const auto entry = ReadTargetEntry("servers/i-1", kEntry, &fault);
+  const auto entry = ParseTargetEntry("servers/i-1", kEntry, &fault);
   ASSERT_TRUE(entry) << fault.detail;
   EXPECT_EQ(entry->id.str(), "i-1");
   EXPECT_EQ(entry->ip, "10.128.0.9");
@@ -98,11 +98,11 @@
 // Some platforms do not report the start time; plain targets have no stage.
 TEST(StoreDocuments, AnEntryMayLackItsStartTimeAndStage) {
   DocumentFault fault;
-  const auto without_start_time = ReadTargetEntry(
+  const auto without_start_time = ParseTargetEntry(
       "servers/i", EntryWith(",\n        \"born\":1783786258670", ""), &fault);
   ASSERT_TRUE(without_start_time) << fault.detail;
   EXPECT_FALSE(without_start_time->start_time);
-  const auto plain = ReadTargetEntry(
+  const auto plain = ParseTargetEntry(
       "servers/i", EntryWith("\"stage\":\"prefill\",", ""), &fault);
   ASSERT_TRUE(plain) << fault.detail;
   EXPECT_EQ(plain->stage, EngineStage::kPlain);
@@ -112,7 +112,7 @@
   for (const char* address : {"", "10.0.0.1", "10.0.0.1:0", "10.0.0.1:x",
                               "ten:80", "10.0.0.256:80", ":80"}) {
     DocumentFault fault;
-    EXPECT_FALSE(ReadTargetEntry(
+    EXPECT_FALSE(ParseTargetEntry(
         "servers/i", EntryWith("10.128.0.9:8080", address), &fault));
     EXPECT_EQ(fault.kind, DocumentFaultKind::kAddress) << address;
   }
@@ -152,7 +152,7 @@
        }) {
     DocumentFault fault;
     EXPECT_FALSE(
-        ReadTargetEntry("servers/i", EntryWith(row.from, row.to), &fault))
+        ParseTargetEntry("servers/i", EntryWith(row.from, row.to), &fault))
         << row.to;
     EXPECT_EQ(fault.kind, row.kind) << row.from << " -> " << row.to;
     EXPECT_FALSE(fault.detail.empty());
@@ -171,7 +171,7 @@
   const auto table = ParseConfiguration(text, &fault);
   RC_ASSERT(table || !fault.detail.empty());
   DocumentFault entry_fault;
-  const auto entry = ReadTargetEntry("servers/x", text, &entry_fault);
+  const auto entry = ParseTargetEntry("servers/x", text, &entry_fault);
   RC_ASSERT(entry || !entry_fault.detail.empty());
 }
 
