--- a/src/main/entry_views.cc
+++ b/src/main/entry_views.cc
@@ -77,7 +77,7 @@
 }
 
 void EntryViews::OnTarget(const StoreItem& item) {
-  const base::TargetId id = platform::TargetOfKey(item.key);
+  const base::TargetId id = platform::TargetIdFromKey(item.key);
   if (item.deleted) {
     Log(LogLevel::kInfo, "target_gone",
         {{"target", id.str()}, {"revision", item.revision.value()}});
@@ -115,7 +115,7 @@
       entries.push_back(*entry);
       continue;
     }
-    rejected.push_back(platform::TargetOfKey(item.key));
+    rejected.push_back(platform::TargetIdFromKey(item.key));
     const auto it = previously_rejected.find(item.key);
     if (it != previously_rejected.end() && it->second == item.revision) {
       rejected_.insert(*it);
