--- a/src/main/daemon_options.cc
+++ b/src/main/daemon_options.cc
@@ -43,7 +43,7 @@
   options.max_body_bytes = connection::kMaxCallerBodyBytes;
   options.overflow.body = connection::RefusalBody(
       {RefusalReason::kOverloaded, base::Outcome::kNotRun,
-       "this instance serves as many connections as it may", kRetryElsewhere});
+       "this instance has reached its connection limit", kRetryElsewhere});
   options.error_body = LibraryErrorBody;
   return options;
 }
