--- a/src/main/ctl_commands.cc
+++ b/src/main/ctl_commands.cc
@@ -218,7 +218,7 @@
   if (status == kHttpUnavailable || AnyUnreachable(body)) {
     return kExitUnreachable;
   }
-  return status >= 200 && status < 300 ? kExitOk : kExitRefused;
+  return status >= 200 && status < 300 ? kExitOk : kExitRejected;
 }
 
 CtlResult Show(const CtlOptions& options,
--- a/src/main/ctl_options.h
+++ b/src/main/ctl_options.h
@@ -12,7 +12,7 @@
 // Exit codes, for scripts.
 inline constexpr int kExitOk = 0;
 // The system rejected the request, also because of a conflicting change.
-inline constexpr int kExitRefused = 1;
+inline constexpr int kExitRejected = 1;
 inline constexpr int kExitUsage = 2;
 // No instance answered, or the instance could not reach a service that it
 // needs.
--- a/tests/main/ctl_commands_test.cc
+++ b/tests/main/ctl_commands_test.cc
@@ -31,9 +31,8 @@
         return answer;
       },
       [](const std::string& name) {
-        return name == "there"
-                   ? std::optional<std::string>("{\"changes\":[]}")
-                   : std::nullopt;
+        return name == "there" ? std::optional<std::string>("{\"changes\":[]}")
+                               : std::nullopt;
       });
   return run;
 }
@@ -85,8 +84,8 @@
   };
   EXPECT_EQ(code(CtlAnswer{200, "{}"}), kExitOk);
   EXPECT_EQ(code(CtlAnswer{409, R"({"error":{"code":"conflict"}})"}),
-            kExitRefused);
-  EXPECT_EQ(code(CtlAnswer{403, R"({"error":{}})"}), kExitRefused);
+            kExitRejected);
+  EXPECT_EQ(code(CtlAnswer{403, R"({"error":{}})"}), kExitRejected);
   EXPECT_EQ(code(CtlAnswer{503, R"({"error":{}})"}), kExitUnreachable);
   EXPECT_EQ(code(CtlAnswer{200, "<html>"}), kExitUnreachable);
   EXPECT_EQ(code(std::nullopt), kExitUnreachable);
