--- a/src/main/daemon.cc
+++ b/src/main/daemon.cc
@@ -22,7 +22,7 @@
 
 // --- State ------------------------------------------------------------------
 
-std::optional<Refusal> Daemon::Details::Closed() const {
+std::optional<Refusal> Daemon::Details::NotReadyRefusal() const {
   if (configuration.ready()) {
     return std::nullopt;
   }
@@ -30,7 +30,7 @@
                  "this instance has no configuration yet", kRetryElsewhere};
 }
 
-std::optional<std::string> Daemon::Details::NotReady() const {
+std::optional<std::string> Daemon::Details::NotReadyReason() const {
   if (leaving) {
     return "stopping";
   }
--- a/src/main/daemon_hooks.cc
+++ b/src/main/daemon_hooks.cc
@@ -171,7 +171,7 @@
                        const request::CallerSink& sink) {
     return serving.Serve(request, sink);
   };
-  hooks.closed = [this] { return Closed(); };
+  hooks.closed = [this] { return NotReadyRefusal(); };
   hooks.now = base::BootClock::now;
   hooks.random = random;
   return hooks;
@@ -183,7 +183,7 @@
     const auto caller = configuration.access().Authenticate(key);
     return caller ? std::optional(caller->role) : std::nullopt;
   };
-  hooks.not_ready = [this] { return NotReady(); };
+  hooks.not_ready = [this] { return NotReadyReason(); };
   return hooks;
 }
 
--- a/src/main/details/daemon_details.h
+++ b/src/main/details/daemon_details.h
@@ -65,8 +65,8 @@
 
   version::FleetFacts Fleet() const;
   void ApplyConfiguration();
-  std::optional<request::Refusal> Closed() const;
-  std::optional<std::string> NotReady() const;
+  std::optional<request::Refusal> NotReadyRefusal() const;
+  std::optional<std::string> NotReadyReason() const;
   std::vector<base::InstanceId> ZoneMembers() const;
   bool ShouldWatch() const;
   std::size_t LiveInstances() const;
