--- a/src/base/log.h
+++ b/src/base/log.h
@@ -38,9 +38,9 @@
   // Blocks while the reader is slow.
   kStandardError,
   // Never blocks: a line that exceeds the rate limit or does not fit into the
-  // pipe is dropped and counted. The next line that is written has the number
-  // of
-  // dropped lines in "dropped_lines".
+  // pipe is dropped and counted. The next line that is written states the
+  // number
+  // of dropped lines in "dropped_lines".
   kStandardOutput,
 };
 
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,10 +1,10 @@
 // Counters, gauges and latency quantiles, exported in the Prometheus text
 // format.
 //
-// Names follow the Prometheus conventions: counters end in "_total", times are
-// in seconds. A series is created on first use, and its handle stays valid for
-// the lifetime of the Metrics object. Quantiles are estimated by
-// Boost.Accumulators.
+// Names start with "lynxglade_" and follow the Prometheus conventions: counters
+// end in "_total", times are in seconds. A series is created on first use, and
+// its handle stays valid for the lifetime of the Metrics object. Quantiles are
+// estimated by Boost.Accumulators.
 #ifndef LYNXGLADE_BASE_METRICS_H_
 #define LYNXGLADE_BASE_METRICS_H_
 
