--- a/src/main/ctl_commands.cc
+++ b/src/main/ctl_commands.cc
@@ -205,7 +205,7 @@
   return it == Commands().end() ? nullptr : &*it;
 }
 
-// For the answer of "check"; other answers have no "services" with "reachable".
+// Whether the answer lists a service as not reachable.
 bool AnyUnreachable(const json& body) {
   const json services = body.value("services", json::array());
   return std::ranges::any_of(services, [](const json& it) {
