--- a/fuzz/caller_body.cc
+++ b/fuzz/caller_body.cc
@@ -1,4 +1,4 @@
-// Chat bodies of callers: what is taken reaches engines as sound JSON.
+// Chat request bodies: an accepted body is forwarded to engines as valid JSON.
 #include <string>
 
 #include <nlohmann/json.hpp>
@@ -16,7 +16,7 @@
   std::string reason;
   const auto call = connection::ParseChatCall(body, &reason);
   if (!call) {
-    fuzz::Check(!reason.empty(), "a refusal has a reason");
+    fuzz::Check(!reason.empty(), "a rejected input has a reason");
     return 0;
   }
   fuzz::Check(call->prompt_tokens.value() >= 0, "prompt is counted");
--- a/fuzz/caller_headers.cc
+++ b/fuzz/caller_headers.cc
@@ -1,5 +1,5 @@
-// Headers of callers, one "name: value" a line: terms stay in their ranges, a
-// contract with keys is reached by its key only, and no refusal tells a key.
+// Request headers, one "name: value" per line: parsed terms are in range, a
+// contract with keys requires its key, and no error message contains a key.
 #include <algorithm>
 #include <cctype>
 #include <sstream>
@@ -78,7 +78,7 @@
   }
   if (contract == nullptr && shown.size() > 32) {
     fuzz::Check(refusal.message.find(shown) == std::string::npos,
-                "no key in a refusal");
+                "no key in an error message");
   }
   return 0;
 }
--- a/fuzz/change_messages.cc
+++ b/fuzz/change_messages.cc
@@ -1,5 +1,5 @@
-// What one instance tells another of changes in the store. Read whole or not
-// at all, and written again as it was read.
+// Messages between instances about changes of the store: decoded completely or
+// not at all, and unchanged by encoding and decoding.
 #include "process/change_messages.h"
 
 #include "fuzz/check.h"
--- a/fuzz/check.h
+++ b/fuzz/check.h
@@ -1,4 +1,4 @@
-// What the fuzz targets share: checks that end the run, and typed input.
+// Helpers of the fuzz targets: checks that abort the run, and text input.
 #ifndef LYNXGLADE_FUZZ_CHECK_H_
 #define LYNXGLADE_FUZZ_CHECK_H_
 
@@ -10,10 +10,10 @@
 
 namespace lynxglade::fuzz {
 
-// libFuzzer reports the input of a run that aborts.
+// Aborts if `holds` is false; libFuzzer then reports the input.
 inline void Check(bool holds, const char* what) {
   if (!holds) {
-    std::fprintf(stderr, "broken: %s\n", what);
+    std::fprintf(stderr, "check failed: %s\n", what);
     std::abort();
   }
 }
--- a/fuzz/claim_record.cc
+++ b/fuzz/claim_record.cc
@@ -1,4 +1,4 @@
-// Claims as the key-value service returns them.
+// Claim records read from the key-value service.
 #include "request/claim_record.h"
 #include "fuzz/check.h"
 
@@ -11,10 +11,11 @@
   }
   fuzz::Check(!record->write_id.empty(), "a claim has a write id");
   fuzz::Check(record->outcome != base::Outcome::kNotRun,
-              "no claim says not run");
+              "no claim has the outcome not run");
   const std::string text = request::EncodeClaimRecord(*record);
   const auto again = request::DecodeClaimRecord(text);
-  fuzz::Check(again.has_value(), "what is written is read");
-  fuzz::Check(request::EncodeClaimRecord(*again) == text, "and means the same");
+  fuzz::Check(again.has_value(), "encoded data can be decoded");
+  fuzz::Check(request::EncodeClaimRecord(*again) == text,
+              "decoding and encoding again yields the same bytes");
   return 0;
 }
--- a/fuzz/configuration.cc
+++ b/fuzz/configuration.cc
@@ -1,4 +1,4 @@
-// The configuration's records: the first byte names the kind, '0' to '4'.
+// Configuration records; the first byte selects the kind, '0' to '4'.
 #include "fuzz/check.h"
 #include "version/config_delta.h"
 #include "version/config_head.h"
@@ -13,18 +13,21 @@
   CodecFault fault;
   const auto value = DecodeConfiguration(text, &fault);
   if (!value) {
-    fuzz::Check(fault.error != CodecError::kNone, "a refusal has a reason");
+    fuzz::Check(fault.error != CodecError::kNone,
+                "a rejected input has a reason");
     return;
   }
-  fuzz::Check(CheckConfiguration(*value, &fault), "what is read is sound");
+  fuzz::Check(CheckConfiguration(*value, &fault),
+              "a decoded configuration is valid");
   const auto again = DecodeConfiguration(EncodeConfiguration(*value), &fault);
-  fuzz::Check(again && *again == *value, "what is written is read");
+  fuzz::Check(again && *again == *value, "encoded data can be decoded");
 }
 
 void TryHead(std::string_view text) {
   const auto value = DecodeHead(text);
   if (value) {
-    fuzz::Check(DecodeHead(EncodeHead(*value)) == value, "head comes back");
+    fuzz::Check(DecodeHead(EncodeHead(*value)) == value,
+                "decoding an encoded head yields the same head");
     fuzz::Check(value->snapshot <= value->revision, "snapshot is older");
   }
 }
@@ -36,15 +39,17 @@
     return;
   }
   const auto again = DecodeDelta(EncodeDelta(*value), &fault);
-  fuzz::Check(again && *again == *value, "delta comes back");
-  // Whatever it says, applying is all or nothing and can be undone.
+  fuzz::Check(again && *again == *value,
+              "decoding an encoded delta yields the same delta");
+  // Applying any delta is atomic and can be undone.
   Configuration configuration;
   configuration.revision = value->revision - base::Revision(1);
   const Configuration before = configuration;
   if (!ApplyDelta(*value, &configuration)) {
-    fuzz::Check(configuration == before, "a misfit changes nothing");
+    fuzz::Check(configuration == before, "a rejected delta changes nothing");
   } else if (UndoDelta(*value, &configuration)) {
-    fuzz::Check(configuration == before, "undone");
+    fuzz::Check(configuration == before,
+                "undoing a delta restores the configuration");
   }
 }
 
@@ -53,7 +58,7 @@
   if (value) {
     fuzz::Check(
         ChainDigest(value->previous_digest, value->text) == value->digest,
-        "the chain holds");
+        "the digest matches the chain");
   }
 }
 
@@ -63,7 +68,7 @@
   if (value) {
     const auto again = DecodeSnapshot(EncodeSnapshot(*value), &fault);
     fuzz::Check(again && *again->configuration == *value->configuration,
-                "held comes back");
+                "decoding an encoded snapshot yields the same configuration");
   }
 }
 
--- a/fuzz/engine_events.cc
+++ b/fuzz/engine_events.cc
@@ -1,6 +1,6 @@
-// An engine's event stream: how the bytes are cut does not matter, and a
-// stream taken for whole has the tokens that its usage counts. The first byte
-// is the size of the pieces.
+// Event stream of an engine: the result does not depend on how the bytes are
+// split, and a complete stream has as many tokens as its usage reports. The
+// first byte determines the size of the pieces.
 #include <string>
 
 #include "connection/target_client_stream.h"
@@ -37,7 +37,8 @@
   }
   fuzz::Check(stream.tokens().value() >= 0, "tokens are counted");
   if (stream.IsWhole()) {
-    fuzz::Check(stream.usage()->completion == stream.tokens(), "whole");
+    fuzz::Check(stream.usage()->completion == stream.tokens(),
+                "the usage matches the token count");
   }
   return {stream.state(), stream.IsWhole(), stream.tokens().value(), text};
 }
@@ -52,6 +53,6 @@
   const std::string_view bytes = fuzz::TextOf(data, size).substr(1);
   const std::size_t piece = data[0] % 32 + 1;
   fuzz::Check(Run(bytes, bytes.size() + 1) == Run(bytes, piece),
-              "pieces do not matter");
+              "the result does not depend on how the bytes are split");
   return 0;
 }
--- a/fuzz/engine_state.cc
+++ b/fuzz/engine_state.cc
@@ -1,4 +1,4 @@
-// What engines answer to orders and to questions about their state.
+// Responses of engines to orders and to state queries.
 #include <string>
 
 #include <nlohmann/json.hpp>
--- a/fuzz/load_report.cc
+++ b/fuzz/load_report.cc
@@ -1,4 +1,4 @@
-// Load reports: numbers that routing computes with are in their ranges.
+// Load reports: the numbers used for routing are in range.
 #include <chrono>
 #include <cmath>
 
@@ -30,6 +30,6 @@
   fuzz::Check(again && again->sequence == report->sequence &&
                   again->load.running == load.running &&
                   again->load.queued_prefill == load.queued_prefill,
-              "what is written is read");
+              "encoded data can be decoded");
   return 0;
 }
--- a/fuzz/loan_messages.cc
+++ b/fuzz/loan_messages.cc
@@ -1,4 +1,4 @@
-// What one instance tells another of retries that it asks for and lends.
+// Loan requests and loans of the shared retry budget between instances.
 #include "process/loan_messages.h"
 
 #include "fuzz/check.h"
@@ -14,11 +14,11 @@
     const auto again = process::DecodeLoan(process::EncodeLoan(*loan));
     fuzz::Check(again && again->request_id == loan->request_id &&
                     again->arrivals <= loan->arrivals,
-                "no more than was lent");
+                "a loan does not grow when encoded");
   }
   if (const auto request = process::DecodeLoanRequest(bytes)) {
     fuzz::Check(request->arrivals <= process::kMaxLoanArrivals,
-                "a bounded question");
+                "a bounded loan request");
     const auto again =
         process::DecodeLoanRequest(process::EncodeLoanRequest(*request));
     fuzz::Check(again && again->service == request->service,
--- a/fuzz/peer_message.cc
+++ b/fuzz/peer_message.cc
@@ -1,4 +1,4 @@
-// Messages of peers, and the facts inside that have a form of their own.
+// Messages of peers, and the facts in them that have an encoding of their own.
 #include <chrono>
 #include <string>
 #include <variant>
@@ -35,14 +35,14 @@
       process::DecodePeerMessage(fuzz::TextOf(data, size), now, &error);
   if (!message) {
     fuzz::Check(error != process::PeerMessageError::kNone,
-                "a refusal has a reason");
+                "a rejected input has a reason");
     return 0;
   }
   const std::string bytes = process::EncodePeerMessage(*message, now);
   const auto again = process::DecodePeerMessage(bytes, now, &error);
-  fuzz::Check(again.has_value(), "what is written is read");
+  fuzz::Check(again.has_value(), "encoded data can be decoded");
   fuzz::Check(process::EncodePeerMessage(*again, now) == bytes,
-              "and means the same");
+              "decoding and encoding again yields the same bytes");
   if (const auto* batch = std::get_if<process::ViewBatchMessage>(&*message)) {
     for (const process::ViewItem& item : batch->items) {
       TryFact(item);
--- a/fuzz/statement.cc
+++ b/fuzz/statement.cc
@@ -1,5 +1,5 @@
-// What operators state: a change that can be made leaves a configuration that
-// can be written and read.
+// Change requests of operators: an applicable change yields a configuration
+// that survives encoding and decoding.
 #include "fuzz/check.h"
 #include "version/change_request.h"
 #include "version/configuration_codec.h"
@@ -33,7 +33,8 @@
   CodecFault fault;
   const auto statement = ParseChangeRequest(fuzz::TextOf(data, size), &fault);
   if (!statement) {
-    fuzz::Check(fault.error != CodecError::kNone, "a refusal has a reason");
+    fuzz::Check(fault.error != CodecError::kNone,
+                "a rejected input has a reason");
     return 0;
   }
   Configuration changed = sample;
@@ -42,6 +43,6 @@
     return 0;
   }
   const auto again = DecodeConfiguration(EncodeConfiguration(changed), &fault);
-  fuzz::Check(again && *again == changed, "what is written is read");
+  fuzz::Check(again && *again == changed, "encoded data can be decoded");
   return 0;
 }
--- a/fuzz/store_documents.cc
+++ b/fuzz/store_documents.cc
@@ -1,5 +1,6 @@
-// What other programs write to the platform's store: entries of targets and
-// the operator's configuration. Read whole or refused with a reason.
+// Documents that other programs write to the platform store: target entries and
+// the operator configuration. They are parsed completely or rejected with a
+// reason.
 #include "platform/store_documents.h"
 
 #include "fuzz/check.h"
@@ -15,7 +16,8 @@
     fuzz::Check(entry->id.str() == "i-1", "the key names the target");
     fuzz::Check(entry->port > 0 && !entry->ip.empty(), "an address");
     fuzz::Check(entry->slots >= 0, "slots");
-    fuzz::Check(!entry->start_time || entry->start_time->value() >= 0, "birth");
+    fuzz::Check(!entry->start_time || entry->start_time->value() >= 0,
+                "start time in range");
   }
   platform::DocumentFault other;
   const auto table = platform::ParseConfiguration(text, &other);
--- a/tests/system/answers_test.cc
+++ b/tests/system/answers_test.cc
@@ -1,5 +1,5 @@
-// Whole answers, each token once, and refusals that tell the truth, while
-// engines fail.
+// Responses stay complete, with each token exactly once, and the reported
+// outcome of rejected requests is correct while engines fail.
 #include <random>
 
 #include <gtest/gtest.h>
@@ -19,8 +19,9 @@
     return Send(deployment_.caller_port(instance), std::move(call));
   }
 
-  // Sends calls until engine-1's fault was met, all of which must be whole.
-  // What comes after lets the retry budget of the contract recover.
+  // Sends calls until one of them hits the fault of engine-1; every response
+  // must be complete. The calls after it refill the retry budget of the
+  // contract.
   void ExpectWholeThrough(const json& fault, const std::string& name) {
     const double before = Failures(name);
     json switches = fault;
@@ -39,7 +40,7 @@
     EXPECT_EQ(Failures(name), before + 1) << fault;
   }
 
-  // Attempts of instance 0 that ended so.
+  // Number of attempts of instance 0 with this end.
   double Failures(const std::string& end) {
     return deployment_.Metric(0, "lynxglade_attempt_ends_total",
                               "\"" + end + "\"");
@@ -72,7 +73,7 @@
   ExpectWholeThrough({{"refuse_draining", 1}}, "refused");
 }
 
-// The next fault of a random series, for one engine or for all.
+// A random fault of one engine or of all.
 json RandomFault(std::mt19937* random) {
   static const std::vector<json> faults = {{{"reset_before", 2}},
                                            {{"reset_after", 2}},
@@ -132,7 +133,7 @@
     EXPECT_LE(ran, 1) << "key-" << n;
     receipts += ran;
   }
-  // The series brought about all three ends.
+  // The random faults caused all three kinds of end.
   EXPECT_GT(not_run, 0);
   EXPECT_GT(Count(replies, Verdict::kWhole), 0);
   EXPECT_GT(receipts, 0);
--- a/tests/system/caller.cc
+++ b/tests/system/caller.cc
@@ -23,7 +23,7 @@
 constexpr int kOk = 200;
 constexpr std::string_view kField = "data: ";
 
-// A repeat under the same key has an id of its own.
+// A repeat with the same key gets a new id.
 std::string NewId(const std::string& key) {
   static std::atomic<int> next{1};
   return (key.empty() ? "call" : key) + "." + std::to_string(next++);
@@ -53,7 +53,7 @@
       .dump();
 }
 
-// What was received of an answer so far.
+// The part of a response received so far.
 struct Received {
   std::string pending;
   std::string text;
@@ -114,7 +114,7 @@
   return right.starts_with(received.text) ? Verdict::kCut : Verdict::kWrong;
 }
 
-// A whole body, which is an answer or a refusal.
+// Evaluates a response without streaming or an error response.
 Verdict JudgeBody(const Call& call, int status, Received* received) {
   const json body = json::parse(received->pending, nullptr, false);
   if (status != kOk || !body.is_object()) {
--- a/tests/system/caller.h
+++ b/tests/system/caller.h
@@ -1,5 +1,5 @@
-// A caller of the system, which proves from what it receives whether the
-// answer is whole, its own, and each token there once.
+// A caller of the system that checks each response: it must be complete, belong
+// to the request and contain each token exactly once.
 #ifndef LYNXGLADE_SYSTEM_CALLER_H_
 #define LYNXGLADE_SYSTEM_CALLER_H_
 
@@ -14,30 +14,30 @@
 namespace lynxglade::system_test {
 
 struct Call {
-  // Made up when empty; unique over the test's run.
+  // Generated when empty; unique within the test process.
   std::string id;
   std::string prompt = "a prompt";
   int max_tokens = 32;
   bool stream = true;
-  // Not empty: the call is non-idempotent under this key.
+  // If not empty, the call is non-idempotent with this idempotency key.
   std::string key;
-  // Not empty: a call of this plain service instead of a chat.
+  // If not empty, calls this plain service instead of the chat endpoint.
   std::string plain_service;
   std::string contract = "archive";
   std::chrono::milliseconds deadline{20'000};
-  // Called with the text so far, on the caller's thread.
+  // Called with the text received so far, on the caller's thread.
   std::function<void(const std::string& text)> on_text;
 };
 
 enum class Verdict {
   kWhole,
-  // Answered with an error of the system: see code and outcome.
+  // An error response of the system; see `code` and `outcome`.
   kRefused,
-  // A part of the right answer came, then an error or the end.
+  // A prefix of the expected response, followed by an error or the end.
   kCut,
-  // Anything that is not a part of the right answer.
+  // Not a prefix of the expected response.
   kWrong,
-  // No answer at all: connection refused or closed.
+  // No response: connection refused or closed.
   kLost,
 };
 
@@ -45,26 +45,26 @@
   std::string id;
   Verdict verdict = Verdict::kLost;
   int status = 0;
-  // For a plain service the body.
+  // The body, for a plain service.
   std::string text;
   std::string code;
   std::string outcome;
 };
-// For assertions' messages.
+// For messages of assertions.
 std::ostream& operator<<(std::ostream& out, const Reply& reply);
 
-// Blocks until the answer or its end.
+// Blocks until the response ends.
 Reply Send(int port, Call call);
 
-// Callers that call one after the other, each at any of the instances that
-// say they are ready, as behind the platform's balancer.
+// Concurrent callers, each of which sends calls sequentially to random
+// instances that report ready, as behind a load balancer.
 class Load {
  public:
   struct Entry {
     int port = 0;
     int admin_port = 0;
   };
-  // Gives the n-th call of all.
+  // Returns the n-th call over all callers.
   using Make = std::function<Call(int n)>;
 
   Load(int callers, std::function<std::vector<Entry>()> entries, Make make);
@@ -72,7 +72,7 @@
   Load(const Load&) = delete;
   Load& operator=(const Load&) = delete;
 
-  // Lets the calls under way end and returns all replies.
+  // Waits for in-flight calls to end and returns all replies.
   std::vector<Reply> Stop();
   int ended() const noexcept { return ended_; }
   int whole() const noexcept { return whole_; }
@@ -95,7 +95,7 @@
   std::vector<std::thread> callers_;
 };
 
-// How many of the replies ended so.
+// Number of replies with this verdict.
 int Count(const std::vector<Reply>& replies, Verdict verdict);
 
 }  // namespace lynxglade::system_test
--- a/tests/system/claims_test.cc
+++ b/tests/system/claims_test.cc
@@ -1,5 +1,5 @@
-// A non-idempotent request runs at most once, whatever becomes of the
-// instance, the key-value service, or the caller's patience.
+// A non-idempotent request runs at most once, regardless of failures of the
+// instance or the key-value service and of repeats by the caller.
 #include <future>
 
 #include <gtest/gtest.h>
@@ -41,7 +41,7 @@
     return RunsOf(deployment_.PlainRuns(), key);
   }
 
-  // Repeats through the other instance until the system's answer is settled.
+  // Repeats through the given instance until the response is final.
   Reply RepeatAt(int instance, const Call& call) {
     Reply reply;
     WaitFor([&] {
@@ -99,23 +99,24 @@
   deployment_.instance(0).Send(SIGCONT);
   const Reply reply = first.get();
   EXPECT_EQ(reply.verdict, Verdict::kWhole) << reply;
-  // Then any instance gives the recorded answer.
+  // Afterwards any instance returns the recorded response.
   const Reply later = RepeatAt(1, call);
   EXPECT_EQ(later.verdict, Verdict::kWhole) << later;
   EXPECT_EQ(EngineRunsOf(call.key), 1);
 }
 
 TEST_F(ClaimsTest, AnswersOfTheServiceLostAfterTheWrite) {
-  // The lease of the instance's claims is there before.
+  // The first call makes the instance acquire the lease of its claims.
   ASSERT_EQ(SendTo(0, Receipt("before")).verdict, Verdict::kWhole);
-  // One lost answer: the claim is found by its mark and the request runs.
+  // One lost response: the instance recognises its claim by the write id, and
+  // the request runs.
   deployment_.FaultPlatform({{"id", "kv"}, {"lose_answer", 1}});
   const Call once = Receipt("lost-once");
   EXPECT_EQ(SendTo(0, once).verdict, Verdict::kWhole);
   EXPECT_EQ(RepeatAt(1, once).verdict, Verdict::kWhole);
   EXPECT_EQ(EngineRunsOf(once.key), 1);
 
-  // Many, those of the look-ups and records among them.
+  // Many lost responses, including those of lookups and of result records.
   deployment_.FaultPlatform({{"id", "kv"}, {"lose_probability", 0.4}});
   int ran = 0;
   for (int i = 0; i < 12; ++i) {
--- a/tests/system/configuration_test.cc
+++ b/tests/system/configuration_test.cc
@@ -1,5 +1,5 @@
-// An accepted configuration is in force on every reachable instance within
-// three seconds, and never reverts.
+// An accepted configuration is applied by every reachable instance within three
+// seconds and never reverts.
 #include <future>
 
 #include <gtest/gtest.h>
@@ -75,7 +75,7 @@
   ASSERT_TRUE(revision);
   ExpectInForceEverywhere(*revision);
   FaultService({{"load_copy", true}});
-  // The instances have met the older head and keep their own.
+  // The instances have read the older head and keep the newer configuration.
   EXPECT_TRUE(WaitFor([&] {
     for (int n = 0; n < 4; ++n) {
       const HttpReply status =
@@ -87,7 +87,7 @@
     }
     return false;
   }));
-  // One that starts now takes the newer revision from its peers.
+  // A new instance gets the newer revision from its peers.
   const int fresh = deployment_.AddInstance(0);
   ASSERT_TRUE(deployment_.WaitReady(fresh))
       << deployment_.instance(fresh).Log();
@@ -143,7 +143,7 @@
       "/v1/admin/plans/" + plan.body.value("id", "") + "/confirm";
   const HttpReply reply = deployment_.Admin(0, "POST", path, json::object());
   EXPECT_EQ(reply.status, 200) << reply.body;
-  // Said again, it is the same change and not a second one.
+  // A repeated confirmation refers to the same change and does not add another.
   deployment_.Admin(1, "POST", path, json::object());
   ExpectInForceEverywhere(before + 1);
   EXPECT_EQ(deployment_.RevisionAt(1), before + 1);
--- a/tests/system/deployment.cc
+++ b/tests/system/deployment.cc
@@ -21,7 +21,7 @@
 constexpr char kAddress[] = "127.0.0.1";
 constexpr char kOperatorKey[] = "test-operator-key";
 
-// The places of ports in a block.
+// Offsets of ports within a block.
 constexpr int kFirstBlock = 27000;
 constexpr int kLastBlock = 28800;
 constexpr int kBlockSize = 200;
@@ -38,7 +38,8 @@
 constexpr int kPlainOffset = 20;
 constexpr int kLinkStride = 28;
 
-// The daemon under test; LYNXGLADED in the environment names another build.
+// The daemon under test; the environment variable LYNXGLADED selects another
+// build.
 std::string DaemonProgram() {
   const char* other = std::getenv("LYNXGLADED");
   return other != nullptr ? other : LYNXGLADED;
@@ -60,7 +61,7 @@
   return "entry-" + std::to_string(n);
 }
 
-// A new directory for the test's logs.
+// Creates a new directory for the logs of the test.
 std::filesystem::path NewDirectory() {
   std::string pattern = testing::TempDir() + "lynxglade-XXXXXX";
   return mkdtemp(pattern.data());
@@ -161,7 +162,8 @@
 
 // --- Ports ------------------------------------------------------------------
 
-// The block's first port is bound, and so tells other deployments to stay off.
+// Binds the first port of the block, which reserves the block against other
+// deployments.
 PortBlock::PortBlock() {
   for (int base = kFirstBlock; base <= kLastBlock; base += kBlockSize) {
     held_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -424,7 +426,7 @@
   return sum;
 }
 
-// --- Faults and evidence ----------------------------------------------------
+// --- Faults and observations ------------------------------------------------
 
 void Deployment::FaultEngines(const json& switches) const {
   Fault(ports_.base() + kEngineControl, switches);
--- a/tests/system/deployment.h
+++ b/tests/system/deployment.h
@@ -1,5 +1,5 @@
-// A deployment on loopback: the stand-ins for the platform, the engines and a
-// plain service, and instances of the daemon in availability zones.
+// A deployment on loopback: fakes of the platform, the engines and a plain
+// service, and instances of the daemon in availability zones.
 #ifndef LYNXGLADE_SYSTEM_DEPLOYMENT_H_
 #define LYNXGLADE_SYSTEM_DEPLOYMENT_H_
 
@@ -18,19 +18,20 @@
 
 struct DeploymentOptions {
   int zones = 1;
-  // Engines and instances of the plain service, over all zones in turn.
+  // Number of engines and plain-service instances, assigned to zones
+  // round-robin.
   int engines = 4;
   int plain = 1;
-  // Tokens a second of one stream of an engine.
+  // Tokens per second of one stream of an engine.
   int stream_rate = 300;
-  // Further flags of the programs.
+  // Additional flags of the programs.
   std::vector<std::string> engine_flags;
   std::vector<std::string> platform_flags;
   std::vector<std::string> plain_flags;
   std::vector<std::string> daemon_flags;
 };
 
-// The status and body of an answer; status 0: none came.
+// Status and body of a response; status 0: no response.
 struct HttpReply {
   int status = 0;
   nlohmann::json body;
@@ -40,7 +41,7 @@
                    const std::string& path,
                    const nlohmann::json& body = {});
 
-// Ports from 27000 on that no other deployment uses while this is held.
+// Reserves a block of ports from 27000 on while the object exists.
 class PortBlock {
  public:
   PortBlock();
@@ -55,25 +56,26 @@
   int held_ = -1;
 };
 
-// Used from one thread, but for Entries() and Journals().
+// Not thread-safe, except for Entries() and EngineJournals().
 class Deployment {
  public:
   static constexpr char kEngineService[] = "llm";
   static constexpr char kPlainService[] = "portal";
-  // The contracts of Configure().
+  // The contracts of the first configuration.
   static constexpr char kContract[] = "archive";
   static constexpr char kOtherContract[] = "parish";
 
-  // Starts the stand-ins and fills the instance list.
+  // Starts the fakes and fills the instance list.
   explicit Deployment(DeploymentOptions options = {});
   ~Deployment();
   Deployment(const Deployment&) = delete;
   Deployment& operator=(const Deployment&) = delete;
 
-  // Starts a daemon in a zone (from 0), lists it and returns its number.
+  // Starts a daemon in a zone (from 0), adds it to the instance list and
+  // returns its index.
   int AddInstance(int zone = 0, const std::vector<std::string>& flags = {});
-  // Starts instances, states the first configuration and waits until every
-  // instance serves all targets. Fails the test otherwise.
+  // Starts instances, applies the first configuration and waits until every
+  // instance is ready. Fails the test otherwise.
   void Start(int instances_per_zone);
   bool WaitReady(int instance);
   void Unlist(int instance);
@@ -81,34 +83,35 @@
   Process& instance(int n) { return *instances_[n]->process; }
   int caller_port(int n) const;
   int admin_port(int n) const;
-  // Where it listens for peers.
+  // The endpoint at which the instance listens for peers.
   std::string PeerEndpoint(int n) const;
   std::vector<Load::Entry> Entries() const;
 
-  // The administration API of an instance.
+  // Calls the administration API of an instance.
   HttpReply Admin(int instance,
                   const std::string& method,
                   const std::string& path,
                   const nlohmann::json& body = {}) const;
-  // States and confirms at the instance; the new revision.
+  // Creates and confirms a change plan at the instance; returns the new
+  // revision.
   std::optional<long> Change(int instance, const nlohmann::json& changes) const;
   long RevisionAt(int instance) const;
-  // Value of a metric summed over its labels that contain `label`.
+  // Sum of a metric over all label sets that contain `label`.
   double Metric(int instance,
                 const std::string& name,
                 const std::string& label = "") const;
 
-  // Switches of the stand-ins; "id" names one of them.
+  // Sets fault switches of the fakes; "id" selects one of them.
   void FaultEngines(const nlohmann::json& switches) const;
   void FaultPlain(const nlohmann::json& switches) const;
   void FaultPlatform(const nlohmann::json& switches) const;
-  // Cuts a zone off from the key-value service and the instance list, or from
-  // the targets of the other zones, whose instances lose its targets.
+  // Partitions a zone from the key-value service and the instance list, or from
+  // the other zones: neither side reaches the targets of the other.
   void CutFromPlatform(int zone, bool cut) const;
   void CutFromZones(int zone, bool cut) const;
   void SetListState(const std::string& id, const std::string& state) const;
 
-  // GET /v1/state of the n-th engine, from 0; empty while it does not answer.
+  // GET /v1/state of the n-th engine (from 0); empty while it does not respond.
   nlohmann::json EngineState(int n) const;
   std::vector<nlohmann::json> EngineRuns() const;
   std::vector<nlohmann::json> PlainRuns() const;
@@ -136,8 +139,9 @@
   std::vector<int> unlisted_;
 };
 
-// Runs that did any work of the request with this id, or of all requests with
-// this idempotency key (see caller.cc for the ids of these).
+// Number of runs that did work for the request with this id, or for all
+// requests with this idempotency key (NewId() in caller.cc derives their ids
+// from the key).
 int RunsOf(const std::vector<nlohmann::json>& runs, const std::string& id);
 
 }  // namespace lynxglade::system_test
--- a/tests/system/entry_stand_in.cc
+++ b/tests/system/entry_stand_in.cc
@@ -1,11 +1,12 @@
-// Stands in for the users' platform: a store that holds a configuration and
-// targets, and targets that answer with a stream of events. For trying out and
-// measuring `lynxgladed entry` on one machine.
+// A fake platform for running `lynxgladed entry` on one machine: a store with a
+// configuration and target entries, and targets that respond with a stream of
+// events.
 //
 //   entry_stand_in [TARGETS [EVENTS]]
 //
-// Prints "store ADDRESS" and a line "target ADDRESS" each, then serves until
-// its standard input ends. Requests for host "demo" below /demo/ are routed.
+// Prints "store ADDRESS" and one line "target ADDRESS" per target, then serves
+// until the end of standard input. The configuration routes requests for host
+// "demo" below /demo/.
 #include <cstdio>
 #include <cstdlib>
 #include <iostream>
@@ -32,7 +33,7 @@
   return std::string(size) + "\r\n" + bytes + "\r\n";
 }
 
-// A whole stream, at once: what is measured is what lies in between.
+// Sends the complete stream at once, so that the target adds no delay.
 ScriptedServer::Reply Stream(const std::string& request, int events) {
   const std::string name = "Lynxglade-Attempt-Id: ";
   const std::size_t at = request.find(name) + name.size();
--- a/tests/system/entry_test.cc
+++ b/tests/system/entry_test.cc
@@ -1,4 +1,4 @@
-// `lynxgladed entry` as a process of its own, against the users' protocol.
+// Tests `lynxgladed entry` as a separate process with a scripted store.
 #include <csignal>
 #include <filesystem>
 #include <memory>
@@ -27,7 +27,7 @@
          routes + R"(],"services":[{"name":"s","healthPath":"/h"}]})";
 }
 
-// A port that was free a moment ago.
+// Returns a port that was free at the time of the call.
 int FreePort() {
   return ScriptedServer([](const std::string&) { return Reply{}; }).port();
 }
@@ -60,7 +60,7 @@
                    R"(","zone":"a","version":"v1","slots":4,"phase":"ready",)"
                    R"("coldRemainingMs":0,"sequence":1})");
   }
-  // Nothing while nobody listens.
+  // Returns an empty string if the connection is refused.
   static std::string Get(int port, const std::string& path) {
     try {
       RawClient client(port);
@@ -117,7 +117,7 @@
   EXPECT_EQ(Status("/a/x"), "HTTP/1.1 200");
   store_.Put("op/config", Configuration(7, ""));
   ASSERT_TRUE(WaitFor([this] { return Status("/a/x") == "HTTP/1.1 404"; }));
-  // An older one never comes back into force.
+  // An older configuration is never applied again.
   store_.Put("op/config", Configuration(6, kRoute));
   ASSERT_TRUE(WaitFor([this] {
     return process_->Output().find("configuration_not_newer") !=
--- a/tests/system/orders_test.cc
+++ b/tests/system/orders_test.cc
@@ -1,5 +1,5 @@
-// Orders to engines: changes cut nothing off, and no order of a holder that
-// has lost its authority takes effect.
+// Orders to engines: changes interrupt no response, and no order of a holder
+// that has lost the authority takes effect.
 #include <algorithm>
 #include <map>
 
@@ -38,7 +38,7 @@
     ASSERT_TRUE(WaitFor([this] { return Holder() >= 0; }));
   }
 
-  // The instance that says it holds the authority; -1: none does.
+  // The instance that reports to hold the authority; -1: none.
   int Holder(int except = -1) {
     for (int n = 0; n < 2; ++n) {
       if (n == except) {
@@ -54,7 +54,7 @@
     return -1;
   }
 
-  // Both contracts are to be served by this version.
+  // Requests this version for both contracts.
   void WantVersion(int instance, const std::string& version) {
     json changes = json::array();
     for (const char* contract :
@@ -81,8 +81,8 @@
     return n;
   }
 
-  // No engine took an order with a lower fence than one it had before, other
-  // than one that changes nothing.
+  // No engine applied an order with a fence lower than an earlier one, except
+  // orders without effect.
   void ExpectNoOrderOfALostAuthority() {
     for (const json& journal : deployment_.EngineJournals()) {
       std::int64_t highest = 0;
@@ -135,7 +135,7 @@
   const int old = Holder();
   const int other = 1 - old;
   WantVersion(other, "v2");
-  // It sleeps in the middle of the changes.
+  // Pauses the holder during the changes.
   ASSERT_TRUE(WaitFor([&] { return EnginesAt("v1") < 4; }, seconds(20)));
   deployment_.instance(old).Send(SIGSTOP);
   ASSERT_TRUE(WaitFor([&] { return Holder(old) == other; }, seconds(30)));
@@ -143,7 +143,8 @@
   EXPECT_TRUE(WaitFor([&] { return EnginesAt("v3") == 4; }, seconds(60)))
       << deployment_.Admin(other, "GET", "/v1/admin/fleet").body.dump(1);
   deployment_.instance(old).Send(SIGCONT);
-  // It has woken when it has learnt what was accepted meanwhile.
+  // The paused holder has resumed once it knows the revision accepted
+  // meanwhile.
   ASSERT_TRUE(WaitFor([&] {
     return deployment_.RevisionAt(old) == deployment_.RevisionAt(other);
   }));
--- a/tests/system/partitions_test.cc
+++ b/tests/system/partitions_test.cc
@@ -1,5 +1,5 @@
-// An availability zone that is cut off goes on serving what it can: from the
-// platform, from the other zones' targets, from both, and from its peers.
+// A partitioned availability zone continues to serve: without the platform,
+// without the targets of other zones, without both, and without peers.
 #include <gtest/gtest.h>
 
 #include "system/deployment.h"
@@ -21,8 +21,7 @@
     return call;
   }
 
-  // Every call of a load over all instances is whole while the fault is there
-  // and after it.
+  // All calls of a load over all instances succeed during and after the fault.
   void ExpectNothingLost(const std::function<void(bool on)>& fault) {
     Load load(8, [this] { return deployment_.Entries(); }, Chat);
     ASSERT_TRUE(WaitFor([&] { return load.ended() > 60; }));
@@ -38,7 +37,7 @@
     }
   }
 
-  // Calls of each instance of the zone end whole, by the zone's own targets.
+  // Calls to each instance of the zone succeed.
   void ExpectZoneServes(int zone, const std::string& name) {
     for (int i = 0; i < 6; ++i) {
       Call call = Chat(i);
@@ -54,7 +53,7 @@
 
 TEST_F(PartitionsTest, ZoneCutOffFromThePlatformLosesNothing) {
   ExpectNothingLost([this](bool on) { deployment_.CutFromPlatform(1, on); });
-  // What needs the service is refused there as not run, and says so.
+  // A request that needs the key-value service is rejected there as not run.
   deployment_.CutFromPlatform(1, true);
   Call receipt = Chat(1);
   receipt.key = "cut-receipt";
--- a/tests/system/poison_test.cc
+++ b/tests/system/poison_test.cc
@@ -1,5 +1,5 @@
-// Requests that harm others: content that crashes its targets, and a contract
-// that floods.
+// Requests that affect others: content that crashes targets, and a contract
+// that floods the system.
 #include <future>
 
 #include <gtest/gtest.h>
@@ -31,7 +31,7 @@
     return call;
   }
 
-  // Incarnations beyond each engine's first, as its runs show them.
+  // Number of crashed runs of poison requests.
   int Crashes() {
     int crashes = 0;
     for (const json& run : deployment_.EngineRuns()) {
@@ -41,7 +41,8 @@
     return crashes;
   }
 
-  // The caller sends it again and again, through each instance in turn.
+  // Repeats the poison request through the instances in turn until it is
+  // rejected permanently.
   Reply SendUntilRefusedForGood(const std::string& name) {
     Reply reply;
     int n = 0;
@@ -62,7 +63,7 @@
   ASSERT_TRUE(WaitFor([&] { return load.ended() > 20; }));
   const Reply reply = SendUntilRefusedForGood("poison-");
   EXPECT_EQ(reply.code, "quarantined") << reply;
-  // The other instance has heard of it as well.
+  // The other instance has received the quarantine too.
   EXPECT_TRUE(WaitFor([&] {
     Call call = Poison();
     call.id = "poison-last";
@@ -88,8 +89,8 @@
   EXPECT_GE(Crashes(), 2);
 }
 
-// Both contracts have half of the engines. While one has 80 callers, each call
-// of the other is overtaken by a bounded number of calls, not by the queue.
+// Each contract has a share of half of the engines. While one contract has 80
+// callers, only a bounded number of its calls overtakes each call of the other.
 TEST(FloodTest, OneContractsFloodDoesNotStarveAnother) {
   Deployment deployment(
       {.engines = 1,
--- a/tests/system/process.h
+++ b/tests/system/process.h
@@ -1,4 +1,4 @@
-// One program of the deployment under test, started and ended by its id.
+// A child process of the deployment under test.
 #ifndef LYNXGLADE_SYSTEM_PROCESS_H_
 #define LYNXGLADE_SYSTEM_PROCESS_H_
 
@@ -13,14 +13,14 @@
 
 namespace lynxglade::system_test {
 
-// Repeats the condition until it holds; false when it did not within `bound`.
+// Polls the condition until it holds; false if it does not within `bound`.
 bool WaitFor(const std::function<bool()>& condition,
              std::chrono::milliseconds bound = std::chrono::seconds(15));
 
-// Not thread-safe. Ends and reaps its process when it goes.
+// Not thread-safe. The destructor ends and reaps the process.
 class Process {
  public:
-  // Starts `arguments` (the program first); what it writes goes to
+  // Starts `arguments` (the program first), with its output written to
   // `log`.out and `log`.log.
   Process(std::vector<std::string> arguments, std::filesystem::path log);
   ~Process();
@@ -29,7 +29,8 @@
 
   void Send(int signal) const;
   void Kill();
-  // SIGTERM, then the exit code; nothing when it did not end within `bound`.
+  // Sends SIGTERM and returns the exit code; nullopt if the process does not
+  // end within `bound`.
   std::optional<int> Terminate(
       std::chrono::milliseconds bound = std::chrono::seconds(20));
 
--- a/tests/system/scripted_store.cc
+++ b/tests/system/scripted_store.cc
@@ -12,7 +12,7 @@
 using connection::ScriptedServer;
 using nlohmann::json;
 
-// A watch that hears nothing returns after this.
+// A watch without changes returns after this time.
 constexpr auto kWatchWait = std::chrono::milliseconds(300);
 
 ScriptedServer::Reply Http(int status, const std::string& body) {
@@ -21,7 +21,7 @@
           std::to_string(body.size()) + "\r\n\r\n" + body};
 }
 
-// A parameter of the request's query.
+// Returns a parameter of the query of the request.
 std::string Parameter(const std::string& target, const std::string& name) {
   const std::size_t at = target.find(name + "=");
   if (at == std::string::npos) {
--- a/tests/system/scripted_store.h
+++ b/tests/system/scripted_store.h
@@ -1,6 +1,6 @@
-// The users' key-value store, as far as an entry instance uses it, for tests
-// with the real daemon: its HTTP and JSON, written without lynxglade's own
-// client or transport.
+// A scripted key-value store with the subset of its HTTP and JSON protocol that
+// an entry instance uses. Implemented independently of the client and transport
+// under test.
 #ifndef LYNXGLADE_SYSTEM_SCRIPTED_STORE_H_
 #define LYNXGLADE_SYSTEM_SCRIPTED_STORE_H_
 
@@ -39,7 +39,7 @@
   Reply Key(const std::string& key);
   nlohmann::json Transaction(const nlohmann::json& body);
   nlohmann::json Item(const std::string& key);
-  // With the lock held.
+  // Requires `mutex_`.
   void Note(const std::string& key, bool deleted);
 
   struct Change {
@@ -55,7 +55,7 @@
   std::map<std::string, std::string> values_;
   std::map<std::string, std::int64_t> revisions_;
   std::vector<Change> history_;
-  // Last: its threads use the rest.
+  // Declared last: its threads use the other members.
   connection::ScriptedServer server_;
 };
 
--- a/tests/system/secrets_test.cc
+++ b/tests/system/secrets_test.cc
@@ -1,5 +1,5 @@
-// What callers and operators keep secret stands in no log, no metric and no
-// answer to others, also at log level debug and when things go wrong.
+// Secrets of callers and operators appear in no log, metric or response to
+// others, including at log level debug and during failures.
 #include <map>
 #include <string>
 #include <vector>
@@ -60,7 +60,7 @@
     ASSERT_TRUE(deployment_.Change(0, changes));
   }
 
-  // The answer's status line, headers and body as one text.
+  // Returns status line, headers and body of the response as one text.
   static std::string Ask(int port,
                          const std::string& method,
                          const std::string& path,
@@ -102,7 +102,7 @@
         .dump();
   }
 
-  // Answers to the calls below, by what was asked.
+  // Responses to the calls below, by name of the call.
   std::map<std::string, std::string> answers_;
   Deployment deployment_;
 };
@@ -120,7 +120,7 @@
           {{"Authorization", good}}, kPrompt);
   EXPECT_TRUE(answers_["wrong key"].starts_with("401"));
   EXPECT_TRUE(answers_["malformed"].starts_with("400"));
-  // A claimed request, one that each engine breaks off, and one crash.
+  // A claimed request, a request that each engine interrupts, and a crash.
   answers_["claimed"] =
       Ask(deployment_.caller_port(0), "POST", "/v1/chat/completions",
           {{"Authorization", good},
--- a/tests/system/seed_peers_test.cc
+++ b/tests/system/seed_peers_test.cc
@@ -12,7 +12,7 @@
  protected:
   void SetUp() override {
     deployment_.Start(2);
-    // The zone's instances tell each other of the list.
+    // The instances of the zone share the list.
     for (const int n : {1, 3}) {
       ASSERT_TRUE(WaitFor([&] { return RowsHeldBy(n) == kTargets; },
                           std::chrono::seconds(60)))
@@ -31,7 +31,7 @@
 };
 
 TEST_F(SeedPeersTest, NewInstanceOfACutOffZoneServesByItsPeersList) {
-  // Not listed, so that no instance of the other zone finds them.
+  // Not in the list, so that no instance of the other zone discovers it.
   deployment_.Unlist(4);
   deployment_.Unlist(5);
   const int alone = deployment_.AddInstance(1);
@@ -43,7 +43,7 @@
   EXPECT_GT(deployment_.Metric(fresh, "lynxglade_instance_list_failures_total"),
             0);
   EXPECT_EQ(deployment_.Admin(alone, "GET", "/readyz").status, 503);
-  // The platform comes back, and its list with it.
+  // The platform and its list are reachable again.
   deployment_.CutFromPlatform(1, false);
   EXPECT_TRUE(deployment_.WaitReady(alone))
       << deployment_.instance(alone).Log();
--- a/tests/system/stops_test.cc
+++ b/tests/system/stops_test.cc
@@ -1,4 +1,4 @@
-// Planned changes cut nothing: targets that leave, instances that stop.
+// Planned changes interrupt no request: leaving targets and stopping instances.
 #include <chrono>
 
 #include <gtest/gtest.h>
@@ -55,7 +55,7 @@
   }
 }
 
-// Each instance is replaced by a new one, the old is ended by SIGTERM.
+// Replaces each instance by a new one and ends the old one by SIGTERM.
 TEST(StopsTest, RollingReplacementUnderLoadLosesAndDoublesNothing) {
   Deployment deployment({.zones = 2});
   ASSERT_NO_FATAL_FAILURE(deployment.Start(2));
