--- a/tests/system/deployment.h
+++ b/tests/system/deployment.h
@@ -56,7 +56,8 @@
   int held_ = -1;
 };
 
-// Not thread-safe, except for Entries() and EngineJournals().
+// Used from one thread, except for Entries() and EngineJournals(), which a Load
+// or another thread may call while no instance is being added.
 class Deployment {
  public:
   static constexpr char kEngineService[] = "llm";
