--- a/src/main/entry_views.cc
+++ b/src/main/entry_views.cc
@@ -41,7 +41,7 @@
       .on_list =
           [this](const std::vector<StoreItem>& items) { OnTargetList(items); },
       .on_change = [this](const StoreItem& it) { OnTarget(it); },
-      .on_recovered = [this] { engines_.OnStoreReturned(clock_()); },
+      .on_recovered = [this] { engines_.OnStoreRecovered(clock_()); },
   };
 }
 
--- a/src/request/passthrough/engine_table.cc
+++ b/src/request/passthrough/engine_table.cc
@@ -101,16 +101,16 @@
   if (!engines_.contains(id)) {
     return;
   }
-  const base::Time grace_end = store_returned_at_ + grace_;
-  if (store_returned_at_ != base::Time{} && now < grace_end) {
+  const base::Time grace_end = store_recovered_at_ + grace_;
+  if (store_recovered_at_ != base::Time{} && now < grace_end) {
     missing_.emplace(id, grace_end);
     return;
   }
   Drop(id);
 }
 
-void EngineTable::OnStoreReturned(base::Time now) noexcept {
-  store_returned_at_ = now;
+void EngineTable::OnStoreRecovered(base::Time now) noexcept {
+  store_recovered_at_ = now;
 }
 
 void EngineTable::Expire(base::Time now) {
--- a/src/request/passthrough/engine_table.h
+++ b/src/request/passthrough/engine_table.h
@@ -134,7 +134,7 @@
   // Replaces all entries; missing ones are treated as by Remove().
   void Replace(const std::vector<EngineEntry>& entries, base::Time now);
   // The store answers again after an outage.
-  void OnStoreReturned(base::Time now) noexcept;
+  void OnStoreRecovered(base::Time now) noexcept;
   // Drops the entries whose grace period is over. To be called about every 200
   // ms.
   void Expire(base::Time now);
@@ -156,7 +156,7 @@
   void RebuildIndex();
 
   const base::Duration grace_;
-  base::Time store_returned_at_{};
+  base::Time store_recovered_at_{};
   std::map<base::TargetId, EngineHandle> engines_;
   // Entries that disappeared during the grace period, and when they are
   // dropped.
--- a/tests/request/passthrough/engine_table_test.cc
+++ b/tests/request/passthrough/engine_table_test.cc
@@ -35,7 +35,7 @@
   EngineTable table(kGrace);
   table.Put(Entry("a"), kNow);
   table.Put(Entry("b"), kNow);
-  table.OnStoreReturned(kNow);
+  table.OnStoreRecovered(kNow);
   table.Replace({}, kNow);
   EXPECT_EQ(table.OfService(kService).size(), 2U);
   table.Put(Entry("a"), kNow);
@@ -47,7 +47,7 @@
 TEST(EngineTable, GracePeriodEnds) {
   EngineTable table(kGrace);
   table.Put(Entry("a"), kNow);
-  table.OnStoreReturned(kNow);
+  table.OnStoreRecovered(kNow);
   table.Remove(base::TargetId("a"), kNow + kGrace);
   EXPECT_EQ(table.size(), 0U);
 }
@@ -129,7 +129,7 @@
   EngineTable table(kGrace);
   table.Put(Entry("a"), kNow);
   table.Put(Entry("b"), kNow);
-  table.OnStoreReturned(kNow);
+  table.OnStoreRecovered(kNow);
   table.RemoveInvalid(base::TargetId("a"));
   EXPECT_EQ(table.Find(base::TargetId("a")), nullptr);
   ASSERT_EQ(table.OfService(kService).size(), 1U);
