--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -160,7 +160,7 @@
             return zones.IsUnreachable(zone, now);
           },
           [this](const request::passthrough::Engine& engine, base::Time now) {
-            return peer_avoidance.Avoided(engine.entry.id, now);
+            return peer_avoidance.IsAvoided(engine.entry.id, now);
           },
           capacity),
       retry_budget({.ratio = s.retry_ratio,
--- a/src/request/passthrough/engine_health.cc
+++ b/src/request/passthrough/engine_health.cc
@@ -8,7 +8,7 @@
     : options_(options) {}
 
 void EngineHealth::OnTry(base::Time now) noexcept {
-  if (failures_in_a_row_ > 0 && !Avoided(now)) {
+  if (failures_in_a_row_ > 0 && !IsAvoided(now)) {
     avoid_until_ = now + options_.initial_avoidance;
   }
 }
--- a/src/request/passthrough/engine_health.h
+++ b/src/request/passthrough/engine_health.h
@@ -37,7 +37,7 @@
   void OnAccepted() noexcept;
 
   // Whether other targets should be preferred.
-  bool Avoided(base::Time now) const noexcept { return now < avoid_until_; }
+  bool IsAvoided(base::Time now) const noexcept { return now < avoid_until_; }
   base::Time avoid_until() const noexcept { return avoid_until_; }
   // Whether it has rejected several requests in a row, so that a rejection says
   // nothing about the request itself.
--- a/src/request/passthrough/engine_picker.cc
+++ b/src/request/passthrough/engine_picker.cc
@@ -252,7 +252,7 @@
   std::vector<EngineHandle> healthy;
   std::ranges::copy_if(
       available, std::back_inserter(healthy), [&](const EngineHandle& it) {
-        return !it->health.Avoided(query.now) &&
+        return !it->health.IsAvoided(query.now) &&
                !(peers_avoid_engine_ && peers_avoid_engine_(*it, query.now));
       });
   std::vector<EngineHandle> reachable;
--- a/src/request/passthrough/peer_avoidance.cc
+++ b/src/request/passthrough/peer_avoidance.cc
@@ -8,7 +8,7 @@
                                       base::Time now) {
   std::vector<AvoidedEngine> avoided;
   engines.ForEach([&](const Engine& engine) {
-    if (engine.health.Avoided(now)) {
+    if (engine.health.IsAvoided(now)) {
       avoided.push_back(
           {KeyOf(engine.entry.id), engine.health.avoid_until() - now});
     }
@@ -33,8 +33,8 @@
                 [](const auto& it) { return it.second.empty(); });
 }
 
-bool PeerAvoidance::Avoided(const base::TargetId& engine,
-                            base::Time now) const {
+bool PeerAvoidance::IsAvoided(const base::TargetId& engine,
+                              base::Time now) const {
   if (avoided_until_.empty()) {
     return false;
   }
--- a/src/request/passthrough/peer_avoidance.h
+++ b/src/request/passthrough/peer_avoidance.h
@@ -52,7 +52,7 @@
            const std::vector<AvoidedEngine>& avoided,
            base::Time now);
   // Whether enough instances avoid the target now.
-  bool Avoided(const base::TargetId& engine, base::Time now) const;
+  bool IsAvoided(const base::TargetId& engine, base::Time now) const;
 
  private:
   const PeerAvoidanceOptions options_;
--- a/src/request/passthrough/prefix_placement.cc
+++ b/src/request/passthrough/prefix_placement.cc
@@ -35,11 +35,12 @@
   placement.home = HighestScore(usable, *shared);
   const EngineStage stage = placement.home->entry.stage;
   std::vector<EngineHandle> settled;
-  std::ranges::copy_if(
-      engines, std::back_inserter(settled), [&](const EngineHandle& it) {
-        return it->entry.stage == stage &&
-               it->stage_since + settle_time <= now && !it->health.Avoided(now);
-      });
+  std::ranges::copy_if(engines, std::back_inserter(settled),
+                       [&](const EngineHandle& it) {
+                         return it->entry.stage == stage &&
+                                it->stage_since + settle_time <= now &&
+                                !it->health.IsAvoided(now);
+                       });
   placement.holder = HighestScore(settled, *shared);
   if (!placement.holder) {
     placement.holder = placement.home;
--- a/tests/process/avoidance_sharing_test.cc
+++ b/tests/process/avoidance_sharing_test.cc
@@ -104,7 +104,7 @@
 TEST_F(AvoidanceSharingTest, FailingTargetIsSentOnce) {
   Fail();
   RunUntil(loop_, [this] {
-    return second_.avoidance.Avoided(kEngine, base::BootClock::now());
+    return second_.avoidance.IsAvoided(kEngine, base::BootClock::now());
   });
   for (int i = 0; i < 100; ++i) {
     RunReady(loop_);
--- a/tests/request/passthrough/engine_health_test.cc
+++ b/tests/request/passthrough/engine_health_test.cc
@@ -12,14 +12,14 @@
 
 TEST(EngineHealth, AvoidancePeriodGrowsWithEachFailure) {
   EngineHealth health;
-  EXPECT_FALSE(health.Avoided(kNow));
+  EXPECT_FALSE(health.IsAvoided(kNow));
   health.OnFailure(kNow);
-  EXPECT_TRUE(health.Avoided(kNow + milliseconds(499)));
-  EXPECT_FALSE(health.Avoided(kNow + milliseconds(500)));
+  EXPECT_TRUE(health.IsAvoided(kNow + milliseconds(499)));
+  EXPECT_FALSE(health.IsAvoided(kNow + milliseconds(500)));
   health.OnFailure(kNow);
-  EXPECT_TRUE(health.Avoided(kNow + milliseconds(999)));
+  EXPECT_TRUE(health.IsAvoided(kNow + milliseconds(999)));
   health.OnAccepted();
-  EXPECT_FALSE(health.Avoided(kNow));
+  EXPECT_FALSE(health.IsAvoided(kNow));
 }
 
 // Guards against all waiting requests going to an unresponsive engine at once
@@ -28,26 +28,26 @@
   EngineHealth health;
   health.OnFailure(kNow);
   const base::Time later = kNow + milliseconds(600);
-  EXPECT_FALSE(health.Avoided(later));
+  EXPECT_FALSE(health.IsAvoided(later));
   health.OnTry(later);
-  EXPECT_TRUE(health.Avoided(later));
+  EXPECT_TRUE(health.IsAvoided(later));
   health.OnAccepted();
-  EXPECT_FALSE(health.Avoided(later));
+  EXPECT_FALSE(health.IsAvoided(later));
 }
 
 TEST(EngineHealth, RequestsToAHealthyTargetAreNotProbes) {
   EngineHealth health;
   health.OnTry(kNow);
-  EXPECT_FALSE(health.Avoided(kNow));
+  EXPECT_FALSE(health.IsAvoided(kNow));
 }
 
 TEST(EngineHealth, OneRejectedFetchDoesNotAvoidTheTarget) {
   EngineHealth health;
   health.OnRejection(true, kNow);
-  EXPECT_FALSE(health.Avoided(kNow));
+  EXPECT_FALSE(health.IsAvoided(kNow));
   EXPECT_FALSE(health.RejectsAll());
   health.OnRejection(true, kNow);
-  EXPECT_TRUE(health.Avoided(kNow));
+  EXPECT_TRUE(health.IsAvoided(kNow));
   EXPECT_TRUE(health.RejectsAll());
   health.OnAccepted();
   EXPECT_FALSE(health.RejectsAll());
@@ -56,7 +56,7 @@
 TEST(EngineHealth, ARejectionWithoutAFetchAvoidsTheTarget) {
   EngineHealth health;
   health.OnRejection(false, kNow);
-  EXPECT_TRUE(health.Avoided(kNow));
+  EXPECT_TRUE(health.IsAvoided(kNow));
 }
 
 // Random events: a target is avoided for the longest period at most, and not at
@@ -79,10 +79,10 @@
         break;
       default:
         health.OnAccepted();
-        RC_ASSERT(!health.Avoided(now));
+        RC_ASSERT(!health.IsAvoided(now));
     }
   }
-  RC_ASSERT(!health.Avoided(now + EngineHealthOptions().max_avoidance));
+  RC_ASSERT(!health.IsAvoided(now + EngineHealthOptions().max_avoidance));
 }
 
 }  // namespace
--- a/tests/request/passthrough/engine_table_test.cc
+++ b/tests/request/passthrough/engine_table_test.cc
@@ -73,7 +73,7 @@
   EXPECT_EQ(after->in_flight, 0);
   EXPECT_TRUE(after->prefills.empty());
   EXPECT_EQ(after->reported.running, 0);
-  EXPECT_FALSE(after->health.Avoided(kNow));
+  EXPECT_FALSE(after->health.IsAvoided(kNow));
   EXPECT_EQ(after->stage_since, kNow);
   // Requests in flight keep the handle of the lifetime that they were sent to.
   EXPECT_TRUE(before->entry.draining);
--- a/tests/request/passthrough/peer_avoidance_test.cc
+++ b/tests/request/passthrough/peer_avoidance_test.cc
@@ -30,10 +30,10 @@
 TEST(PeerAvoidance, AvoidsATargetThatSeveralInstancesAvoid) {
   PeerAvoidance peers;
   peers.Put(Peer(1), ReportOf(kEngine, milliseconds(500)), kNow);
-  EXPECT_FALSE(peers.Avoided(kEngine, kNow));
+  EXPECT_FALSE(peers.IsAvoided(kEngine, kNow));
   peers.Put(Peer(2), ReportOf(kEngine, milliseconds(500)), kNow);
-  EXPECT_TRUE(peers.Avoided(kEngine, kNow));
-  EXPECT_FALSE(peers.Avoided(kOther, kNow));
+  EXPECT_TRUE(peers.IsAvoided(kEngine, kNow));
+  EXPECT_FALSE(peers.IsAvoided(kOther, kNow));
 }
 
 // An instance with a broken network avoids every target.
@@ -42,23 +42,23 @@
   for (int i = 0; i < 5; ++i) {
     peers.Put(Peer(1), ReportOf(kEngine, seconds(4)), kNow);
   }
-  EXPECT_FALSE(peers.Avoided(kEngine, kNow));
+  EXPECT_FALSE(peers.IsAvoided(kEngine, kNow));
 }
 
 TEST(PeerAvoidance, EndsWhenTheFirstReportEnds) {
   PeerAvoidance peers;
   peers.Put(Peer(1), ReportOf(kEngine, milliseconds(300)), kNow);
   peers.Put(Peer(2), ReportOf(kEngine, milliseconds(900)), kNow);
-  EXPECT_TRUE(peers.Avoided(kEngine, kNow + milliseconds(299)));
-  EXPECT_FALSE(peers.Avoided(kEngine, kNow + milliseconds(300)));
+  EXPECT_TRUE(peers.IsAvoided(kEngine, kNow + milliseconds(299)));
+  EXPECT_FALSE(peers.IsAvoided(kEngine, kNow + milliseconds(300)));
 }
 
 TEST(PeerAvoidance, ReportsCountForALimitedTime) {
   PeerAvoidance peers;
   peers.Put(Peer(1), ReportOf(kEngine, seconds(60)), kNow);
   peers.Put(Peer(2), ReportOf(kEngine, seconds(60)), kNow);
-  EXPECT_TRUE(peers.Avoided(kEngine, kNow + milliseconds(999)));
-  EXPECT_FALSE(peers.Avoided(kEngine, kNow + milliseconds(1000)));
+  EXPECT_TRUE(peers.IsAvoided(kEngine, kNow + milliseconds(999)));
+  EXPECT_FALSE(peers.IsAvoided(kEngine, kNow + milliseconds(1000)));
 }
 
 // Random reports: a target is avoided exactly if at least two instances
@@ -83,7 +83,7 @@
     const auto later = now + milliseconds(*rc::gen::inRange(0, 1200));
     const auto n = std::ranges::count_if(
         reports, [later](const Report& it) { return it.until > later; });
-    RC_ASSERT(peers.Avoided(kEngine, later) == (n >= 2));
+    RC_ASSERT(peers.IsAvoided(kEngine, later) == (n >= 2));
   }
 }
 
--- a/tests/request/passthrough/prefix_placement_test.cc
+++ b/tests/request/passthrough/prefix_placement_test.cc
@@ -38,7 +38,7 @@
   std::vector<EngineHandle> usable;
   std::ranges::copy_if(
       engines, std::back_inserter(usable), [](const EngineHandle& it) {
-        return !it->entry.draining && !it->health.Avoided(kNow);
+        return !it->entry.draining && !it->health.IsAvoided(kNow);
       });
   return usable;
 }
