--- a/src/request/in_flight.cc
+++ b/src/request/in_flight.cc
@@ -27,7 +27,7 @@
   return *this;
 }
 
-void InFlight::PrefillDone() noexcept {
+void InFlight::OnPrefillDone() noexcept {
   if (!load_) {
     return;
   }
--- a/src/request/in_flight.h
+++ b/src/request/in_flight.h
@@ -23,7 +23,7 @@
   InFlight& operator=(const InFlight&) = delete;
 
   // Call when the first token arrives: the prefill no longer counts.
-  void PrefillDone() noexcept;
+  void OnPrefillDone() noexcept;
 
  private:
   void Release() noexcept;
--- a/src/request/relay_run.cc
+++ b/src/request/relay_run.cc
@@ -241,7 +241,7 @@
            (!request_.non_idempotent && delivery_.CallerDisconnected());
   };
   sink.on_token = [&](const TokenChunk& chunk) {
-    in_flight.PrefillDone();
+    in_flight.OnPrefillDone();
     // The decode engine generates the prefill engine's token again.
     if (spec.kind == AttemptKind::kPrefill) {
       return true;
--- a/tests/request/fleet_model.cc
+++ b/tests/request/fleet_model.cc
@@ -188,7 +188,7 @@
     auto in_flight = std::make_shared<InFlight>(chosen, query.cost, now_);
     At(first, [&target, prefill, in_flight] {
       target.prefill -= prefill;
-      in_flight->PrefillDone();
+      in_flight->OnPrefillDone();
     });
     At(done, [&target, decode, in_flight] {
       target.decode -= decode;
