--- a/src/request/passthrough/answer_admission.cc
+++ b/src/request/passthrough/answer_admission.cc
@@ -34,14 +34,14 @@
   }
   RouteSizes& sizes = RecordRequest(engine.entry.service, route, answer, now);
   const double capacity = CapacityFor(engine, sizes);
-  const bool large = IsLarge(sizes, answer);
-  const double limit = MayUseFullCapacity(sizes, large)
+  const bool larger = IsLarger(sizes, answer);
+  const double limit = MayUseFullCapacity(sizes, larger)
                            ? capacity
                            : options_.shared_capacity_fraction * capacity;
   // A full engine rejects requests itself.
   const bool admitted =
       capacity >= Slots(engine) || KnownLoad(engine, now) < limit;
-  Share& share = large ? sizes.large : sizes.small;
+  Share& share = larger ? sizes.larger : sizes.smaller;
   share.seen = options_.share_decay * share.seen + 1;
   share.admitted = options_.share_decay * share.admitted + (admitted ? 1 : 0);
   return admitted;
@@ -74,18 +74,19 @@
   return sizes;
 }
 
-bool AnswerAdmission::IsLarge(const RouteSizes& sizes,
-                              const RequestedAnswer& answer) const noexcept {
+bool AnswerAdmission::IsLarger(const RouteSizes& sizes,
+                               const RequestedAnswer& answer) const noexcept {
   return answer.expected_tokens > 0 &&
          LogTokens(answer) > sizes.mean_log + options_.larger_deviations *
                                                   std::sqrt(sizes.variance_log);
 }
 
 bool AnswerAdmission::MayUseFullCapacity(const RouteSizes& sizes,
-                                         bool large) const noexcept {
-  const bool large_behind =
-      sizes.large.Rate() < options_.large_admission_ratio * sizes.small.Rate();
-  return large == large_behind;
+                                         bool larger) const noexcept {
+  const bool larger_behind =
+      sizes.larger.Rate() <
+      options_.larger_admission_ratio * sizes.smaller.Rate();
+  return larger == larger_behind;
 }
 
 double AnswerAdmission::Capacity(const Engine& engine, base::Time now) const {
--- a/src/request/passthrough/answer_admission.h
+++ b/src/request/passthrough/answer_admission.h
@@ -4,8 +4,8 @@
 // An engine takes longer per token the more answers it generates. At full slots
 // the longest answers would run into their timeout and the work would be
 // wasted. Each engine therefore gets only as many requests as let a large
-// answer of every route finish in time at its own pace. Requests beyond are
-// refused at once, whatever their size, as short answers slow down long ones
+// answer of every route finish in time at its own pace. Further requests are
+// rejected at once, whatever their size, as short answers slow down long ones
 // too.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_ANSWER_ADMISSION_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_ANSWER_ADMISSION_H_
@@ -35,11 +35,12 @@
   double large_deviations = 2;
   // At limited capacity, the admission rate of larger answers is kept at this
   // ratio of the rate of smaller ones.
-  double large_admission_ratio = 0.6;
+  double larger_admission_ratio = 0.6;
   // An answer counts as one of the larger of its route from this many standard
   // deviations above the mean (the largest third of a normal distribution).
   double larger_deviations = 0.5;
-  // Fraction of the capacity that the group ahead of its share may use.
+  // Fraction of the capacity that the group (larger or smaller answers) with
+  // more than its share of the admissions may use.
   double shared_capacity_fraction = 0.92;
   // Weight of a request in the admission rates after the next one.
   double share_decay = 0.95;
@@ -96,8 +97,8 @@
     std::int64_t max_tokens = 0;
     base::Duration timeout{};
     base::Time last_at{};
-    Share large;
-    Share small;
+    Share larger;
+    Share smaller;
   };
 
   RouteSizes& RecordRequest(const base::ServiceName& service,
@@ -105,10 +106,10 @@
                             const RequestedAnswer& answer,
                             base::Time now);
   // Whether it is one of the larger answers of its route.
-  bool IsLarge(const RouteSizes& sizes,
-               const RequestedAnswer& answer) const noexcept;
+  bool IsLarger(const RouteSizes& sizes,
+                const RequestedAnswer& answer) const noexcept;
   // Whether the group (larger or smaller answers) may use the whole capacity.
-  bool MayUseFullCapacity(const RouteSizes& sizes, bool large) const noexcept;
+  bool MayUseFullCapacity(const RouteSizes& sizes, bool larger) const noexcept;
   std::int64_t LargeTokens(const RouteSizes& sizes) const noexcept;
   double CapacityFor(const Engine& engine, const RouteSizes& sizes) const;
   double DefaultCapacity(const Engine& engine,
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -155,7 +155,7 @@
   }
   // An unreachable engine did no work and counts in unreachable_ instead.
   failed_prefills_ += state == ExchangeState::kNotSent ? 0 : 1;
-  if (!Stopped()) {
+  if (!IsStopped()) {
     pick.prefill_engine->health.OnFailure(deps_.clock());
     deps_.metrics.GetCounter("lynxglade_prompt_reads_failed_total").Add();
   }
@@ -168,7 +168,7 @@
               rejected ? static_cast<std::int64_t>(exchange.head().result_int())
                        : std::int64_t{0}},
              {"counts", *may_count},
-             {"stopped", Stopped()},
+             {"stopped", IsStopped()},
              {"ms", base::ToMillis(deps_.clock() - started_at)}});
   co_return false;
 }
@@ -252,7 +252,7 @@
   if (info.outcome == base::Outcome::kNotRun) {
     RecordRejection(*target, info);
     co_await exchange.Rest(kMaxInternalAnswerBytes);
-    co_return Stopped() ? AttemptEnd::kStopped : AttemptEnd::kNotRun;
+    co_return IsStopped() ? AttemptEnd::kStopped : AttemptEnd::kNotRun;
   }
   ++runs_;
   if (info.authenticated) {
@@ -372,7 +372,7 @@
   if (sent) {
     outcome_unknown_ = true;
   }
-  if (Stopped()) {
+  if (IsStopped()) {
     return AttemptEnd::kStopped;
   }
   target->health.OnFailure(deps_.clock());
--- a/src/request/passthrough/relay_run.cc
+++ b/src/request/passthrough/relay_run.cc
@@ -260,7 +260,7 @@
 Awaitable<bool> RelayRun::WaitForBudget(
     const std::function<bool(base::Time now)>& reserve) {
   const base::Time wait_until = deps_.clock() + options_.budget_timeout;
-  while (!Stopped()) {
+  while (!IsStopped()) {
     const base::Time now = deps_.clock();
     if (reserve(now)) {
       co_return true;
@@ -276,7 +276,7 @@
 Awaitable<AttemptEnd> RelayRun::Attempt(EnginePick pick) {
   if (pick.prefill_engine && !source_) {
     const bool prefilled = co_await PrefillPrompt(pick);
-    if (Stopped()) {
+    if (IsStopped()) {
       co_return AttemptEnd::kStopped;
     }
     if (!prefilled) {
@@ -301,7 +301,7 @@
 }
 
 bool RelayRun::MayRetry(AttemptEnd end) const {
-  if (end == AttemptEnd::kStopped || Stopped() ||
+  if (end == AttemptEnd::kStopped || IsStopped() ||
       TimeLeft() < options_.min_time_left) {
     return false;
   }
@@ -346,7 +346,7 @@
   return deadline_ - deps_.clock();
 }
 
-bool RelayRun::Stopped() const noexcept {
+bool RelayRun::IsStopped() const noexcept {
   return expired_ || reply_.gone();
 }
 
--- a/src/request/passthrough/relay_run.h
+++ b/src/request/passthrough/relay_run.h
@@ -144,7 +144,7 @@
   connection::event::AnswerFilter AnswerFilter() const;
   base::Duration Elapsed() const;
   base::Duration TimeLeft() const;
-  bool Stopped() const noexcept;
+  bool IsStopped() const noexcept;
   // Logs the state of the engine for which the first attempt was not made.
   void LogNotAttempted(const EnginePick& pick, EndReason reason) const;
   void LogAttempt(const EnginePick& pick, AttemptEnd end) const;
--- a/src/request/passthrough/shared_retry_budget.cc
+++ b/src/request/passthrough/shared_retry_budget.cc
@@ -95,8 +95,8 @@
 
 void SharedRetryBudget::Borrow(const base::ServiceName& service,
                                double arrivals,
-                               base::Time asked_at) {
-  AddLoan(Find(service), {asked_at + options_.loan_ttl, arrivals});
+                               base::Time requested_at) {
+  AddLoan(Find(service), {requested_at + options_.loan_ttl, arrivals});
 }
 
 void SharedRetryBudget::DropReservation(Account& account,
--- a/src/request/passthrough/shared_retry_budget.h
+++ b/src/request/passthrough/shared_retry_budget.h
@@ -35,12 +35,12 @@
   // windows or instance counts differ.
   double max_fraction = 0.95;
   // Fraction that retries and loans may use. The rest is reserved for first
-  // prefills, which rarely cost anything, and without which long prompts are
-  // refused.
+  // prefills, which rarely count against the budget, and without which long
+  // prompts are rejected.
   double max_retry_fraction = 0.8;
-  // A loan may be spent until this long after it was requested. Longer covers
-  // more prefills of a prompt; shorter frees the lender earlier, for which it
-  // is bound for this and a window.
+  // A loan may be spent until this long after it was requested. A longer time
+  // covers more prefills of a prompt, but the loan is deducted from the lender
+  // for this time plus `window`.
   base::Duration loan_ttl = std::chrono::seconds(5);
   // Smallest loan; an instance that asks for less gets this much.
   double min_loan = 0.1;
@@ -73,8 +73,8 @@
       std::function<void(const base::ServiceName& service, double missing)>;
 
   // `on_shortfall` may be empty; it is called for every failed reservation.
-  // Loans are not requested earlier: they would expire unspent while they bind
-  // their lenders for much longer.
+  // Loans are not requested earlier: they would expire unspent but stay
+  // deducted from their lenders for much longer.
   explicit SharedRetryBudget(SharedRetryBudgetOptions options,
                              OnShortfall on_shortfall = {});
   SharedRetryBudget(const SharedRetryBudget&) = delete;
@@ -107,10 +107,10 @@
               double wanted,
               int instances,
               base::Time now);
-  // Adds a loan from another instance that was requested at `asked_at`.
+  // Adds a loan from another instance that was requested at `requested_at`.
   void Borrow(const base::ServiceName& service,
               double arrivals,
-              base::Time asked_at);
+              base::Time requested_at);
 
  private:
   struct Loan {
--- a/src/request/prefix_table.h
+++ b/src/request/prefix_table.h
@@ -14,7 +14,7 @@
 
 namespace lynxglade::request {
 
-// Hashes of target ids, most recent first; 0 for an unused place.
+// Hashes of target ids, most recent first; 0 for an unused slot.
 using PrefixTargets = std::array<std::uint64_t, 2>;
 
 // Thread-safe.
--- a/src/request/router.cc
+++ b/src/request/router.cc
@@ -97,16 +97,16 @@
 
 std::optional<RouteChoice> Router::Pick(const TargetIndex& index,
                                         const RouteQuery& query,
-                                        RouteError* last_error) {
+                                        RouteError* error) {
   const TargetGroup* group =
       index.Find(query.service, query.model, query.version);
   if (group == nullptr) {
-    *last_error = index.HasService(query.service) ? RouteError::kUnknownModel
-                                                  : RouteError::kUnknownService;
+    *error = index.HasService(query.service) ? RouteError::kUnknownModel
+                                             : RouteError::kUnknownService;
     return std::nullopt;
   }
   if (group->serving() == 0) {
-    *last_error = RouteError::kNoServingTarget;
+    *error = RouteError::kNoServingTarget;
     return std::nullopt;
   }
   Search search{query, index, !options_.avoid_ejected};
@@ -125,8 +125,7 @@
             return search.IsUsable(*it.target);
           });
         });
-    *last_error =
-        any_left ? RouteError::kRolesIncomplete : RouteError::kAllExcluded;
+    *error = any_left ? RouteError::kRolesIncomplete : RouteError::kAllExcluded;
     return std::nullopt;
   }
   if (query.prefix_hash != 0) {
--- a/src/request/router.h
+++ b/src/request/router.h
@@ -137,10 +137,10 @@
   Router& operator=(const Router&) = delete;
 
   // Chooses among the serving targets that are not excluded. On nullopt,
-  // `*last_error` is set. Adds the request's prefix to the prefix table.
+  // `*error` is set. Adds the request's prefix to the prefix table.
   std::optional<RouteChoice> Pick(const TargetIndex& index,
                                   const RouteQuery& query,
-                                  RouteError* last_error);
+                                  RouteError* error);
 
   // Apply prefix cache events of targets.
   void AddPrefix(std::uint64_t prefix, const base::TargetId& target);
--- a/tests/request/passthrough/shared_retry_budget_test.cc
+++ b/tests/request/passthrough/shared_retry_budget_test.cc
@@ -247,7 +247,7 @@
   };
   struct LoanInTransit {
     base::Time arrives{};
-    base::Time asked_at{};
+    base::Time requested_at{};
     int to = 0;
     double arrivals = 0;
   };
@@ -288,18 +288,19 @@
     if (from == to) {
       return;
     }
-    const base::Time asked_at = now_ - milliseconds(Random(3000));
+    const base::Time requested_at = now_ - milliseconds(Random(3000));
     const double lent = fleet_[from]->Lend(kService, 3, Size(), now_);
     const int copies_lost = Random(3);
     if (lent > 0 && copies_lost > 0) {
-      loans_.push_back({now_ + milliseconds(Random(8000)), asked_at, to, lent});
+      loans_.push_back(
+          {now_ + milliseconds(Random(8000)), requested_at, to, lent});
     }
   }
   void Deliver() {
     const auto due = std::ranges::partition(
         loans_, [this](const LoanInTransit& it) { return it.arrives > now_; });
     for (const LoanInTransit& it : due) {
-      fleet_[it.to]->Borrow(kService, it.arrivals, it.asked_at);
+      fleet_[it.to]->Borrow(kService, it.arrivals, it.requested_at);
     }
     loans_.erase(due.begin(), due.end());
   }
