--- a/src/process/change_permits.cc
+++ b/src/process/change_permits.cc
@@ -49,8 +49,8 @@
 }  // namespace
 
 std::optional<std::vector<Permit>> ListPermits(const OrderStore& store,
-                                               KvError* last_error) {
-  const auto range = store.list(kPermitPrefix, last_error);
+                                               KvError* error) {
+  const auto range = store.list(kPermitPrefix, error);
   if (!range) {
     return std::nullopt;
   }
--- a/src/process/change_permits.h
+++ b/src/process/change_permits.h
@@ -36,7 +36,7 @@
 
 // All permits of the fleet; empty on an error. Blocks.
 std::optional<std::vector<Permit>> ListPermits(const OrderStore& store,
-                                               connection::KvError* last_error);
+                                               connection::KvError* error);
 
 enum class PermitResult {
   kTaken,
--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -110,7 +110,7 @@
                       : std::nullopt;
 }
 
-bool EngineDriver::Serving() const {
+bool EngineDriver::IsServing() const {
   return observation_ && !unreachable_since_ &&
          observation_->state.phase == EnginePhase::kReady &&
          !observation_->state.current.draining && !row_.leaving;
@@ -128,7 +128,7 @@
   status.step = decision_.step;
   status.reason = decision_.reason;
   status.waiting_since = waiting_since_;
-  status.overdue = Overdue();
+  status.overdue = IsOverdue();
   status.permit = permit_ ? permit_->key : std::string();
   const auto& record = journal_.record();
   if (row_.leaving) {
@@ -144,7 +144,7 @@
   return status;
 }
 
-bool EngineDriver::Overdue() const {
+bool EngineDriver::IsOverdue() const {
   const base::Duration waiting = context_.clock() - waiting_since_;
   return decision_.step == OrderStep::kWait &&
          decision_.reason != WaitReason::kNoDesiredState &&
@@ -199,7 +199,7 @@
     overdue_logged_ = false;
   }
   decision_ = decision;
-  if (Overdue() && !overdue_logged_) {
+  if (IsOverdue() && !overdue_logged_) {
     overdue_logged_ = true;
     const std::string reason(ToString(decision.reason));
     base::Log(base::LogLevel::kWarning, "order_overdue",
--- a/src/process/engine_driver.h
+++ b/src/process/engine_driver.h
@@ -79,10 +79,10 @@
   std::optional<connection::EngineTargetState> Content() const;
   // Whether the engine accepted new work at its last read-back and is
   // reachable.
-  bool Serving() const;
+  bool IsServing() const;
   EngineStatus Status() const;
   // Whether it has waited longer than OrderSettings::overdue_after.
-  bool Overdue() const;
+  bool IsOverdue() const;
 
  private:
   DecisionInputs MakeDecisionInputs(base::Time now) const;
--- a/src/process/generation_demand.cc
+++ b/src/process/generation_demand.cc
@@ -31,19 +31,19 @@
 void GenerationDemand::Observe(const std::vector<EngineHandle>& engines,
                                base::Duration backlog,
                                base::Time now) {
-  generating_engines_ = 0;
+  decode_engines_ = 0;
   double target_answers = 0;
   int answers = 0;
   for (const EngineHandle& engine : engines) {
     if (engine->entry.stage == EngineStage::kDecode &&
         !engine->entry.draining) {
-      ++generating_engines_;
+      ++decode_engines_;
       answers += KnownLoad(*engine, now);
       target_answers += TargetAnswers(*engine, now);
     }
   }
-  if (generating_engines_ > 0) {
-    answers_per_engine_ = std::max(target_answers / generating_engines_, 1.0);
+  if (decode_engines_ > 0) {
+    answers_per_engine_ = std::max(target_answers / decode_engines_, 1.0);
   }
   // Capped, so that an extreme backlog (no prefill engine at all) does not
   // dominate the average for long.
@@ -64,19 +64,19 @@
 
 int GenerationDemand::DesiredEngines() const {
   if (last_observed_at_ - first_observed_at_ < options_.averaging_time) {
-    return generating_engines_;
+    return decode_engines_;
   }
   const double needed = answers_ / answers_per_engine_;
   const bool prefill_busy = backlog_ > options_.max_backlog;
-  if (needed > generating_engines_ && !prefill_busy) {
+  if (needed > decode_engines_ && !prefill_busy) {
     return static_cast<int>(std::ceil(needed));
   }
   const int enough =
       static_cast<int>(std::ceil(needed * options_.scale_down_margin));
-  if (enough < generating_engines_ && prefill_busy) {
+  if (enough < decode_engines_ && prefill_busy) {
     return enough;
   }
-  return generating_engines_;
+  return decode_engines_;
 }
 
 }  // namespace lynxglade::process
--- a/src/process/generation_demand.h
+++ b/src/process/generation_demand.h
@@ -68,7 +68,7 @@
   double answers_ = 0;
   base::Duration backlog_{};
   // Decode engines at the last observation.
-  int generating_engines_ = 0;
+  int decode_engines_ = 0;
   // Mean of TargetAnswers() over the decode engines.
   double answers_per_engine_ = 1;
 };
--- a/src/process/load_rate_limiter.cc
+++ b/src/process/load_rate_limiter.cc
@@ -10,7 +10,7 @@
   if (loads_per_minute_ <= 0) {
     return false;
   }
-  if (!taken_) {
+  if (!any_load_) {
     return true;
   }
   const double elapsed_minutes =
@@ -19,7 +19,7 @@
 }
 
 void LoadRateLimiter::RecordLoad(base::Time now) noexcept {
-  taken_ = true;
+  any_load_ = true;
   last_ = now;
 }
 
--- a/src/process/load_rate_limiter.h
+++ b/src/process/load_rate_limiter.h
@@ -22,7 +22,7 @@
 
  private:
   double loads_per_minute_ = 0;
-  bool taken_ = false;
+  bool any_load_ = false;
   base::Time last_{};
 };
 
--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -53,8 +53,8 @@
   base::Duration refresh_interval = std::chrono::minutes(5);
   // How long a link that neither end selects any more is kept.
   base::Duration unwanted_link_grace = std::chrono::seconds(60);
-  // How long a peer that has no row and no link is kept after it was last heard
-  // from or last updated by a fact.
+  // How long a peer that has no row and no link is kept after its last message
+  // or update.
   base::Duration stale_peer_retention = std::chrono::minutes(15);
   LinkChoiceOptions links;
 };
--- a/src/process/order_coordinator.cc
+++ b/src/process/order_coordinator.cc
@@ -380,7 +380,7 @@
   for (const EngineRow& row : rows_) {
     const auto own = drivers_.find(row.id);
     const bool serving =
-        own == drivers_.end() ? row.serving : own->second->Serving();
+        own == drivers_.end() ? row.serving : own->second->IsServing();
     Fleet& fleet = fleets[row.service];
     fleet.size += row.leaving ? 0 : 1;
     fleet.serving += serving && !row.leaving ? 1 : 0;
--- a/src/process/role_planner.cc
+++ b/src/process/role_planner.cc
@@ -117,7 +117,7 @@
     case RolePlannerFault::kHorizon:
       return "horizon: longer than out_of_service";
     case RolePlannerFault::kWindows:
-      return "windows: 0 < fast_window < slow_window, 0 < trend_life";
+      return "windows: 0 < fast_window < slow_window, 0 < trend_decay";
     case RolePlannerFault::kHistory:
       return "history: 0 <= tail, 5 s <= history";
     case RolePlannerFault::kMinPerRole:
@@ -196,9 +196,9 @@
 std::optional<RolePlanner> RolePlanner::Create(
     const RolePlannerOptions& options,
     base::Clock clock,
-    RolePlannerFault* last_fault) {
-  *last_fault = Check(options);
-  if (*last_fault != RolePlannerFault::kNone) {
+    RolePlannerFault* fault) {
+  *fault = Check(options);
+  if (*fault != RolePlannerFault::kNone) {
     return std::nullopt;
   }
   return RolePlanner(options, std::move(clock));
--- a/src/process/role_planner.h
+++ b/src/process/role_planner.h
@@ -126,10 +126,10 @@
 // Not thread-safe. Does not block.
 class RolePlanner {
  public:
-  // Validates the options. On failure returns nothing and sets `last_fault`.
+  // Validates the options. On failure returns nothing and sets `fault`.
   static std::optional<RolePlanner> Create(const RolePlannerOptions& options,
                                            base::Clock clock,
-                                           RolePlannerFault* last_fault);
+                                           RolePlannerFault* fault);
 
   // Adds the demand offered over the last `over` (positive). `rates` and
   // `engines` limit how much of a contract's demand above its share counts.
--- a/src/process/stage_orders.h
+++ b/src/process/stage_orders.h
@@ -3,8 +3,8 @@
 // Each engine has at most one order in flight. An order carries the number of
 // orders that the engine had accepted, so that a delayed duplicate has no
 // effect. It is withheld if the engine has restarted since the plan was made.
-// After an order without a response the engine gets no other one until it would
-// have carried out the lost one.
+// After an order without a response the engine gets no other one until the
+// first can no longer take effect.
 #ifndef LYNXGLADE_PROCESS_STAGE_ORDERS_H_
 #define LYNXGLADE_PROCESS_STAGE_ORDERS_H_
 
--- a/src/process/view_service.cc
+++ b/src/process/view_service.cc
@@ -381,8 +381,8 @@
   }
 }
 
-bool ViewService::Start(ViewServiceError* last_error) {
-  *last_error = ViewServiceError::kNone;
+bool ViewService::Start(ViewServiceError* error) {
+  *error = ViewServiceError::kNone;
   Details* d = details_.get();
   // The actor is created first, because link events are sent to it. The mutex
   // keeps it from handling one before `gossip` exists.
@@ -393,8 +393,8 @@
       d->system.spawn([](caf::event_based_actor* self,
                          Details* details) { return details->Behavior(self); },
                       d);
-  connection::PeerLinkError error = connection::PeerLinkError::kNone;
-  const bool started = d->links.Start(&error);
+  connection::PeerLinkError link_error = connection::PeerLinkError::kNone;
+  const bool started = d->links.Start(&link_error);
   GossipOptions options;
   options.instance = d->options.instance;
   options.fact = {d->options.zone, d->options.address, d->links.port()};
@@ -403,9 +403,9 @@
                       d->undelivered.push_back(item);
                     });
   if (!started) {
-    *last_error = error == connection::PeerLinkError::kCertificate
-                      ? ViewServiceError::kCertificate
-                      : ViewServiceError::kListen;
+    *error = link_error == connection::PeerLinkError::kCertificate
+                 ? ViewServiceError::kCertificate
+                 : ViewServiceError::kListen;
   }
   return started;
 }
@@ -423,10 +423,9 @@
   details_->gossip->Leave();
 }
 
-bool ViewService::ReloadCertificates(ViewServiceError* last_error) {
+bool ViewService::ReloadCertificates(ViewServiceError* error) {
   const bool reloaded = details_->links.ReloadTls();
-  *last_error =
-      reloaded ? ViewServiceError::kNone : ViewServiceError::kCertificate;
+  *error = reloaded ? ViewServiceError::kNone : ViewServiceError::kCertificate;
   return reloaded;
 }
 
--- a/src/process/view_service.h
+++ b/src/process/view_service.h
@@ -84,7 +84,7 @@
   ViewService& operator=(const ViewService&) = delete;
 
   // Starts listening and connecting to peers. Call once.
-  bool Start(ViewServiceError* last_error);
+  bool Start(ViewServiceError* error);
 
   // The calls below require a successful Start().
 
@@ -109,7 +109,7 @@
 
   // Reloads the TLS files for new links; existing links keep their keys. On
   // failure the previous files stay in use.
-  bool ReloadCertificates(ViewServiceError* last_error);
+  bool ReloadCertificates(ViewServiceError* error);
 
   // All held facts of a kind.
   std::vector<ViewItem> Snapshot(ViewKind kind) const;
--- a/src/process/watch_sharing.h
+++ b/src/process/watch_sharing.h
@@ -1,4 +1,4 @@
-// IsSharing store watches within an availability zone: in a large zone a few
+// Shares store watches within an availability zone: in a large zone a few
 // relay instances watch the store, and the others query the relays for changes.
 //
 // This reduces calls to the store, each of which has a cost, long polls
--- a/tests/process/order_simulation.cc
+++ b/tests/process/order_simulation.cc
@@ -216,8 +216,7 @@
   return out;
 }
 
-// --- OrderSimulation
-// -------------------------------------------------------------
+// --- OrderSimulation --------------------------------------------------------
 
 OrderSimulation::OrderSimulation(Options options)
     : options_(options), store_([this] { return now_; }) {
