--- a/src/request/passthrough/latency_admission.h
+++ b/src/request/passthrough/latency_admission.h
@@ -1,12 +1,11 @@
 // Decides which prompts run at their priority, which at a lower one, and which
-// are refused.
+// are rejected.
 //
-// In a burst more prompts may arrive than the engines can prefill. A prompt
-// that would miss its latency target would, in arrival order, delay those
-// behind it, while refusing it wastes engines that become idle soon after. It
-// is therefore deferred to a lower priority and prefilled after all prompts
-// that can still be in time. Only prompts that would wait longer than their
-// callers are refused, at once.
+// In a burst more prompts may arrive than the engines can prefill. In arrival
+// order, a prompt that misses its latency target would delay those behind it;
+// rejecting it would waste engines that become idle soon after. It is therefore
+// deferred to a lower priority and prefilled after all prompts that can still
+// be in time. Only prompts whose callers would time out are rejected, at once.
 #ifndef LYNXGLADE_REQUEST_PASSTHROUGH_LATENCY_ADMISSION_H_
 #define LYNXGLADE_REQUEST_PASSTHROUGH_LATENCY_ADMISSION_H_
 
@@ -43,7 +42,7 @@
                          base::Duration latency_target,
                          const LatencyAdmissionOptions& options) noexcept;
 
-// Whether to refuse the prompt; `time_left`: how long its caller waits for the
+// Whether to reject the prompt; `time_left`: how long its caller waits for the
 // first byte.
 bool ExceedsCallerTimeout(const LatencyForecast& forecast,
                           base::Duration time_left,
