--- a/src/connection/event/caller_reply.cc
+++ b/src/connection/event/caller_reply.cc
@@ -92,10 +92,10 @@
   ResetSocket(socket_);
 }
 
-void CallerReply::MarkGone() {
-  gone_ = true;
-  if (on_gone_) {
-    on_gone_();
+void CallerReply::MarkDisconnected() {
+  disconnected_ = true;
+  if (on_disconnect_) {
+    on_disconnect_();
   }
 }
 
--- a/src/connection/event/caller_reply.h
+++ b/src/connection/event/caller_reply.h
@@ -47,14 +47,18 @@
   void Abort() noexcept;
 
   // `hook` is called at most once, when the caller closes its connection.
-  void OnGone(std::function<void()> hook) { on_gone_ = std::move(hook); }
+  void OnDisconnect(std::function<void()> hook) {
+    on_disconnect_ = std::move(hook);
+  }
   // Called by the server when the caller has closed its connection.
-  void MarkGone();
+  void MarkDisconnected();
 
   bool begun() const noexcept { return serializer_ != nullptr; }
-  bool gone() const noexcept { return gone_; }
+  bool disconnected() const noexcept { return disconnected_; }
   // Whether the connection may serve another request.
-  bool reusable() const noexcept { return whole_ && !gone_ && !closes_; }
+  bool reusable() const noexcept {
+    return whole_ && !disconnected_ && !closes_;
+  }
   bool whole() const noexcept { return whole_; }
 
  private:
@@ -67,12 +71,12 @@
   const unsigned http_version_;
   const bool head_only_;
   const std::function<bool()> close_;
-  std::function<void()> on_gone_;
+  std::function<void()> on_disconnect_;
   std::unique_ptr<Message> message_;
   std::unique_ptr<http::response_serializer<http::buffer_body>> serializer_;
   bool closes_ = false;
   bool whole_ = false;
-  bool gone_ = false;
+  bool disconnected_ = false;
 };
 
 }  // namespace lynxglade::connection::event
--- a/src/connection/event/caller_server.cc
+++ b/src/connection/event/caller_server.cc
@@ -309,7 +309,7 @@
                        const bool closed = ec || !self->socket_.is_open() ||
                                            PeerClosed(self->socket_);
                        if (closed) {
-                         answer->MarkGone();
+                         answer->MarkDisconnected();
                        }
                      });
 }
--- a/src/request/passthrough/relay_run.cc
+++ b/src/request/passthrough/relay_run.cc
@@ -42,7 +42,7 @@
 
 RelayRun::~RelayRun() {
   *alive_ = false;
-  reply_.OnGone({});
+  reply_.OnDisconnect({});
 }
 
 Awaitable<void> RelayRun::Run() {
@@ -53,7 +53,7 @@
   }
   deps_.retry_budget.OnRequest(service_, deps_.clock());
   StartTimer();
-  reply_.OnGone([this] {
+  reply_.OnDisconnect([this] {
     if (current_) {
       current_->Cancel();
     }
@@ -317,7 +317,7 @@
 }
 
 Awaitable<void> RelayRun::Finish(AttemptEnd end) {
-  if (reply_.gone()) {
+  if (reply_.disconnected()) {
     ended_by_ = "caller_left";
     co_return;
   }
@@ -347,7 +347,7 @@
 }
 
 bool RelayRun::IsStopped() const noexcept {
-  return expired_ || reply_.gone();
+  return expired_ || reply_.disconnected();
 }
 
 }  // namespace lynxglade::request::passthrough
--- a/tests/connection/event/caller_server_test.cc
+++ b/tests/connection/event/caller_server_test.cc
@@ -46,10 +46,10 @@
   // Waits for the caller to leave.
   Awaitable<void> Hold(CallerReply& reply) {
     asio::steady_timer timer(loop_, asio::steady_timer::time_point::max());
-    reply.OnGone([&timer] { timer.cancel(); });
+    reply.OnDisconnect([&timer] { timer.cancel(); });
     ErrorCode ec;
     co_await timer.async_wait(Into(ec));
-    gone_ = reply.gone();
+    disconnected_ = reply.disconnected();
   }
 
   std::string Exchange(const std::string& bytes) {
@@ -70,7 +70,7 @@
   base::Metrics metrics_;
   std::vector<std::string> bodies_;
   bool hold_ = false;
-  bool gone_ = false;
+  bool disconnected_ = false;
   CallerServer server_;
   std::optional<LoopThread> thread_;
 };
@@ -156,7 +156,7 @@
     client.Send("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
     thread_->Await([this] { return server_.busy() == 1; });
   }
-  thread_->Await([this] { return gone_; });
+  thread_->Await([this] { return disconnected_; });
 }
 
 TEST_F(CallerServerTest, AnswersWhileStoppingEndTheConnection) {
