--- a/src/connection/caller_front.cc
+++ b/src/connection/caller_front.cc
@@ -273,7 +273,7 @@
     }
     return exchange.Write(ChatTokenEvent(head, chunk));
   };
-  sink.disconnected = [&exchange] { return exchange.caller_gone(); };
+  sink.disconnected = [&exchange] { return exchange.caller_disconnected(); };
   const request::RelayResult result = hooks_.serve(request, sink);
   if (result.refusal && !started) {
     Refuse(exchange, *result.refusal);
@@ -303,7 +303,7 @@
 void CallerFront::ServeWhole(HttpExchange& exchange,
                              const request::Request& request) {
   request::CallerSink sink;
-  sink.disconnected = [&exchange] { return exchange.caller_gone(); };
+  sink.disconnected = [&exchange] { return exchange.caller_disconnected(); };
   const request::RelayResult result = hooks_.serve(request, sink);
   if (result.refusal) {
     Refuse(exchange, *result.refusal);
--- a/src/connection/http_server.cc
+++ b/src/connection/http_server.cc
@@ -77,7 +77,7 @@
 
   ~CoroutineExchange() override {
     // The headers could not be sent: resume the handler, so that it returns.
-    gone_ = true;
+    disconnected_ = true;
     Resume(nullptr);
   }
 
@@ -97,23 +97,25 @@
     SetHead(status, content_type, headers);
     streaming_ = true;
     (*yield_)();
-    return !gone_;
+    return !disconnected_;
   }
 
   bool Write(std::string_view piece) override {
-    if (gone_ || aborted_) {
+    if (disconnected_ || aborted_) {
       return false;
     }
     if (!sink_->write(piece.data(), piece.size())) {
-      gone_ = true;
+      disconnected_ = true;
     }
-    return !gone_;
+    return !disconnected_;
   }
 
   void Abort() override { aborted_ = true; }
 
   const HttpRequest& request() const override { return request_; }
-  bool caller_gone() const override { return gone_ || stream_.PeerClosed(); }
+  bool caller_disconnected() const override {
+    return disconnected_ || stream_.PeerClosed();
+  }
 
   // --- For the server
 
@@ -134,7 +136,7 @@
       body_();
     }
     sink_ = nullptr;
-    return !gone_ && !aborted_;
+    return !disconnected_ && !aborted_;
   }
 
  private:
@@ -156,8 +158,8 @@
   HttpHeaders headers_;
   std::string whole_body_;
   bool streaming_ = false;
-  // Read by other threads through caller_gone().
-  std::atomic<bool> gone_{false};
+  // Read by other threads through caller_disconnected().
+  std::atomic<bool> disconnected_{false};
   bool aborted_ = false;
   httplib::DataSink* sink_ = nullptr;
   Push* yield_ = nullptr;
--- a/src/connection/http_server.h
+++ b/src/connection/http_server.h
@@ -41,7 +41,7 @@
 };
 
 // One request and its answer. Valid during the handler's call, and used by its
-// thread only, except caller_gone().
+// thread only, except caller_disconnected().
 class HttpExchange {
  public:
   virtual ~HttpExchange() = default;
@@ -65,7 +65,7 @@
 
   virtual const HttpRequest& request() const = 0;
   // Whether the caller closed its connection. Thread-safe.
-  virtual bool caller_gone() const = 0;
+  virtual bool caller_disconnected() const = 0;
 };
 
 using HttpHandler = std::function<void(HttpExchange&)>;
--- a/tests/connection/caller_front_test.cc
+++ b/tests/connection/caller_front_test.cc
@@ -45,7 +45,7 @@
   }
   void Abort() override { aborted = true; }
   const HttpRequest& request() const override { return request_; }
-  bool caller_gone() const override { return false; }
+  bool caller_disconnected() const override { return false; }
 
   int sends = 0;
   int status_sent = 0;
--- a/tests/connection/http_server_test.cc
+++ b/tests/connection/http_server_test.cc
@@ -57,9 +57,9 @@
   std::promise<void> entered;
   std::promise<void> noticed;
   HttpServer server(SmallServer(), [&](HttpExchange& exchange) {
-    EXPECT_FALSE(exchange.caller_gone());
+    EXPECT_FALSE(exchange.caller_disconnected());
     entered.set_value();
-    while (!exchange.caller_gone()) {
+    while (!exchange.caller_disconnected()) {
       std::this_thread::yield();
     }
     noticed.set_value();
