--- a/src/connection/event/exchange.cc
+++ b/src/connection/event/exchange.cc
@@ -100,7 +100,7 @@
 
 void Exchange::WatchSending() {
   sending_->watch = std::make_unique<asio::steady_timer>(
-      channel_->socket.get_executor(), options_.acknowledged_within);
+      channel_->socket.get_executor(), options_.acknowledge_timeout);
   sending_->watch->async_wait([sending = std::weak_ptr(sending_),
                                channel = channel_](const ErrorCode& ec) {
     const bool stuck = !ec && channel->socket.is_open() &&
--- a/src/connection/event/exchange.h
+++ b/src/connection/event/exchange.h
@@ -44,7 +44,7 @@
   // If the peer has not acknowledged all sent bytes within this time, the
   // connection is reset. Less than TCP_USER_TIMEOUT, since a connection that
   // the kernel has ended can no longer be reset.
-  base::Duration acknowledged_within = std::chrono::milliseconds(900);
+  base::Duration acknowledge_timeout = std::chrono::milliseconds(900);
 };
 
 // Returns whether an answer belongs to this request. `fresh` is true for the
--- a/tests/connection/event/exchange_test.cc
+++ b/tests/connection/event/exchange_test.cc
@@ -77,7 +77,7 @@
   constexpr std::size_t kBodyBytes = std::size_t{8} * 1024 * 1024;
   ExchangeOptions options;
   // Longer than an acknowledgement may be put off (40 ms).
-  options.acknowledged_within = std::chrono::milliseconds(200);
+  options.acknowledge_timeout = std::chrono::milliseconds(200);
   Exchange exchange(pool_, options);
   std::size_t read = 0;
   asio::co_spawn(
