--- a/src/connection/event/channel_pool.cc
+++ b/src/connection/event/channel_pool.cc
@@ -59,7 +59,7 @@
   kept.push_back(std::move(channel));
 }
 
-void ChannelPool::Sweep() {
+void ChannelPool::CloseIdle() {
   const base::Time now = clock_();
   for (auto& [endpoint, kept] : idle_) {
     std::erase_if(kept, [&](const std::shared_ptr<Channel>& channel) {
@@ -70,7 +70,7 @@
   std::erase_if(idle_, [](const auto& row) { return row.second.empty(); });
 }
 
-void ChannelPool::Forget(const Tcp::endpoint& endpoint) {
+void ChannelPool::CloseIdleTo(const Tcp::endpoint& endpoint) {
   idle_.erase(endpoint);
 }
 
--- a/src/connection/event/channel_pool.h
+++ b/src/connection/event/channel_pool.h
@@ -69,10 +69,10 @@
   void Keep(std::shared_ptr<Channel> channel);
   // Closes connections that have been idle for too long or were closed by the
   // peer. Call about every second.
-  void Sweep();
+  void CloseIdle();
   // Closes the idle connections to an endpoint that stopped answering, since
   // they may be broken, too.
-  void Forget(const Tcp::endpoint& endpoint);
+  void CloseIdleTo(const Tcp::endpoint& endpoint);
 
   // Connections opened since the start.
   std::uint64_t opened() const noexcept { return opened_; }
--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -378,7 +378,7 @@
   while (true) {
     co_await SleepFor(loop, kMaintenancePeriod);
     views.engines().Expire(clock());
-    channels.Sweep();
+    channels.CloseIdle();
   }
 }
 
--- a/src/process/change_relay.cc
+++ b/src/process/change_relay.cc
@@ -92,7 +92,7 @@
                       &end);
     if (!response) {
       // Other pooled connections to the relay may be dead as well.
-      channels.Forget(endpoint);
+      channels.CloseIdleTo(endpoint);
       *fault = end == ExchangeState::kCancelled ? RelayFault::kTimeout
                                                 : RelayFault::kUnreachable;
       co_return std::nullopt;
--- a/tests/connection/event/exchange_test.cc
+++ b/tests/connection/event/exchange_test.cc
@@ -121,7 +121,7 @@
   pool_.Keep(channel);
   EXPECT_EQ(pool_.Take(channel->endpoint, false), channel);
   pool_.Keep(channel);
-  pool_.Forget(channel->endpoint);
+  pool_.CloseIdleTo(channel->endpoint);
   EXPECT_NE(pool_.Take(channel->endpoint, false), channel);
 }
 
