--- a/src/connection/event/call.cc
+++ b/src/connection/event/call.cc
@@ -12,7 +12,7 @@
                                           ExchangeState* end) {
   Exchange exchange(channels);
   const CancelAfter bound(loop, exchange, terms.timeout);
-  co_await exchange.Start(endpoint, std::move(request), {}, terms.careful);
+  co_await exchange.Start(endpoint, std::move(request), {}, terms.recent_only);
   CallAnswer answer;
   answer.body = co_await exchange.Rest(terms.max_answer_bytes);
   if (end) {
--- a/src/connection/event/call.h
+++ b/src/connection/event/call.h
@@ -19,7 +19,7 @@
   std::size_t max_answer_bytes = std::size_t{64} * 1024;
   // Set for requests that are not safe to retry: only recently used connections
   // are reused, so that the request does not race with a close by the peer.
-  bool careful = false;
+  bool recent_only = false;
 };
 
 struct CallAnswer {
--- a/src/connection/event/channel_pool.cc
+++ b/src/connection/event/channel_pool.cc
@@ -12,15 +12,15 @@
     : loop_(loop), clock_(std::move(clock)), options_(options) {}
 
 std::shared_ptr<Channel> ChannelPool::Take(const Tcp::endpoint& endpoint,
-                                           bool careful) {
+                                           bool recent_only) {
   const base::Time now = clock_();
   auto& kept = idle_[endpoint];
   while (!kept.empty()) {
     std::shared_ptr<Channel> channel = std::move(kept.back());
     kept.pop_back();
     base::Duration limit = IdleLimit(*channel);
-    if (careful) {
-      limit = std::min(limit, options_.max_idle_careful);
+    if (recent_only) {
+      limit = std::min(limit, options_.max_recent_idle);
     }
     if (now - channel->idle_since < limit && !HasInput(channel->socket)) {
       return channel;
--- a/src/connection/event/channel_pool.h
+++ b/src/connection/event/channel_pool.h
@@ -27,8 +27,8 @@
   base::Duration max_idle = std::chrono::seconds(4);
   // Subtracted from the idle timeout that the peer announces in whole seconds.
   base::Duration idle_margin = std::chrono::milliseconds(1000);
-  // Longest idle time for requests with `careful` set.
-  base::Duration max_idle_careful = std::chrono::milliseconds(700);
+  // Longest idle time for requests with `recent_only` set.
+  base::Duration max_recent_idle = std::chrono::milliseconds(700);
   // TCP_USER_TIMEOUT: the connection ends if data or probes stay unacknowledged
   // for this long.
   base::Duration user_timeout = std::chrono::milliseconds(2000);
@@ -58,9 +58,10 @@
   ChannelPool& operator=(const ChannelPool&) = delete;
 
   // Returns an idle connection that looks usable, or a new channel that must be
-  // opened with Open(). With `careful`, only connections idle for less than
-  // max_idle_careful are reused.
-  std::shared_ptr<Channel> Take(const Tcp::endpoint& endpoint, bool careful);
+  // opened with Open(). With `recent_only`, only connections idle for less than
+  // max_recent_idle are reused.
+  std::shared_ptr<Channel> Take(const Tcp::endpoint& endpoint,
+                                bool recent_only);
   // Connects; returns false on failure or timeout. Closing the channel's socket
   // cancels the attempt.
   Awaitable<bool> Open(std::shared_ptr<Channel> channel);
--- a/src/connection/event/exchange.cc
+++ b/src/connection/event/exchange.cc
@@ -60,8 +60,8 @@
 Awaitable<ExchangeState> Exchange::Start(Tcp::endpoint endpoint,
                                          OutgoingRequest request,
                                          AnswerFilter is_answer,
-                                         bool careful) {
-  channel_ = pool_.Take(endpoint, careful);
+                                         bool recent_only) {
+  channel_ = pool_.Take(endpoint, recent_only);
   if (!channel_->socket.is_open()) {
     const auto channel = channel_;
     if (!co_await pool_.Open(channel)) {
--- a/src/connection/event/exchange.h
+++ b/src/connection/event/exchange.h
@@ -61,11 +61,11 @@
   Exchange& operator=(const Exchange&) = delete;
 
   // Sends the request and waits for the head of the answer. `is_answer` may be
-  // empty. See ChannelPool::Take() for `careful`.
+  // empty. See ChannelPool::Take() for `recent_only`.
   Awaitable<ExchangeState> Start(Tcp::endpoint endpoint,
                                  OutgoingRequest request,
                                  AnswerFilter is_answer,
-                                 bool careful);
+                                 bool recent_only);
   // Returns the next bytes of the body, valid until the next call; empty at the
   // end or on an error (see state()).
   Awaitable<std::string_view> Next();
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -126,7 +126,7 @@
   Exchange exchange(deps_.channels);
   current_ = &exchange;
   const ExchangeState state = co_await exchange.Start(
-      *endpoint, Message(terms), AnswerFilter(), /*careful=*/false);
+      *endpoint, Message(terms), AnswerFilter(), /*recent_only=*/false);
   RecordReach(*pick.prefill_engine, exchange);
   bool rejected = false;
   if (state == ExchangeState::kHead || state == ExchangeState::kWhole) {
