--- a/src/connection/event/call.cc
+++ b/src/connection/event/call.cc
@@ -8,13 +8,14 @@
                                           ChannelPool& channels,
                                           Tcp::endpoint endpoint,
                                           OutgoingRequest request,
-                                          CallTerms terms,
+                                          CallOptions options,
                                           ExchangeState* end) {
   Exchange exchange(channels);
-  const CancelAfter bound(loop, exchange, terms.timeout);
-  co_await exchange.Start(endpoint, std::move(request), {}, terms.recent_only);
+  const CancelAfter bound(loop, exchange, options.timeout);
+  co_await exchange.Start(endpoint, std::move(request), {},
+                          options.recent_only);
   CallAnswer answer;
-  answer.body = co_await exchange.Rest(terms.max_answer_bytes);
+  answer.body = co_await exchange.Rest(options.max_answer_bytes);
   if (end) {
     *end = exchange.state();
   }
--- a/src/connection/event/call.h
+++ b/src/connection/event/call.h
@@ -12,7 +12,7 @@
 
 namespace lynxglade::connection::event {
 
-struct CallTerms {
+struct CallOptions {
   // Bounds the whole call, including reading the answer.
   base::Duration timeout{};
   // A longer answer ends the call as kBroken.
@@ -33,7 +33,7 @@
                                           ChannelPool& channels,
                                           Tcp::endpoint endpoint,
                                           OutgoingRequest request,
-                                          CallTerms terms,
+                                          CallOptions options,
                                           ExchangeState* end);
 
 }  // namespace lynxglade::connection::event
