--- a/src/connection/event/caller_server.cc
+++ b/src/connection/event/caller_server.cc
@@ -95,7 +95,7 @@
 // State shared by all sessions, which may outlive the server.
 struct CallerServer::Shared {
   Shared(asio::io_context& l,
-         std::function<CallerBounds()> b,
+         std::function<CallerLimits()> b,
          CallerHandler h,
          base::Clock c,
          base::Metrics& m,
@@ -108,7 +108,7 @@
         max_buffered(buffered) {}
 
   asio::io_context& loop;
-  std::function<CallerBounds()> bounds;
+  std::function<CallerLimits()> bounds;
   CallerHandler handler;
   base::Clock clock;
   base::Metrics& metrics;
@@ -137,9 +137,9 @@
 
  private:
   Awaitable<std::shared_ptr<CallerRequest>> Read();
-  Awaitable<bool> AwaitFirstByte(const CallerBounds& bounds);
-  Awaitable<bool> ReadHead(const CallerBounds& bounds, BodyParser& parser);
-  Awaitable<bool> ReadBody(const CallerBounds& bounds, BodyParser& parser);
+  Awaitable<bool> AwaitFirstByte(const CallerLimits& bounds);
+  Awaitable<bool> ReadHead(const CallerLimits& bounds, BodyParser& parser);
+  Awaitable<bool> ReadBody(const CallerLimits& bounds, BodyParser& parser);
   Awaitable<void> SendContinue(const RequestHead& head);
   Awaitable<bool> Serve(std::shared_ptr<CallerRequest> request);
   Awaitable<void> AnswerFault();
@@ -183,7 +183,7 @@
 }
 
 Awaitable<std::shared_ptr<CallerRequest>> CallerServer::Session::Read() {
-  const CallerBounds bounds = shared_->bounds();
+  const CallerLimits bounds = shared_->bounds();
   const bool begun = co_await AwaitFirstByte(bounds);
   if (!begun) {
     co_return nullptr;
@@ -210,7 +210,7 @@
 }
 
 Awaitable<bool> CallerServer::Session::AwaitFirstByte(
-    const CallerBounds& bounds) {
+    const CallerLimits& bounds) {
   idle_ = true;
   if (buffer_.size() == 0) {
     Arm(bounds.idle_timeout, ReadFault::kIdle);
@@ -227,7 +227,7 @@
   co_return true;
 }
 
-Awaitable<bool> CallerServer::Session::ReadHead(const CallerBounds& bounds,
+Awaitable<bool> CallerServer::Session::ReadHead(const CallerLimits& bounds,
                                                 BodyParser& parser) {
   Arm(bounds.header_timeout, ReadFault::kSlow);
   ErrorCode ec;
@@ -244,7 +244,7 @@
   co_return true;
 }
 
-Awaitable<bool> CallerServer::Session::ReadBody(const CallerBounds& bounds,
+Awaitable<bool> CallerServer::Session::ReadBody(const CallerLimits& bounds,
                                                 BodyParser& parser) {
   if (parser.is_done()) {
     co_return true;
@@ -362,7 +362,7 @@
 
 CallerServer::CallerServer(asio::io_context& loop,
                            CallerServerOptions options,
-                           std::function<CallerBounds()> bounds,
+                           std::function<CallerLimits()> bounds,
                            CallerHandler handler,
                            base::Clock clock,
                            base::Metrics& metrics)
--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -41,7 +41,7 @@
 using base::Log;
 using base::LogLevel;
 using connection::event::Awaitable;
-using connection::event::CallerBounds;
+using connection::event::CallerLimits;
 using connection::event::CallerReply;
 using connection::event::CallerRequest;
 using connection::event::CallerServer;
@@ -83,7 +83,7 @@
 struct EntryDaemon::Details {
   explicit Details(const process::EntrySettings& s);
 
-  CallerBounds Bounds() const;
+  CallerLimits Bounds() const;
   bool Ready() const;
   Awaitable<void> ServeHealth(std::shared_ptr<CallerRequest> request,
                               CallerReply& reply);
@@ -235,7 +235,7 @@
       health(
           loop,
           {.endpoint = EndpointOf(s.health_listen)},
-          [] { return CallerBounds(); },
+          [] { return CallerLimits(); },
           [this](std::shared_ptr<CallerRequest> request, CallerReply& reply) {
             return ServeHealth(std::move(request), reply);
           },
@@ -319,8 +319,8 @@
               }};
 }
 
-CallerBounds EntryDaemon::Details::Bounds() const {
-  CallerBounds bounds;
+CallerLimits EntryDaemon::Details::Bounds() const {
+  CallerLimits bounds;
   if (!views.routes()) {
     return bounds;
   }
--- a/src/process/change_relay.cc
+++ b/src/process/change_relay.cc
@@ -16,7 +16,7 @@
 
 using connection::event::Awaitable;
 using connection::event::Call;
-using connection::event::CallerBounds;
+using connection::event::CallerLimits;
 using connection::event::CallerReply;
 using connection::event::CallerRequest;
 using connection::event::ExchangeState;
@@ -118,7 +118,7 @@
       server_(
           loop,
           {.endpoint = std::move(endpoint), .max_connections = kMaxConnections},
-          [] { return CallerBounds(); },
+          [] { return CallerLimits(); },
           [this](std::shared_ptr<CallerRequest> request, CallerReply& reply) {
             return Serve(std::move(request), reply);
           },
--- a/tests/connection/event/caller_server_test.cc
+++ b/tests/connection/event/caller_server_test.cc
@@ -62,7 +62,7 @@
     return Exchange(bytes).substr(0, 12);
   }
 
-  CallerBounds bounds_{.max_header_bytes = 512,
+  CallerLimits bounds_{.max_header_bytes = 512,
                        .max_body_bytes = 100,
                        .header_timeout = std::chrono::seconds(20),
                        .idle_timeout = std::chrono::seconds(20)};
--- a/tests/platform/relay_fixture.cc
+++ b/tests/platform/relay_fixture.cc
@@ -12,7 +12,7 @@
 namespace {
 
 using connection::ScriptedServer;
-using connection::event::CallerBounds;
+using connection::event::CallerLimits;
 using connection::event::CallerReply;
 using connection::event::CallerRequest;
 using connection::event::CallerServer;
@@ -153,7 +153,7 @@
       loop_,
       connection::event::CallerServerOptions{
           .endpoint = Tcp::endpoint(asio::ip::address_v4::loopback(), 0)},
-      [] { return CallerBounds(); },
+      [] { return CallerLimits(); },
       [this](std::shared_ptr<CallerRequest> request, CallerReply& reply) {
         return relay_->Serve(std::move(request), reply);
       },
