--- a/src/connection/event/call.cc
+++ b/src/connection/event/call.cc
@@ -15,7 +15,7 @@
   co_await exchange.Start(endpoint, std::move(request), {},
                           options.recent_only);
   CallAnswer answer;
-  answer.body = co_await exchange.Rest(options.max_answer_bytes);
+  answer.body = co_await exchange.ReadRest(options.max_answer_bytes);
   if (end) {
     *end = exchange.state();
   }
--- a/src/connection/event/exchange.cc
+++ b/src/connection/event/exchange.cc
@@ -152,7 +152,7 @@
   skipping_ = true;
   state_ = ExchangeState::kHead;
   while (state_ == ExchangeState::kHead) {
-    co_await Next();
+    co_await ReadSome();
   }
   skipping_ = false;
   if (state_ != ExchangeState::kWhole) {
@@ -168,7 +168,7 @@
   parser_->body_limit(kNoBodyLimit);
 }
 
-Awaitable<std::string_view> Exchange::Next() {
+Awaitable<std::string_view> Exchange::ReadSome() {
   if (state_ != ExchangeState::kHead) {
     co_return std::string_view();
   }
@@ -196,10 +196,10 @@
   co_return std::string_view();
 }
 
-Awaitable<std::string> Exchange::Rest(std::size_t max_bytes) {
+Awaitable<std::string> Exchange::ReadRest(std::size_t max_bytes) {
   std::string body;
   while (state_ == ExchangeState::kHead) {
-    body.append(co_await Next());
+    body.append(co_await ReadSome());
     if (body.size() > max_bytes) {
       Fail();
     }
--- a/src/connection/event/exchange.h
+++ b/src/connection/event/exchange.h
@@ -68,9 +68,9 @@
                                  bool recent_only);
   // Returns the next bytes of the body, valid until the next call; empty at the
   // end or on an error (see state()).
-  Awaitable<std::string_view> Next();
+  Awaitable<std::string_view> ReadSome();
   // Reads the rest of the body. A body longer than `max_bytes` ends in kBroken.
-  Awaitable<std::string> Rest(std::size_t max_bytes);
+  Awaitable<std::string> ReadRest(std::size_t max_bytes);
   // Resets the connection, so that no byte of the request arrives later. The
   // state becomes kCancelled unless the answer is complete.
   void Cancel() noexcept;
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -135,7 +135,8 @@
     if (info.misdirected) {
       MarkMisdirected(*pick.prefill_engine, entry_changes, deps_.clock());
     }
-    const std::string body = co_await exchange.Rest(kMaxInternalAnswerBytes);
+    const std::string body =
+        co_await exchange.ReadRest(kMaxInternalAnswerBytes);
     const bool good = exchange.state() == ExchangeState::kWhole &&
                       exchange.head().result() == http::status::ok;
     const auto handle = good ? deps_.protocol.parse_handle(body) : std::nullopt;
@@ -251,7 +252,7 @@
   const unsigned status = exchange.head().result_int();
   if (info.outcome == base::Outcome::kNotRun) {
     RecordRejection(*target, info);
-    co_await exchange.Rest(kMaxInternalAnswerBytes);
+    co_await exchange.ReadRest(kMaxInternalAnswerBytes);
     co_return IsStopped() ? AttemptEnd::kStopped : AttemptEnd::kNotRun;
   }
   ++runs_;
@@ -278,7 +279,7 @@
   std::string body;
   while (exchange.state() == ExchangeState::kHead &&
          body.size() <= options_.max_buffered_bytes) {
-    body.append(co_await exchange.Next());
+    body.append(co_await exchange.ReadSome());
   }
   if (exchange.state() == ExchangeState::kHead) {
     reply_.Begin(HeadForCaller(exchange.head()));
@@ -306,7 +307,7 @@
   const bool events = route_->kind == RouteKind::kStream;
   bool sent = true;
   while (sent && exchange.state() == ExchangeState::kHead) {
-    const std::string_view bytes = co_await exchange.Next();
+    const std::string_view bytes = co_await exchange.ReadSome();
     const int events_before = events_.events();
     const std::string piece = events ? events_.Feed(bytes) : std::string(bytes);
     if (!piece.empty()) {
