--- a/src/connection/engine_admin.cc
+++ b/src/connection/engine_admin.cc
@@ -96,10 +96,10 @@
   return answer;
 }
 
-std::optional<OrderAnswer> GiveOrder(SingleConnectionClient& client,
-                                     const EngineOrder& order,
-                                     const MaySend& may_send,
-                                     EngineAdminError* last_error) {
+std::optional<OrderAnswer> CheckAndSendOrder(SingleConnectionClient& client,
+                                             const EngineOrder& order,
+                                             const MaySend& may_send,
+                                             EngineAdminError* last_error) {
   const auto state = ReadState(client, last_error);
   if (!state) {
     return std::nullopt;
@@ -172,11 +172,11 @@
     SingleConnectionClient client(endpoint, timeout);
     return ReadState(client, last_error);
   };
-  admin.give_order =
+  admin.send_order =
       [timeout](const EngineEndpoint& endpoint, const EngineOrder& order,
                 const MaySend& may_send, EngineAdminError* last_error) {
         SingleConnectionClient client(endpoint, timeout);
-        return GiveOrder(client, order, may_send, last_error);
+        return CheckAndSendOrder(client, order, may_send, last_error);
       };
   return admin;
 }
--- a/src/connection/engine_admin.h
+++ b/src/connection/engine_admin.h
@@ -114,7 +114,7 @@
                                            const EngineOrder&,
                                            const MaySend&,
                                            EngineAdminError* last_error)>
-      give_order;
+      send_order;
 };
 
 // Makes the calls over HTTP. `timeout` applies to connecting and to each read
--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -336,7 +336,7 @@
         const connection::MaySend may_send = [&](const auto& state) {
           return MayApply(order, state) && clock() < deadline;
         };
-        auto answer = admin->give_order(endpoint, order, may_send, &error);
+        auto answer = admin->send_order(endpoint, order, may_send, &error);
         return [this, order, attempt, answer = std::move(answer), error] {
           OnSent(order, attempt, answer, error);
         };
--- a/tests/connection/engine_admin_test.cc
+++ b/tests/connection/engine_admin_test.cc
@@ -60,7 +60,7 @@
   const EngineAdmin admin = MakeHttpEngineAdmin(kTimeout);
   EngineAdminError error = EngineAdminError::kNone;
   EngineState seen;
-  const auto answer = admin.give_order(
+  const auto answer = admin.send_order(
       engine.endpoint(), {},
       [&](const EngineState& state) {
         seen = state;
@@ -78,7 +78,7 @@
   TinyEngine engine(5);
   const EngineAdmin admin = MakeHttpEngineAdmin(kTimeout);
   EngineAdminError error = EngineAdminError::kNone;
-  EXPECT_FALSE(admin.give_order(
+  EXPECT_FALSE(admin.send_order(
       engine.endpoint(), {}, [](const EngineState&) { return false; }, &error));
   EXPECT_EQ(error, EngineAdminError::kNotAllowed);
   EXPECT_EQ(engine.orders(), 0);
@@ -90,7 +90,7 @@
   TinyEngine engine(1);
   const EngineAdmin admin = MakeHttpEngineAdmin(kTimeout);
   EngineAdminError error = EngineAdminError::kNone;
-  EXPECT_FALSE(admin.give_order(engine.endpoint(), {}, kAlways, &error));
+  EXPECT_FALSE(admin.send_order(engine.endpoint(), {}, kAlways, &error));
   EXPECT_EQ(error, EngineAdminError::kUnreachable);
   EXPECT_EQ(engine.orders(), 0);
 }
@@ -100,11 +100,11 @@
   const EngineAdmin admin = MakeHttpEngineAdmin(kTimeout);
   EngineAdminError error = EngineAdminError::kNone;
   engine.Answer(409, R"({"error":{"code":"stale_fence"}})");
-  const auto refused = admin.give_order(engine.endpoint(), {}, kAlways, &error);
+  const auto refused = admin.send_order(engine.endpoint(), {}, kAlways, &error);
   ASSERT_TRUE(refused);
   EXPECT_EQ(refused->refusal, OrderRefusal::kStaleFence);
   engine.Answer(500, "");
-  EXPECT_FALSE(admin.give_order(engine.endpoint(), {}, kAlways, &error));
+  EXPECT_FALSE(admin.send_order(engine.endpoint(), {}, kAlways, &error));
   EXPECT_EQ(error, EngineAdminError::kBadAnswer);
 }
 
--- a/tests/process/order_simulation.cc
+++ b/tests/process/order_simulation.cc
@@ -396,7 +396,7 @@
     *error = engine ? EngineAdminError::kNone : EngineAdminError::kUnreachable;
     return engine ? std::optional(StateOf(*engine)) : std::nullopt;
   };
-  admin.give_order =
+  admin.send_order =
       [this](
           const connection::EngineEndpoint& endpoint,
           const connection::EngineOrder& order,
