--- a/src/connection/peer_link.h
+++ b/src/connection/peer_link.h
@@ -48,7 +48,7 @@
   std::size_t max_links = 256;
   // Limit on accepted connections with an incomplete TLS or WebSocket
   // handshake; further ones are closed at once.
-  std::size_t max_unproved = 128;
+  std::size_t max_handshakes = 128;
   // Limit on the send queue of one link. Beyond it the oldest droppable
   // messages are dropped; the link is closed if that is not enough.
   std::size_t max_queue_bytes = 512u << 10;
--- a/src/connection/peer_link_endpoint.h
+++ b/src/connection/peer_link_endpoint.h
@@ -214,14 +214,14 @@
     // Counts pending handshakes: a client that never starts one occupies a
     // socket until the handshake timeout.
     server_.set_tcp_pre_init_handler([this](websocketpp::connection_hdl hdl) {
-      if (++unproved_ > options_.max_unproved) {
+      if (++handshakes_ > options_.max_handshakes) {
         ++links_refused_;
         boost::system::error_code ec;
         server_.get_con_from_hdl(hdl)->get_raw_socket().close(ec);
       }
     });
     server_.set_fail_handler(
-        [this](websocketpp::connection_hdl) { ForgetUnproved(); });
+        [this](websocketpp::connection_hdl) { EndHandshake(); });
     server_.set_tcp_post_init_handler([this](websocketpp::connection_hdl hdl) {
       SetNoDelay(server_.get_con_from_hdl(hdl));
     });
@@ -231,16 +231,16 @@
     server_.set_open_handler([this](websocketpp::connection_hdl hdl) {
       ConnectionPtr con = server_.get_con_from_hdl(hdl);
       const PeerLinkId id = next_link_.fetch_add(1);
-      ForgetUnproved();
+      EndHandshake();
       Adopt(id, con);
       links_.emplace(id, Link(con, false, options_.max_queue_bytes));
       Greet(id);
     });
   }
 
-  void ForgetUnproved() {
-    if (unproved_ > 0) {
-      --unproved_;
+  void EndHandshake() {
+    if (handshakes_ > 0) {
+      --handshakes_;
     }
   }
 
@@ -498,7 +498,7 @@
   // The members below are used only on the I/O thread once it runs.
   bool stopping_ = false;
   // Accepted connections with an incomplete handshake.
-  std::size_t unproved_ = 0;
+  std::size_t handshakes_ = 0;
   std::map<PeerLinkId, Link> links_;
   std::thread thread_;
 };
