--- a/bench/fleet_slopes.cc
+++ b/bench/fleet_slopes.cc
@@ -112,7 +112,7 @@
   report.target = base::TargetId(EngineId(n));
   report.incarnation = "incarnation-1";
   report.sequence = sequence;
-  report.made_ms = static_cast<std::int64_t>(sequence);
+  report.created_ms = static_cast<std::int64_t>(sequence);
   report.model =
       base::ModelName("model-" + std::to_string(n / kZones % kModels));
   report.version = base::ModelVersion("2026-12-01");
--- a/src/connection/load_report.cc
+++ b/src/connection/load_report.cc
@@ -93,7 +93,7 @@
   }
   report.incarnation = ReadText(*object, "incarnation");
   report.sequence = static_cast<std::uint64_t>(ReadWhole(*object, "seq"));
-  report.made_ms = ReadWhole(*object, "generated_at_ms");
+  report.created_ms = ReadWhole(*object, "generated_at_ms");
   const std::string role = ReadText(*object, "role");
   if (!role.empty() && !request::ParseEngineRole(role, &report.role)) {
     return std::nullopt;
@@ -110,7 +110,7 @@
   json object = {{"engine", report.target.str()},
                  {"incarnation", report.incarnation},
                  {"seq", report.sequence},
-                 {"generated_at_ms", report.made_ms},
+                 {"generated_at_ms", report.created_ms},
                  {"role", request::ToString(report.role)},
                  {"running", load.running},
                  {"waiting", load.waiting}};
--- a/src/connection/load_report.h
+++ b/src/connection/load_report.h
@@ -19,12 +19,12 @@
   // Increases within an incarnation.
   std::uint64_t sequence = 0;
   // Creation time by the target's clock, in Unix milliseconds.
-  std::int64_t made_ms = 0;
+  std::int64_t created_ms = 0;
   request::EngineRole role = request::EngineRole::kMixed;
   base::ModelName model;
   base::ModelVersion version;
   bool draining = false;
-  // load.as_of is `now` minus the report's age according to made_ms.
+  // load.as_of is `now` minus the report's age according to created_ms.
   request::TargetLoad load;
 };
 
--- a/src/process/fleet_watch.cc
+++ b/src/process/fleet_watch.cc
@@ -134,7 +134,7 @@
   item.kind = ViewKind::kLoad;
   item.key = report.target.str();
   // The target's clock orders its reports across restarts.
-  item.version = {0, static_cast<std::uint64_t>(report.made_ms)};
+  item.version = {0, static_cast<std::uint64_t>(report.created_ms)};
   item.as_of = report.load.as_of;
   item.body = connection::EncodeLoadReport(report);
   hooks_.publish(std::move(item));
