--- a/src/connection/target_client_exchange.cc
+++ b/src/connection/target_client_exchange.cc
@@ -295,7 +295,7 @@
   const Outcome so_far = stream_.started() ? Outcome::kRan : Outcome::kUnknown;
   switch (stream_.state()) {
     case EngineStream::State::kEnded:
-      if (!stream_.IsWhole()) {
+      if (!stream_.IsComplete()) {
         report_.message =
             "finish reason or usage missing, or token count differs from usage";
         End(AttemptEnd::kBadAnswer, so_far);
--- a/src/connection/target_client_stream.cc
+++ b/src/connection/target_client_stream.cc
@@ -68,7 +68,7 @@
   return state_ == State::kOpen || state_ == State::kEnded;
 }
 
-bool EngineStream::IsWhole() const noexcept {
+bool EngineStream::IsComplete() const noexcept {
   return state_ == State::kEnded && !finish_reason_.empty() && usage_ &&
          resume_from_ + tokens_ == usage_->completion;
 }
--- a/src/connection/target_client_stream.h
+++ b/src/connection/target_client_stream.h
@@ -49,7 +49,7 @@
 
   // Whether finish reason, usage and end marker were read and the number of
   // tokens matches the usage.
-  bool IsWhole() const noexcept;
+  bool IsComplete() const noexcept;
 
   State state() const noexcept { return state_; }
   // Whether an event of this attempt was read: the engine has started.
--- a/tests/connection/target_client_test.cc
+++ b/tests/connection/target_client_test.cc
@@ -338,7 +338,7 @@
     RC_ASSERT(stream.Feed(rest.substr(0, n)));
     rest.remove_prefix(n);
   }
-  RC_ASSERT(stream.IsWhole());
+  RC_ASSERT(stream.IsComplete());
   RC_ASSERT(text == "one two ");
 }
 
@@ -358,7 +358,7 @@
   stream.Feed(bytes);
   // What is cut may be text inside a chunk or spare bytes around a line; what
   // is counted must be there.
-  if (stream.IsWhole()) {
+  if (stream.IsComplete()) {
     RC_ASSERT(stream.tokens() == base::Tokens(2));
   }
 }
