--- a/src/connection/key_value.cc
+++ b/src/connection/key_value.cc
@@ -424,7 +424,7 @@
   KvError lost = KvError::kUnreachable;
   const std::optional<KvAnswer> answer =
       transport_({"/v3/watch", Dump({{"create_request", create}}),
-                  kWatchSilence, take, stop},
+                  kWatchIdleTimeout, take, stop},
                  &lost);
   if (reader.ended_by_receiver() || stop.stop_requested()) {
     return KvError::kNone;
--- a/src/connection/key_value.h
+++ b/src/connection/key_value.h
@@ -98,7 +98,7 @@
     std::function<std::optional<KvAnswer>(const KvCall&, KvError* error)>;
 
 // A watch ends if the service sends nothing for this long.
-inline constexpr base::Duration kWatchSilence = std::chrono::seconds(30);
+inline constexpr base::Duration kWatchIdleTimeout = std::chrono::seconds(30);
 
 // Thread-safe if its transport is. Methods other than Watch() block for at most
 // about `timeout`; do not call them from an actor or while holding a lock.
@@ -127,9 +127,9 @@
 
   // Blocks and passes changes of keys under `prefix`, from revision `from` on,
   // to `on_events` until that returns false, `stop` is requested, the stream
-  // breaks or the service sends nothing for kWatchSilence. `on_events` is also
-  // called without events when the service reports progress. Returns kNone if
-  // `on_events` or `stop` ended the watch, else the error.
+  // breaks or the service sends nothing for kWatchIdleTimeout. `on_events` is
+  // also called without events when the service reports progress. Returns kNone
+  // if `on_events` or `stop` ended the watch, else the error.
   KvError Watch(const std::string& prefix,
                 base::Revision from,
                 const std::function<bool(const std::vector<KvEvent>&,
