--- a/src/connection/target_client.cc
+++ b/src/connection/target_client.cc
@@ -26,7 +26,7 @@
 
 // The HTTP library's read timeout exceeds the idle timeout by this, so that
 // AttemptWatch normally fires first.
-constexpr base::Duration kWatchSlack = std::chrono::seconds(1);
+constexpr base::Duration kReadTimeoutMargin = std::chrono::seconds(1);
 
 struct CancelItem {
   std::string address;
@@ -153,17 +153,19 @@
                           details_->options.max_plain_body);
   auto client = details_->pool.Take(spec.address, spec.port,
                                     spec.request->non_idempotent);
-  const base::Duration silence = spec.idle_timeout > base::Duration::zero()
-                                     ? std::min(spec.idle_timeout, spec.timeout)
-                                     : spec.timeout;
+  const base::Duration idle_timeout =
+      spec.idle_timeout > base::Duration::zero()
+          ? std::min(spec.idle_timeout, spec.timeout)
+          : spec.timeout;
   // A request without a body is not watched until the head of the answer
   // arrives, so the read timeout enforces the idle timeout until then.
-  client->set_read_timeout(body_size == 0 ? silence : silence + kWatchSlack);
+  client->set_read_timeout(body_size == 0 ? idle_timeout
+                                          : idle_timeout + kReadTimeoutMargin);
   client->set_connection_timeout(
       std::min(spec.timeout, details_->options.connect_timeout));
   const auto watched =
       details_->watch.Add({.deadline = details_->clock() + spec.timeout,
-                           .silence = silence,
+                           .idle_timeout = idle_timeout,
                            .cancelled = sink.cancelled,
                            .stop = [&client] { client->stop(); }});
   request::AttemptReport report = exchange.Perform(*client, *watched);
--- a/src/connection/target_client_exchange.cc
+++ b/src/connection/target_client_exchange.cc
@@ -22,13 +22,13 @@
 constexpr char kChatPath[] = "/v1/chat/completions";
 constexpr std::string_view kEventStream = "text/event-stream";
 // Larger error bodies are not parsed.
-constexpr std::size_t kMaxErrorBody = 64u << 10;
+constexpr std::size_t kMaxErrorBodyBytes = 64u << 10;
 // Bytes per write to the socket.
-constexpr std::size_t kWriteSlice = 64u << 10;
+constexpr std::size_t kWriteChunkBytes = 64u << 10;
 // How long to wait for the end of the HTTP message after the stream's end
 // marker before closing the connection. The answer is already complete.
-constexpr base::Duration kEndLinger = std::chrono::milliseconds(50);
-constexpr std::size_t kMaxMessage = 512;
+constexpr base::Duration kMessageEndTimeout = std::chrono::milliseconds(50);
+constexpr std::size_t kMaxMessageBytes = 512;
 
 constexpr int kStatusOk = 200;
 constexpr int kStatusUnavailable = 503;
@@ -129,10 +129,10 @@
   httplib::Error error = httplib::Error::Success;
   const bool sent = client.send(request, response, error);
   // From here on, the watch no longer closes the connection.
-  watch.Retire();
+  watch.Disarm();
   // The HTTP library does not call the response handler if there is no body.
   if (sent && phase_ != Phase::kAnswering) {
-    TakeHead(response, watch);
+    HandleHead(response, watch);
   }
   Classify(sent ? httplib::Error::Success : error, watch.reason());
   connection_clean_ = sent && report_.end != AttemptEnd::kCrossed &&
@@ -161,11 +161,11 @@
     return WriteBody(offset, size, out, watch);
   };
   request.response_handler = [this, &watch](const httplib::Response& head) {
-    return TakeHead(head, watch);
+    return HandleHead(head, watch);
   };
   request.content_receiver = [this, &watch](const char* data, std::size_t size,
                                             std::uint64_t, std::uint64_t) {
-    return TakeBytes(std::string_view(data, size), watch);
+    return HandleBytes(std::string_view(data, size), watch);
   };
   return request;
 }
@@ -187,7 +187,7 @@
     watch.Arm(now);
     phase_ = Phase::kWriting;
   }
-  const std::size_t n = std::min(size, kWriteSlice);
+  const std::size_t n = std::min(size, kWriteChunkBytes);
   if (!out.write(body_.data() + offset, n)) {
     return false;
   }
@@ -197,8 +197,8 @@
   return true;
 }
 
-bool TargetExchange::TakeHead(const httplib::Response& head,
-                              WatchedAttempt& watch) {
+bool TargetExchange::HandleHead(const httplib::Response& head,
+                                WatchedAttempt& watch) {
   // A request without a body has not been armed by WriteBody().
   watch.Arm(clock_());
   phase_ = Phase::kAnswering;
@@ -213,17 +213,19 @@
   return !crossed_;
 }
 
-bool TargetExchange::TakeBytes(std::string_view bytes, WatchedAttempt& watch) {
+bool TargetExchange::HandleBytes(std::string_view bytes,
+                                 WatchedAttempt& watch) {
   watch.Touch(clock_());
   if (IsStreaming()) {
     const bool more = stream_.Feed(bytes);
     if (stream_.state() == EngineStream::State::kEnded) {
-      watch.EndBy(clock_() + kEndLinger);
+      watch.ShortenDeadline(clock_() + kMessageEndTimeout);
     }
     return more;
   }
-  const std::size_t bound =
-      IsPlain() ? max_plain_body_ : std::min(kMaxErrorBody, max_plain_body_);
+  const std::size_t bound = IsPlain()
+                                ? max_plain_body_
+                                : std::min(kMaxErrorBodyBytes, max_plain_body_);
   body_too_large_ = answer_.size() + bytes.size() > bound;
   if (!body_too_large_) {
     answer_ += bytes;
@@ -340,7 +342,7 @@
     return;
   }
   const bool whole = complete && length_known_;
-  if (whole && IsRefusalStatus(status_) && TakeRefusal()) {
+  if (whole && IsRefusalStatus(status_) && ParseRefusal()) {
     End(AttemptEnd::kRefused, Outcome::kNotRun);
     return;
   }
@@ -366,7 +368,7 @@
       Outcome::kUnknown);
 }
 
-bool TargetExchange::TakeRefusal() {
+bool TargetExchange::ParseRefusal() {
   const std::optional<json> body = base::ParseBoundedJson(answer_);
   if (!body || !body->is_object() || !body->contains("error") ||
       !(*body)["error"].is_object()) {
@@ -385,7 +387,8 @@
           : TargetRefusal::kOther;
   const auto message = error.find("message");
   if (message != error.end() && message->is_string()) {
-    report_.target_message = message->get<std::string>().substr(0, kMaxMessage);
+    report_.target_message =
+        message->get<std::string>().substr(0, kMaxMessageBytes);
   }
   report_.retry_after = ParseRetryAfter(error, retry_after_);
   return true;
--- a/src/connection/target_client_exchange.h
+++ b/src/connection/target_client_exchange.h
@@ -52,8 +52,8 @@
                  std::size_t size,
                  httplib::DataSink& out,
                  WatchedAttempt& watch);
-  bool TakeHead(const httplib::Response& head, WatchedAttempt& watch);
-  bool TakeBytes(std::string_view bytes, WatchedAttempt& watch);
+  bool HandleHead(const httplib::Response& head, WatchedAttempt& watch);
+  bool HandleBytes(std::string_view bytes, WatchedAttempt& watch);
   bool IsPlain() const noexcept;
   bool IsStreaming() const noexcept;
 
@@ -63,7 +63,7 @@
   void ClassifyBody(bool complete, StopReason stopped);
   void ClassifyBroken(StopReason stopped);
   // Returns true if the body is an error with outcome "not_run".
-  bool TakeRefusal();
+  bool ParseRefusal();
   void End(request::AttemptEnd end, base::Outcome outcome);
 
   const request::AttemptSpec& spec_;
--- a/src/connection/target_client_pool.cc
+++ b/src/connection/target_client_pool.cc
@@ -11,7 +11,7 @@
 
 // Whether an idle connection is usable. A readable one was closed by the target
 // or has bytes that belong to no request.
-bool IsQuiet(const httplib::Client& client) noexcept {
+bool IsUsable(const httplib::Client& client) noexcept {
   pollfd fd{.fd = client.socket(), .events = POLLIN, .revents = 0};
   return fd.fd >= 0 && ::poll(&fd, 1, 0) == 0;
 }
@@ -28,7 +28,7 @@
     if (!client) {
       break;
     }
-    if (IsQuiet(*client)) {
+    if (IsUsable(*client)) {
       return client;
     }
   }
--- a/src/connection/target_client_stream.cc
+++ b/src/connection/target_client_stream.cc
@@ -54,11 +54,11 @@
       partial_ += bytes;
       bytes = {};
     } else if (partial_.empty()) {
-      TakeLine(bytes.substr(0, n));
+      HandleLine(bytes.substr(0, n));
       bytes.remove_prefix(n + 1);
     } else {
       partial_ += bytes.substr(0, n);
-      TakeLine(std::exchange(partial_, {}));
+      HandleLine(std::exchange(partial_, {}));
       bytes.remove_prefix(n + 1);
     }
     if (partial_.size() + data_.size() > kMaxEventBytes) {
@@ -73,13 +73,13 @@
          resume_from_ + tokens_ == usage_->completion;
 }
 
-void EngineStream::TakeLine(std::string_view line) {
+void EngineStream::HandleLine(std::string_view line) {
   if (line.ends_with('\r')) {
     line.remove_suffix(1);
   }
   if (line.empty()) {
     if (!data_.empty()) {
-      TakeEvent(std::exchange(data_, {}));
+      HandleEvent(std::exchange(data_, {}));
     }
     return;
   }
@@ -97,7 +97,7 @@
   data_ += line;
 }
 
-void EngineStream::TakeEvent(std::string_view data) {
+void EngineStream::HandleEvent(std::string_view data) {
   if (data == kEndMarker) {
     state_ = State::kEnded;
     return;
@@ -119,16 +119,16 @@
     return;
   }
   started_ = true;
-  TakeChunk(*event);
+  HandleChunk(*event);
 }
 
-void EngineStream::TakeChunk(const json& event) {
+void EngineStream::HandleChunk(const json& event) {
   const json* choices = Find(event, "choices", json::value_t::array);
   if (choices && !choices->empty() && choices->front().is_object()) {
-    TakeChoice(event, choices->front());
+    HandleChoice(event, choices->front());
   }
   if (const json* usage = Find(event, "usage", json::value_t::object)) {
-    TakeUsage(*usage);
+    HandleUsage(*usage);
   }
   if (const json* kv =
           Find(event, "kv_transfer_params", json::value_t::object)) {
@@ -137,7 +137,7 @@
   }
 }
 
-void EngineStream::TakeChoice(const json& event, const json& choice) {
+void EngineStream::HandleChoice(const json& event, const json& choice) {
   const std::string_view reason = TextOr(choice, "finish_reason");
   if (!reason.empty()) {
     finish_reason_ = reason;
@@ -168,7 +168,7 @@
   tokens_ += chunk.count;
 }
 
-void EngineStream::TakeUsage(const json& usage) {
+void EngineStream::HandleUsage(const json& usage) {
   request::Usage seen;
   seen.prompt = base::Tokens(TokensOr(usage, "prompt_tokens", 0));
   seen.completion = base::Tokens(TokensOr(usage, "completion_tokens", -1));
--- a/src/connection/target_client_stream.h
+++ b/src/connection/target_client_stream.h
@@ -64,11 +64,11 @@
   const std::string& message() const noexcept { return message_; }
 
  private:
-  void TakeLine(std::string_view line);
-  void TakeEvent(std::string_view data);
-  void TakeChunk(const nlohmann::json& event);
-  void TakeChoice(const nlohmann::json& event, const nlohmann::json& choice);
-  void TakeUsage(const nlohmann::json& usage);
+  void HandleLine(std::string_view line);
+  void HandleEvent(std::string_view data);
+  void HandleChunk(const nlohmann::json& event);
+  void HandleChoice(const nlohmann::json& event, const nlohmann::json& choice);
+  void HandleUsage(const nlohmann::json& usage);
   void Fail(State state, std::string message);
 
   const std::string expected_id_;
--- a/src/connection/target_client_watch.cc
+++ b/src/connection/target_client_watch.cc
@@ -9,31 +9,31 @@
 
 // Cancellation is polled only after the target has been silent for this long:
 // before that, the next write to the caller detects a disconnect.
-constexpr base::Duration kBriefSilence = std::chrono::milliseconds(100);
+constexpr base::Duration kCancelPollDelay = std::chrono::milliseconds(100);
 
 }  // namespace
 
 WatchedAttempt::WatchedAttempt(Options options, base::Time now)
     : options_(std::move(options)),
       deadline_(options_.deadline),
-      last_sign_(now) {}
+      last_activity_(now) {}
 
 void WatchedAttempt::Arm(base::Time now) noexcept {
-  last_sign_ = now;
+  last_activity_ = now;
   armed_ = true;
 }
 
 void WatchedAttempt::Touch(base::Time now) noexcept {
-  last_sign_ = now;
+  last_activity_ = now;
 }
 
-void WatchedAttempt::EndBy(base::Time deadline) noexcept {
+void WatchedAttempt::ShortenDeadline(base::Time deadline) noexcept {
   deadline_ = std::min(deadline, deadline_.load());
 }
 
-void WatchedAttempt::Retire() {
+void WatchedAttempt::Disarm() {
   const std::lock_guard lock(stop_mutex_);
-  retired_ = true;
+  disarmed_ = true;
 }
 
 void WatchedAttempt::Check(base::Time now) {
@@ -46,7 +46,7 @@
   }
   // `stop` shuts down a socket, which does not block.
   const std::lock_guard lock(stop_mutex_);
-  if (!retired_) {
+  if (!disarmed_) {
     reason_ = due;
     options_.stop();
   }
@@ -56,12 +56,12 @@
   if (now >= deadline_.load()) {
     return StopReason::kDeadline;
   }
-  const base::Duration silent = now - last_sign_.load();
-  if (silent >= options_.silence) {
-    return StopReason::kSilence;
+  const base::Duration idle_time = now - last_activity_.load();
+  if (idle_time >= options_.idle_timeout) {
+    return StopReason::kIdleTimeout;
   }
-  const bool cancelled =
-      silent >= kBriefSilence && options_.cancelled && options_.cancelled();
+  const bool cancelled = idle_time >= kCancelPollDelay && options_.cancelled &&
+                         options_.cancelled();
   return cancelled ? StopReason::kCancelled : StopReason::kNone;
 }
 
@@ -91,7 +91,7 @@
 }
 
 void AttemptWatch::Remove(const std::shared_ptr<WatchedAttempt>& attempt) {
-  attempt->Retire();
+  attempt->Disarm();
   const std::lock_guard lock(mutex_);
   const auto it = std::ranges::find(attempts_, attempt);
   if (it != attempts_.end()) {
--- a/src/connection/target_client_watch.h
+++ b/src/connection/target_client_watch.h
@@ -18,14 +18,14 @@
 namespace lynxglade::connection {
 
 // Why the watch ended an attempt.
-enum class StopReason { kNone, kDeadline, kSilence, kCancelled };
+enum class StopReason { kNone, kDeadline, kIdleTimeout, kCancelled };
 
 // One watched attempt. Created by AttemptWatch::Add(). Thread-safe.
 class WatchedAttempt {
  public:
   struct Options {
     base::Time deadline{};
-    base::Duration silence{};
+    base::Duration idle_timeout{};
     // Polled while the target sends nothing; may be empty.
     std::function<bool()> cancelled;
     // Shuts down the connection, so that the reading thread returns. Must not
@@ -42,9 +42,9 @@
   // Restarts the idle timeout; call when the target sent something.
   void Touch(base::Time now) noexcept;
   // Shortens the deadline; a later one than the current is ignored.
-  void EndBy(base::Time deadline) noexcept;
+  void ShortenDeadline(base::Time deadline) noexcept;
   // `stop` is not called after this returns.
-  void Retire();
+  void Disarm();
 
   // Calls `stop` if the attempt has to end.
   void Check(base::Time now);
@@ -57,11 +57,11 @@
   const Options options_;
   std::atomic<bool> armed_{false};
   std::atomic<base::Time> deadline_;
-  std::atomic<base::Time> last_sign_;
+  std::atomic<base::Time> last_activity_;
   std::atomic<StopReason> reason_{StopReason::kNone};
-  // Serializes calls of `stop` with Retire().
+  // Serializes calls of `stop` with Disarm().
   std::mutex stop_mutex_;
-  bool retired_ = false;
+  bool disarmed_ = false;
 };
 
 // Checks all attempts on its own thread. Thread-safe.
@@ -76,7 +76,7 @@
   AttemptWatch& operator=(const AttemptWatch&) = delete;
 
   std::shared_ptr<WatchedAttempt> Add(WatchedAttempt::Options options);
-  // Calls Retire() on the attempt and stops checking it.
+  // Calls Disarm() on the attempt and stops checking it.
   void Remove(const std::shared_ptr<WatchedAttempt>& attempt);
 
  private:
