--- a/src/connection/key_value.cc
+++ b/src/connection/key_value.cc
@@ -176,14 +176,14 @@
 }
 
 // A read whose answer was lost has changed nothing.
-KvError ErrorOfLoss(KvError error, Effect effect) {
+KvError ErrorOfLostAnswer(KvError error, Effect effect) {
   return error == KvError::kAmbiguous && effect == Effect::kReads
              ? KvError::kUnreachable
              : error;
 }
 
 // If the answer cannot be parsed, a write may have taken effect.
-KvError ErrorOfNonsense(Effect effect) {
+KvError ErrorOfInvalidAnswer(Effect effect) {
   return effect == Effect::kWrites ? KvError::kAmbiguous : KvError::kBadAnswer;
 }
 
@@ -197,7 +197,7 @@
   const std::optional<KvAnswer> answer =
       transport({path, Dump(body), timeout, nullptr, {}}, &lost);
   if (!answer) {
-    *last_error = ErrorOfLoss(lost, effect);
+    *last_error = ErrorOfLostAnswer(lost, effect);
     return std::nullopt;
   }
   if (answer->status != kHttpOk) {
@@ -205,7 +205,7 @@
     return std::nullopt;
   }
   std::optional<json> value = Parse(answer->body);
-  *last_error = value ? KvError::kNone : ErrorOfNonsense(effect);
+  *last_error = value ? KvError::kNone : ErrorOfInvalidAnswer(effect);
   return value;
 }
 
@@ -433,7 +433,7 @@
     return reader.error();
   }
   if (!answer) {
-    return ErrorOfLoss(lost, Effect::kReads);
+    return ErrorOfLostAnswer(lost, Effect::kReads);
   }
   return answer->status == kHttpOk
              ? KvError::kUnreachable
--- a/src/connection/key_value_http.cc
+++ b/src/connection/key_value_http.cc
@@ -124,9 +124,9 @@
   bool ended_by_receiver_ = false;
 };
 
-std::optional<KvAnswer> Carry(ClientPool& pool,
-                              const KvCall& call,
-                              KvError* error) {
+std::optional<KvAnswer> SendCall(ClientPool& pool,
+                                 const KvCall& call,
+                                 KvError* error) {
   std::unique_ptr<httplib::Client> client = pool.Take();
   SetTimeouts(call.timeout, client.get());
   Exchange exchange(call);
@@ -160,7 +160,7 @@
         if (on_call) {
           on_call(call.path);
         }
-        return Carry(*pool, call, error);
+        return SendCall(*pool, call, error);
       };
 }
 
