--- a/src/connection/peer_link_endpoint.h
+++ b/src/connection/peer_link_endpoint.h
@@ -174,8 +174,8 @@
 
   bool Listen() {
     websocketpp::lib::error_code ec;
-    Quiet(server_);
-    Quiet(client_);
+    DisableLogging(server_);
+    DisableLogging(client_);
     server_.init_asio(&io_, ec);
     if (ec) {
       return false;
@@ -205,7 +205,7 @@
   }
 
   template <typename Endpoint>
-  static void Quiet(Endpoint& endpoint) {
+  static void DisableLogging(Endpoint& endpoint) {
     endpoint.clear_access_channels(websocketpp::log::alevel::all);
     endpoint.clear_error_channels(websocketpp::log::elevel::all);
   }
@@ -232,9 +232,9 @@
       ConnectionPtr con = server_.get_con_from_hdl(hdl);
       const PeerLinkId id = next_link_.fetch_add(1);
       EndHandshake();
-      Adopt(id, con);
+      InstallLinkHandlers(id, con);
       links_.emplace(id, Link(con, false, options_.max_queue_bytes));
-      Greet(id);
+      SendHello(id);
     });
   }
 
@@ -261,7 +261,7 @@
   }
 
   // Installs the handlers that map a connection's events to its link id.
-  void Adopt(PeerLinkId id, const ConnectionPtr& con) {
+  void InstallLinkHandlers(PeerLinkId id, const ConnectionPtr& con) {
     con->set_message_handler(
         [this, id](websocketpp::connection_hdl, MessagePtr message) {
           Receive(id, message);
@@ -290,7 +290,7 @@
                                    std::to_string(options_.max_links) + ")");
       return;
     }
-    Adopt(id, con);
+    InstallLinkHandlers(id, con);
     con->set_tcp_post_init_handler(
         [this, con_weak = std::weak_ptr(con)](websocketpp::connection_hdl) {
           if (const ConnectionPtr c = con_weak.lock()) {
@@ -298,14 +298,14 @@
           }
         });
     con->set_open_handler(
-        [this, id](websocketpp::connection_hdl) { Greet(id); });
+        [this, id](websocketpp::connection_hdl) { SendHello(id); });
     links_.emplace(id, Link(con, true, options_.max_queue_bytes));
     client_.connect(con);
   }
 
   // Called when the connection is open: checks the peer's identity and sends
   // the hello message.
-  void Greet(PeerLinkId id) {
+  void SendHello(PeerLinkId id) {
     const auto it = links_.find(id);
     if (it == links_.end()) {
       return;
@@ -339,10 +339,10 @@
       hooks_.on_message(id, payload);
       return;
     }
-    JudgeHello(id, &it->second, payload);
+    CheckHello(id, &it->second, payload);
   }
 
-  void JudgeHello(PeerLinkId id, Link* link, const std::string& hello) {
+  void CheckHello(PeerLinkId id, Link* link, const std::string& hello) {
     const PeerIdentity* identity =
         link->identity.has_value() ? &*link->identity : nullptr;
     const std::string refusal = hooks_.check_hello(hello, identity);
@@ -390,7 +390,7 @@
   // Removes the link and closes its connection. Calls on_down if the link was
   // up or dialled, so that the owner has its id.
   void Drop(PeerLinkId id,
-            const std::string& told_to_peer,
+            const std::string& close_reason,
             const std::string& reason) {
     const auto it = links_.find(id);
     if (it == links_.end()) {
@@ -401,7 +401,7 @@
     links_.erase(it);
     websocketpp::lib::error_code ec;
     con->close(websocketpp::close::status::policy_violation,
-               told_to_peer.substr(0, kMaxReasonBytes), ec);
+               close_reason.substr(0, kMaxReasonBytes), ec);
     if (known) {
       hooks_.on_down(id, reason);
     }
@@ -420,28 +420,27 @@
   // Sends queued messages and closes links whose hello is overdue.
   void Sweep() {
     const auto now = SteadyClock::now();
-    std::vector<PeerLinkId> silent;
+    std::vector<PeerLinkId> overdue;
     std::vector<PeerLinkId> waiting;
     for (const auto& [id, link] : links_) {
-      const bool greeted_by_us =
-          link.hello_deadline != SteadyClock::time_point{};
-      if (!link.up && greeted_by_us && link.hello_deadline < now) {
-        silent.push_back(id);
+      const bool hello_sent = link.hello_deadline != SteadyClock::time_point{};
+      if (!link.up && hello_sent && link.hello_deadline < now) {
+        overdue.push_back(id);
       }
       if (!link.queue.empty()) {
         waiting.push_back(id);
       }
     }
-    for (const PeerLinkId id : silent) {
+    for (const PeerLinkId id : overdue) {
       ++links_refused_;
       Drop(id, "hello timed out", "peer sent no hello in time");
     }
     for (const PeerLinkId id : waiting) {
-      Pump(id);
+      SendQueued(id);
     }
   }
 
-  void Pump(PeerLinkId id) {
+  void SendQueued(PeerLinkId id) {
     auto it = links_.find(id);
     while (it != links_.end() && !it->second.queue.empty() &&
            HasRoom(it->second)) {
