--- a/src/connection/bounded_server.cc
+++ b/src/connection/bounded_server.cc
@@ -18,11 +18,12 @@
 // Limit of the HTTP library on requests per connection.
 constexpr std::size_t kRequestsPerConnection = 100'000;
 // Limits for a connection that gets the overflow answer.
-constexpr base::Duration kOverflowPatience = std::chrono::seconds(1);
-constexpr base::Duration kOverflowLinger = std::chrono::milliseconds(100);
+constexpr base::Duration kOverflowTimeout = std::chrono::seconds(1);
+constexpr base::Duration kOverflowLingerTimeout =
+    std::chrono::milliseconds(100);
 // Idle timeout while most connection threads are in use.
-constexpr base::Duration kCrowdedIdle = std::chrono::seconds(1);
-constexpr base::Duration kLinger = std::chrono::milliseconds(500);
+constexpr base::Duration kNearlyFullIdleTimeout = std::chrono::seconds(1);
+constexpr base::Duration kLingerTimeout = std::chrono::milliseconds(500);
 // Allowance for chunk framing: an eighth of the body limit plus a constant.
 constexpr std::size_t kFramingShare = 8;
 constexpr std::size_t kFramingBytes = 64u << 10;
@@ -76,7 +77,7 @@
                              ConnectionThreads& threads)
     : options_(options), threads_(threads) {}
 
-int BoundedServer::JudgeHead(const httplib::Request& head) {
+int BoundedServer::CheckHead(const httplib::Request& head) {
   const auto lengths = head.get_header_value_count("Content-Length");
   const auto encodings = head.get_header_value_count("Transfer-Encoding");
   if (lengths + encodings > 1) {
@@ -152,7 +153,7 @@
     return;
   }
   ServeRequests(stream);
-  stream.CloseGently(overflow ? kOverflowLinger : kLinger);
+  stream.CloseWithLinger(overflow ? kOverflowLingerTimeout : kLingerTimeout);
 }
 
 void BoundedServer::ServeRequests(ServerStream& stream) {
@@ -169,21 +170,23 @@
 
 bool BoundedServer::AwaitNext(ServerStream& stream, bool first) const {
   const auto start = std::chrono::steady_clock::now();
-  const auto give_up = [&] {
+  const auto should_stop = [&] {
     const bool idle_long =
-        std::chrono::steady_clock::now() - start >= kCrowdedIdle;
-    return svr_sock_ == INVALID_SOCKET || (idle_long && threads_.crowded());
+        std::chrono::steady_clock::now() - start >= kNearlyFullIdleTimeout;
+    return svr_sock_ == INVALID_SOCKET ||
+           (idle_long && threads_.IsNearlyFull());
   };
   const bool overflow = ConnectionThreads::CurrentMode() == Mode::kOverflow;
-  const base::Duration patience =
+  const base::Duration timeout =
       first ? options_.head_timeout : options_.idle_timeout;
-  return stream.AwaitRequest(overflow ? kOverflowPatience : patience, give_up);
+  return stream.AwaitRequest(overflow ? kOverflowTimeout : timeout,
+                             should_stop);
 }
 
 bool BoundedServer::ServeOne(ServerStream& stream, bool last) {
   const Verdict verdict = stream.ReadHead();
   if (verdict != Verdict::kGood) {
-    RefuseHead(stream, verdict);
+    RejectHead(stream, verdict);
     return false;
   }
   bool closed = false;
@@ -193,7 +196,7 @@
          stream.body_verdict() == Verdict::kGood;
 }
 
-void BoundedServer::RefuseHead(ServerStream& stream, Verdict verdict) {
+void BoundedServer::RejectHead(ServerStream& stream, Verdict verdict) {
   if (verdict == Verdict::kClosed) {
     return;
   }
@@ -231,9 +234,9 @@
   limits.body_timeout = options_.body_timeout;
   limits.write_timeout = options_.write_timeout;
   if (ConnectionThreads::CurrentMode() == Mode::kOverflow) {
-    limits.handshake_timeout = kOverflowPatience;
-    limits.head_timeout = kOverflowPatience;
-    limits.write_timeout = kOverflowPatience;
+    limits.handshake_timeout = kOverflowTimeout;
+    limits.head_timeout = kOverflowTimeout;
+    limits.write_timeout = kOverflowTimeout;
   }
   return limits;
 }
--- a/src/connection/bounded_server.h
+++ b/src/connection/bounded_server.h
@@ -26,7 +26,7 @@
 
   // Rejects bodies with ambiguous framing or a content coding, which the HTTP
   // library does not handle safely. Returns the status of the error, or 0.
-  static int JudgeHead(const httplib::Request& head);
+  static int CheckHead(const httplib::Request& head);
 
   // --- For handlers, on a connection's thread.
 
@@ -50,7 +50,7 @@
   // Returns whether the connection may carry another request.
   bool ServeOne(ServerStream& stream, bool last);
   bool AwaitNext(ServerStream& stream, bool first) const;
-  void RefuseHead(ServerStream& stream, ServerStream::Verdict verdict);
+  void RejectHead(ServerStream& stream, ServerStream::Verdict verdict);
   void CountBody(ServerStream::Verdict verdict) noexcept;
   ServerStreamLimits Limits() const;
 
--- a/src/connection/connection_threads.cc
+++ b/src/connection/connection_threads.cc
@@ -75,7 +75,7 @@
   return dropped_;
 }
 
-bool ConnectionThreads::crowded() const noexcept {
+bool ConnectionThreads::IsNearlyFull() const noexcept {
   std::lock_guard lock(mutex_);
   return busy_ * 8 >= bound_ * 7;
 }
--- a/src/connection/connection_threads.h
+++ b/src/connection/connection_threads.h
@@ -37,7 +37,7 @@
   std::size_t overflowed() const noexcept;
   std::size_t dropped() const noexcept;
   // Whether most threads are busy, so that idle connections should be closed.
-  bool crowded() const noexcept;
+  bool IsNearlyFull() const noexcept;
 
   // Mode of the job that runs on the calling thread.
   static Mode CurrentMode() noexcept;
--- a/src/connection/http_server.cc
+++ b/src/connection/http_server.cc
@@ -202,8 +202,8 @@
   void Configure();
   void Serve(const httplib::Request& in, httplib::Response& out);
   // Answers the request and returns true if its head is rejected.
-  bool RefuseByHead(const httplib::Request& in, httplib::Response& out);
-  bool RefusesHead(const httplib::Request& in, httplib::Response& out);
+  bool RejectByHead(const httplib::Request& in, httplib::Response& out);
+  bool RejectsHead(const httplib::Request& in, httplib::Response& out);
   bool Screen(const httplib::Request& in, httplib::Response& out);
   void FillError(httplib::Response& out) const;
 
@@ -229,11 +229,11 @@
   });
   server.set_expect_100_continue_handler(
       [this](const httplib::Request& in, httplib::Response& out) {
-        return RefuseByHead(in, out) ? out.status : 100;
+        return RejectByHead(in, out) ? out.status : 100;
       });
   server.set_pre_routing_handler([this](const httplib::Request& in,
                                         httplib::Response& out) {
-    return RefuseByHead(in, out) ? httplib::Server::HandlerResponse::Handled
+    return RejectByHead(in, out) ? httplib::Server::HandlerResponse::Handled
                                  : httplib::Server::HandlerResponse::Unhandled;
   });
   server.set_error_handler([this](const httplib::Request&,
@@ -252,12 +252,12 @@
   server.Delete(".*", serve);
 }
 
-bool HttpServer::Details::RefuseByHead(const httplib::Request& in,
+bool HttpServer::Details::RejectByHead(const httplib::Request& in,
                                        httplib::Response& out) {
   if (ConnectionThreads::CurrentMode() != ConnectionThreads::Mode::kServe) {
     out.status = options.overflow.status;
     out.set_content(options.overflow.body, options.overflow.content_type);
-  } else if (!RefusesHead(in, out)) {
+  } else if (!RejectsHead(in, out)) {
     return false;
   }
   // The body is not read, so a following request could not be told apart from
@@ -268,11 +268,11 @@
 }
 
 // Checks the head and fills the answer if it is rejected.
-bool HttpServer::Details::RefusesHead(const httplib::Request& in,
+bool HttpServer::Details::RejectsHead(const httplib::Request& in,
                                       httplib::Response& out) {
   if (in.path.size() > kMaxPathBytes) {
     out.status = kHttpUriTooLong;
-  } else if (const int status = BoundedServer::JudgeHead(in)) {
+  } else if (const int status = BoundedServer::CheckHead(in)) {
     out.status = status;
   } else if (in.get_header_value<std::uint64_t>("Content-Length") >
              options.max_body_bytes) {
--- a/src/connection/server_stream.cc
+++ b/src/connection/server_stream.cc
@@ -24,7 +24,7 @@
 constexpr std::size_t kReceiveBytes = 16u << 10;
 constexpr std::chrono::milliseconds kAwaitSlice{200};
 // Slower callers run into the write timeout.
-constexpr std::size_t kLeastBytesPerSecond = 16u << 10;
+constexpr std::size_t kMinBytesPerSecond = 16u << 10;
 constexpr std::string_view kRangeName = "range:";
 // Same length as kRangeName, so that the head can be changed in place.
 constexpr std::string_view kHiddenRange = "x-rng:";
@@ -83,11 +83,11 @@
 }
 
 bool ServerStream::AwaitRequest(base::Duration timeout,
-                                const std::function<bool()>& give_up) {
+                                const std::function<bool()>& should_stop) {
   const SteadyTime deadline = Steady::now() + timeout;
   while (!HasInput()) {
     const SteadyTime now = Steady::now();
-    if (now >= deadline || give_up()) {
+    if (now >= deadline || should_stop()) {
       return false;
     }
     if (WaitFor(POLLIN, std::min(deadline, now + kAwaitSlice))) {
@@ -142,7 +142,7 @@
   }
 }
 
-void ServerStream::CloseGently(base::Duration patience) {
+void ServerStream::CloseWithLinger(base::Duration timeout) {
   if (broken_) {
     return;
   }
@@ -151,7 +151,7 @@
     SSL_shutdown(ssl_.get());
   }
   ::shutdown(socket_, SHUT_WR);
-  const SteadyTime deadline = Steady::now() + patience;
+  const SteadyTime deadline = Steady::now() + timeout;
   std::array<char, kReceiveBytes> buf{};
   while (Steady::now() < deadline &&
          ReceivePlain(buf.data(), buf.size(), deadline) > 0) {
@@ -222,7 +222,7 @@
     return -1;
   }
   const SteadyTime deadline = Steady::now() + limits_.write_timeout +
-                              std::chrono::seconds(size / kLeastBytesPerSecond);
+                              std::chrono::seconds(size / kMinBytesPerSecond);
   std::size_t sent = 0;
   while (sent < size) {
     const ssize_t n = SendSome(ptr + sent, size - sent, deadline);
--- a/src/connection/server_stream.h
+++ b/src/connection/server_stream.h
@@ -28,7 +28,7 @@
   base::Duration handshake_timeout{};
   base::Duration head_timeout{};
   base::Duration body_timeout{};
-  // Bounds one write; large pieces get more time (kLeastBytesPerSecond).
+  // Bounds one write; large pieces get more time (kMinBytesPerSecond).
   base::Duration write_timeout{};
 };
 
@@ -46,10 +46,11 @@
   // Does the TLS handshake. Returns false if it fails or times out.
   bool Handshake(const TlsMaterial::ContextPtr& context);
 
-  // Waits for the first byte of a request. `give_up` is polled a few times per
-  // second. Returns false on timeout, error or if `give_up` returned true.
+  // Waits for the first byte of a request. `should_stop` is polled a few times
+  // per second. Returns false on timeout, error or if `should_stop` returned
+  // true.
   bool AwaitRequest(base::Duration timeout,
-                    const std::function<bool()>& give_up);
+                    const std::function<bool()>& should_stop);
   // Reads the complete head and buffers it for the HTTP library.
   Verdict ReadHead();
   // Whether the caller closed the connection or its sending side. Thread-safe;
@@ -59,8 +60,8 @@
   Verdict body_verdict() const noexcept { return body_verdict_; }
 
   // Shuts down the sending side and discards further input for at most
-  // `patience`, so that a reset does not destroy the last answer.
-  void CloseGently(base::Duration patience);
+  // `timeout`, so that a reset does not destroy the last answer.
+  void CloseWithLinger(base::Duration timeout);
 
   // --- httplib::Stream
   bool is_readable() const override;
