--- a/src/connection/event/caller_server.cc
+++ b/src/connection/event/caller_server.cc
@@ -80,7 +80,7 @@
 
 // Whether the end of the body is unambiguous: either chunked, or at most one
 // Content-Length.
-bool HasClearLength(const RequestHead& head) {
+bool HasUnambiguousLength(const RequestHead& head) {
   const auto coding = head.find(http::field::transfer_encoding);
   if (coding == head.end()) {
     return head.count(http::field::content_length) <= 1;
@@ -159,7 +159,7 @@
   std::optional<ReadFault> timed_out_;
   ReadFault fault_ = ReadFault::kClosed;
   // Keeps a timer handler that is already queued from cancelling a later wait.
-  int timer_round_ = 0;
+  int timer_generation_ = 0;
   bool idle_ = true;
 };
 
@@ -237,7 +237,7 @@
     Fault(ec);
     co_return false;
   }
-  if (!HasClearLength(parser.get())) {
+  if (!HasUnambiguousLength(parser.get())) {
     fault_ = ReadFault::kMalformed;
     co_return false;
   }
@@ -335,8 +335,8 @@
   timed_out_.reset();
   timer_.expires_after(wait);
   timer_.async_wait([self = shared_from_this(), fault,
-                     round = ++timer_round_](const ErrorCode& ec) {
-    if (ec || round != self->timer_round_) {
+                     generation = ++timer_generation_](const ErrorCode& ec) {
+    if (ec || generation != self->timer_generation_) {
       return;
     }
     self->timed_out_ = fault;
@@ -345,7 +345,7 @@
 }
 
 void CallerServer::Session::Disarm() {
-  ++timer_round_;
+  ++timer_generation_;
   timer_.cancel();
 }
 
--- a/src/connection/tls_material.cc
+++ b/src/connection/tls_material.cc
@@ -69,7 +69,7 @@
 }
 
 // Whether each certificate except the last is signed by the next one.
-bool IsLinked(const Chain& chain) {
+bool IsChainSigned(const Chain& chain) {
   const auto broken = std::ranges::adjacent_find(
       chain, [](const CertificatePtr& cert, const CertificatePtr& issuer) {
         return X509_check_issued(issuer.get(), cert.get()) != X509_V_OK ||
@@ -80,7 +80,7 @@
 }
 
 TlsMaterialError CheckChain(const Chain& chain, std::int64_t now) {
-  if (!IsLinked(chain)) {
+  if (!IsChainSigned(chain)) {
     return TlsMaterialError::kChainBroken;
   }
   const bool early = std::ranges::any_of(chain, [&](const CertificatePtr& it) {
@@ -127,7 +127,7 @@
 }
 
 // Requires client certificates signed by this authority.
-bool DemandClients(SSL_CTX* context, const std::string& authority) {
+bool RequireClientCertificates(SSL_CTX* context, const std::string& authority) {
   STACK_OF(X509_NAME)* names = SSL_load_client_CA_file(authority.c_str());
   if (names == nullptr ||
       SSL_CTX_load_verify_file(context, authority.c_str()) != 1) {
@@ -220,7 +220,7 @@
     return fail(TlsMaterialError::kRefusedByLibrary);
   }
   if (!files_.client_authority.empty() &&
-      !DemandClients(context.get(), files_.client_authority)) {
+      !RequireClientCertificates(context.get(), files_.client_authority)) {
     return fail(TlsMaterialError::kAuthorityUnreadable);
   }
   const std::lock_guard lock(mutex_);
