--- a/src/connection/event/caller_server.cc
+++ b/src/connection/event/caller_server.cc
@@ -95,7 +95,7 @@
 // State shared by all sessions, which may outlive the server.
 struct CallerServer::Shared {
   Shared(asio::io_context& l,
-         std::function<CallerLimits()> b,
+         std::function<CallerServerLimits()> b,
          CallerHandler h,
          base::Clock c,
          base::Metrics& m,
@@ -108,7 +108,7 @@
         max_buffered(buffered) {}
 
   asio::io_context& loop;
-  std::function<CallerLimits()> bounds;
+  std::function<CallerServerLimits()> bounds;
   CallerHandler handler;
   base::Clock clock;
   base::Metrics& metrics;
@@ -137,9 +137,11 @@
 
  private:
   Awaitable<std::shared_ptr<CallerRequest>> Read();
-  Awaitable<bool> AwaitFirstByte(const CallerLimits& bounds);
-  Awaitable<bool> ReadHead(const CallerLimits& bounds, BodyParser& parser);
-  Awaitable<bool> ReadBody(const CallerLimits& bounds, BodyParser& parser);
+  Awaitable<bool> AwaitFirstByte(const CallerServerLimits& bounds);
+  Awaitable<bool> ReadHead(const CallerServerLimits& bounds,
+                           BodyParser& parser);
+  Awaitable<bool> ReadBody(const CallerServerLimits& bounds,
+                           BodyParser& parser);
   Awaitable<void> SendContinue(const RequestHead& head);
   Awaitable<bool> Serve(std::shared_ptr<CallerRequest> request);
   Awaitable<void> AnswerFault();
@@ -183,7 +185,7 @@
 }
 
 Awaitable<std::shared_ptr<CallerRequest>> CallerServer::Session::Read() {
-  const CallerLimits bounds = shared_->bounds();
+  const CallerServerLimits bounds = shared_->bounds();
   const bool begun = co_await AwaitFirstByte(bounds);
   if (!begun) {
     co_return nullptr;
@@ -210,7 +212,7 @@
 }
 
 Awaitable<bool> CallerServer::Session::AwaitFirstByte(
-    const CallerLimits& bounds) {
+    const CallerServerLimits& bounds) {
   idle_ = true;
   if (buffer_.size() == 0) {
     Arm(bounds.idle_timeout, ReadFault::kIdle);
@@ -227,8 +229,9 @@
   co_return true;
 }
 
-Awaitable<bool> CallerServer::Session::ReadHead(const CallerLimits& bounds,
-                                                BodyParser& parser) {
+Awaitable<bool> CallerServer::Session::ReadHead(
+    const CallerServerLimits& bounds,
+    BodyParser& parser) {
   Arm(bounds.header_timeout, ReadFault::kSlow);
   ErrorCode ec;
   co_await http::async_read_header(socket_, buffer_, parser, Into(ec));
@@ -244,8 +247,9 @@
   co_return true;
 }
 
-Awaitable<bool> CallerServer::Session::ReadBody(const CallerLimits& bounds,
-                                                BodyParser& parser) {
+Awaitable<bool> CallerServer::Session::ReadBody(
+    const CallerServerLimits& bounds,
+    BodyParser& parser) {
   if (parser.is_done()) {
     co_return true;
   }
@@ -362,7 +366,7 @@
 
 CallerServer::CallerServer(asio::io_context& loop,
                            CallerServerOptions options,
-                           std::function<CallerLimits()> bounds,
+                           std::function<CallerServerLimits()> bounds,
                            CallerHandler handler,
                            base::Clock clock,
                            base::Metrics& metrics)
--- a/src/connection/event/caller_server.h
+++ b/src/connection/event/caller_server.h
@@ -32,7 +32,7 @@
 };
 
 // Size and time limits for callers; queried before each request.
-struct CallerLimits {
+struct CallerServerLimits {
   std::size_t max_header_bytes = std::size_t{16} * 1024;
   std::size_t max_body_bytes = std::size_t{4} * 1024 * 1024;
   base::Duration header_timeout = std::chrono::seconds(3);
@@ -60,7 +60,7 @@
  public:
   CallerServer(asio::io_context& loop,
                CallerServerOptions options,
-               std::function<CallerLimits()> bounds,
+               std::function<CallerServerLimits()> bounds,
                CallerHandler handler,
                base::Clock clock,
                base::Metrics& metrics);
--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -41,10 +41,10 @@
 using base::Log;
 using base::LogLevel;
 using connection::event::Awaitable;
-using connection::event::CallerLimits;
 using connection::event::CallerReply;
 using connection::event::CallerRequest;
 using connection::event::CallerServer;
+using connection::event::CallerServerLimits;
 using connection::event::ErrorCode;
 using connection::event::Into;
 using connection::event::SleepFor;
@@ -83,7 +83,7 @@
 struct EntryDaemon::Details {
   explicit Details(const process::EntrySettings& s);
 
-  CallerLimits Bounds() const;
+  CallerServerLimits Bounds() const;
   bool Ready() const;
   Awaitable<void> ServeHealth(std::shared_ptr<CallerRequest> request,
                               CallerReply& reply);
@@ -235,7 +235,7 @@
       health(
           loop,
           {.endpoint = EndpointOf(s.health_listen)},
-          [] { return CallerLimits(); },
+          [] { return CallerServerLimits(); },
           [this](std::shared_ptr<CallerRequest> request, CallerReply& reply) {
             return ServeHealth(std::move(request), reply);
           },
@@ -319,8 +319,8 @@
               }};
 }
 
-CallerLimits EntryDaemon::Details::Bounds() const {
-  CallerLimits bounds;
+CallerServerLimits EntryDaemon::Details::Bounds() const {
+  CallerServerLimits bounds;
   if (!views.routes()) {
     return bounds;
   }
--- a/src/process/change_relay.cc
+++ b/src/process/change_relay.cc
@@ -16,9 +16,9 @@
 
 using connection::event::Awaitable;
 using connection::event::Call;
-using connection::event::CallerLimits;
 using connection::event::CallerReply;
 using connection::event::CallerRequest;
+using connection::event::CallerServerLimits;
 using connection::event::ExchangeState;
 using connection::event::OutgoingRequest;
 using connection::event::Tcp;
@@ -118,7 +118,7 @@
       server_(
           loop,
           {.endpoint = std::move(endpoint), .max_connections = kMaxConnections},
-          [] { return CallerLimits(); },
+          [] { return CallerServerLimits(); },
           [this](std::shared_ptr<CallerRequest> request, CallerReply& reply) {
             return Serve(std::move(request), reply);
           },
--- a/tests/connection/event/caller_server_test.cc
+++ b/tests/connection/event/caller_server_test.cc
@@ -62,10 +62,10 @@
     return Exchange(bytes).substr(0, 12);
   }
 
-  CallerLimits bounds_{.max_header_bytes = 512,
-                       .max_body_bytes = 100,
-                       .header_timeout = std::chrono::seconds(20),
-                       .idle_timeout = std::chrono::seconds(20)};
+  CallerServerLimits bounds_{.max_header_bytes = 512,
+                             .max_body_bytes = 100,
+                             .header_timeout = std::chrono::seconds(20),
+                             .idle_timeout = std::chrono::seconds(20)};
   asio::io_context loop_;
   base::Metrics metrics_;
   std::vector<std::string> bodies_;
--- a/tests/platform/relay_fixture.cc
+++ b/tests/platform/relay_fixture.cc
@@ -12,10 +12,10 @@
 namespace {
 
 using connection::ScriptedServer;
-using connection::event::CallerLimits;
 using connection::event::CallerReply;
 using connection::event::CallerRequest;
 using connection::event::CallerServer;
+using connection::event::CallerServerLimits;
 using connection::event::LoopThread;
 using connection::event::Tcp;
 using request::passthrough::EngineEntry;
@@ -153,7 +153,7 @@
       loop_,
       connection::event::CallerServerOptions{
           .endpoint = Tcp::endpoint(asio::ip::address_v4::loopback(), 0)},
-      [] { return CallerLimits(); },
+      [] { return CallerServerLimits(); },
       [this](std::shared_ptr<CallerRequest> request, CallerReply& reply) {
         return relay_->Serve(std::move(request), reply);
       },
