--- a/tests/connection/bounded_cbor_test.cc
+++ b/tests/connection/bounded_cbor_test.cc
@@ -17,15 +17,16 @@
   return error;
 }
 
-TEST(BoundedCbor, GivesBackWhatWasEncoded) {
+TEST(BoundedCbor, DecodesWhatWasEncoded) {
   const nlohmann::json value = {{"k", {1, -2, 3.5, true, nullptr, "text"}}};
   CborError error = CborError::kMalformed;
   EXPECT_EQ(DecodeCbor(EncodeCbor(value), {}, &error), value);
   EXPECT_EQ(error, CborError::kNone);
 }
 
-TEST(BoundedCbor, RefusesDepthBeforeItRecurses) {
-  // 0x81: an array of one element; a megabyte of them would end the stack.
+TEST(BoundedCbor, RejectsDeepNestingBeforeItRecurses) {
+  // 0x81 is an array of one element; a megabyte of them would overflow the
+  // stack.
   CborLimits limits;
   limits.max_bytes = 1u << 20;
   EXPECT_EQ(ErrorOf(std::string(1u << 20, '\x81'), limits),
@@ -34,7 +35,7 @@
   EXPECT_EQ(ErrorOf(std::string(9, '\x80' + 1) + "\x01"), CborError::kTooDeep);
 }
 
-TEST(BoundedCbor, RefusesDeclaredSizesThatTheBytesCannotHold) {
+TEST(BoundedCbor, RejectsDeclaredSizesLargerThanTheInput) {
   // An array and a map that declare 2^32 - 1 elements.
   EXPECT_EQ(ErrorOf("\x9a\xff\xff\xff\xff"), CborError::kTooManyElements);
   EXPECT_EQ(ErrorOf("\xba\xff\xff\xff\xff"), CborError::kTooManyElements);
@@ -44,7 +45,7 @@
             CborError::kMalformed);
 }
 
-TEST(BoundedCbor, RefusesTooManyBytesAndElements) {
+TEST(BoundedCbor, RejectsTooManyBytesAndElements) {
   CborLimits limits;
   limits.max_bytes = 10;
   EXPECT_EQ(ErrorOf(std::string(11, '\x01'), limits), CborError::kTooLarge);
@@ -54,7 +55,7 @@
   EXPECT_EQ(ErrorOf("\x83\x01\x02\x03", limits), CborError::kTooManyElements);
 }
 
-TEST(BoundedCbor, RefusesCutAndTrailingInput) {
+TEST(BoundedCbor, RejectsTruncatedAndTrailingInput) {
   EXPECT_EQ(ErrorOf(""), CborError::kMalformed);
   EXPECT_EQ(ErrorOf("\x82\x01"), CborError::kMalformed);
   EXPECT_EQ(ErrorOf("\x01\x01"), CborError::kMalformed);
--- a/tests/connection/caller_front_test.cc
+++ b/tests/connection/caller_front_test.cc
@@ -17,7 +17,7 @@
 
 using nlohmann::json;
 
-// An exchange that keeps what was written to it.
+// Exchange that records what is written to it.
 class RecordedExchange final : public HttpExchange {
  public:
   explicit RecordedExchange(HttpRequest request)
@@ -152,7 +152,7 @@
   int status;
 };
 
-TEST_F(CallerFrontTest, BadInputIsRefusedWithItsReasonAndNothingRuns) {
+TEST_F(CallerFrontTest, InvalidInputIsRejectedWithAReasonAndNotServed) {
   const HttpHeaders open = {{"x-contract", "open"}};
   const auto with = [&](const std::string& name, const std::string& value) {
     HttpHeaders headers = open;
@@ -201,7 +201,7 @@
             1u);
 }
 
-TEST_F(CallerFrontTest, KeyNamesTheContractAndIsNeverShown) {
+TEST_F(CallerFrontTest, KeyIdentifiesTheContractAndIsNeverExposed) {
   const std::string body =
       R"({"model":"m2","messages":[{"role":"u","content":"x"}]})";
   Chat(body, {{"authorization", "Bearer sesame"}});
@@ -214,7 +214,7 @@
   EXPECT_EQ(other.written.find("sesame"), std::string::npos);
 }
 
-TEST_F(CallerFrontTest, TargetsWordsGoToTheCallerButNotIntoTheLog) {
+TEST_F(CallerFrontTest, TargetMessagesGoToTheCallerButNotToTheLog) {
   base::InitLog(base::LogLevel::kDebug, "i");
   testing::internal::CaptureStderr();
   result_.refusal = request::Refusal{request::RefusalReason::kTargetRejected,
@@ -230,7 +230,7 @@
   EXPECT_EQ(log.find("its prompt"), std::string::npos) << log;
 }
 
-TEST_F(CallerFrontTest, WholeAnswerHasTextUsageAndId) {
+TEST_F(CallerFrontTest, CompleteAnswerHasTextUsageAndId) {
   result_.answer.text = "ab";
   result_.answer.finish_reason = "stop";
   result_.answer.usage = {base::Tokens(3), base::Tokens(2), base::Tokens(0)};
@@ -243,7 +243,7 @@
   EXPECT_EQ(exchange.headers_sent.at("X-Request-Id"), "r1");
 }
 
-TEST_F(CallerFrontTest, StreamEndsWithDoneAndShowsUsageOnlyWhenAsked) {
+TEST_F(CallerFrontTest, StreamEndsWithDoneAndHasUsageOnlyOnRequest) {
   tokens_ = {"a", "b"};
   result_.answer.finish_reason = "stop";
   const RecordedExchange exchange = Chat(kStreamBody, {{"x-contract", "open"}});
@@ -253,7 +253,7 @@
   EXPECT_FALSE(exchange.aborted);
 }
 
-TEST_F(CallerFrontTest, StreamThatFailsMidwayIsNotTakenForWhole) {
+TEST_F(CallerFrontTest, FailureDuringAStreamAbortsIt) {
   tokens_ = {"a"};
   result_.refusal = request::Refusal{request::RefusalReason::kAttemptsExhausted,
                                      base::Outcome::kRan, "gone", std::nullopt};
@@ -286,7 +286,7 @@
             "unknown_service");
 }
 
-TEST_F(CallerFrontTest, SameContentHasOneHashWhoeverAsksAndHowever) {
+TEST_F(CallerFrontTest, ContentHashDoesNotDependOnCallerOrStreaming) {
   Chat(kGoodBody, {{"x-contract", "open"}, {"x-request-id", "r1"}});
   Chat(R"({"stream":true,"user":"u","messages":[{"content":"hello",
         "role":"user"}],"model":"m1"})",
--- a/tests/connection/engine_admin_test.cc
+++ b/tests/connection/engine_admin_test.cc
@@ -16,7 +16,7 @@
         "version":"1","adapters":["b","a"],"generation":4,"fence":9,
         "order_id":"o","seq":2})";
 
-// An engine of two handlers that counts the orders it got.
+// Minimal engine that counts received orders.
 class TinyEngine {
  public:
   explicit TinyEngine(std::size_t requests_a_connection) {
@@ -55,7 +55,7 @@
 constexpr base::Duration kTimeout = std::chrono::seconds(5);
 const MaySend kAlways = [](const EngineState&) { return true; };
 
-TEST(EngineAdminTest, ChecksOnTheOrdersOwnConnectionAndSends) {
+TEST(EngineAdminTest, ReadsStateAndSendsOrderOnOneConnection) {
   TinyEngine engine(5);
   const EngineAdmin admin = MakeHttpEngineAdmin(kTimeout);
   EngineAdminError error = EngineAdminError::kNone;
@@ -74,7 +74,7 @@
   EXPECT_EQ(seen.current.adapters, (std::vector<std::string>{"a", "b"}));
 }
 
-TEST(EngineAdminTest, SendsNothingWhenTheCheckSaysNo) {
+TEST(EngineAdminTest, SendsNoOrderIfTheCheckFails) {
   TinyEngine engine(5);
   const EngineAdmin admin = MakeHttpEngineAdmin(kTimeout);
   EngineAdminError error = EngineAdminError::kNone;
@@ -84,9 +84,9 @@
   EXPECT_EQ(engine.orders(), 0);
 }
 
-// The engine closes the connection after the state was read, as it does to a
-// sender that slept. The library would open another one and send on it.
-TEST(EngineAdminTest, NeverOpensASecondConnectionForAnOrder) {
+// The engine closes the connection after the state was read, as for a suspended
+// sender. The HTTP library would reconnect and send the order.
+TEST(EngineAdminTest, NeverReconnectsForAnOrder) {
   TinyEngine engine(1);
   const EngineAdmin admin = MakeHttpEngineAdmin(kTimeout);
   EngineAdminError error = EngineAdminError::kNone;
@@ -95,7 +95,7 @@
   EXPECT_EQ(engine.orders(), 0);
 }
 
-TEST(EngineAdminTest, TellsRefusalFromUnknownOutcome) {
+TEST(EngineAdminTest, DistinguishesRejectionFromUnknownOutcome) {
   TinyEngine engine(5);
   const EngineAdmin admin = MakeHttpEngineAdmin(kTimeout);
   EngineAdminError error = EngineAdminError::kNone;
--- a/tests/connection/event/caller_server_test.cc
+++ b/tests/connection/event/caller_server_test.cc
@@ -15,7 +15,7 @@
 
 using tests::RawClient;
 
-// Answers each request with its body and notes it.
+// Server that answers each request with its body and records it.
 class CallerServerTest : public testing::Test {
  protected:
   CallerServerTest()
@@ -43,7 +43,7 @@
   }
   ~CallerServerTest() override { thread_.reset(); }
 
-  // Waits for the caller to leave.
+  // Waits for the caller to disconnect.
   Awaitable<void> Hold(CallerReply& reply) {
     asio::steady_timer timer(loop_, asio::steady_timer::time_point::max());
     reply.OnDisconnect([&timer] { timer.cancel(); });
@@ -57,7 +57,8 @@
     client.Send(bytes);
     return client.ReadToEnd();
   }
-  // The status of the answer to bytes after which the server closes.
+  // Sends `bytes` and returns the status line's start; the server must close
+  // the connection.
   std::string Status(const std::string& bytes) {
     return Exchange(bytes).substr(0, 12);
   }
@@ -75,7 +76,7 @@
   std::optional<LoopThread> thread_;
 };
 
-TEST_F(CallerServerTest, ServesRequestsThatComeTogether) {
+TEST_F(CallerServerTest, ServesPipelinedRequests) {
   const std::string answers = Exchange(
       "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab"
       "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n"
@@ -84,14 +85,14 @@
   EXPECT_EQ(bodies_, (std::vector<std::string>{"ab", "cd"}));
 }
 
-TEST_F(CallerServerTest, JoinsChunkedBodies) {
+TEST_F(CallerServerTest, DecodesChunkedBodies) {
   const std::string answer = Exchange(
       "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n"
       "Connection: close\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n");
   EXPECT_TRUE(answer.ends_with("abc"));
 }
 
-TEST_F(CallerServerTest, AsksForABodyThatIsHeldBack) {
+TEST_F(CallerServerTest, SendsContinueWhenExpected) {
   RawClient client(server_.port());
   client.Send(
       "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n"
@@ -101,8 +102,8 @@
   EXPECT_TRUE(client.ReadToEnd().ends_with("ab"));
 }
 
-// Each of these could be read as one request or as two.
-TEST_F(CallerServerTest, RefusesRequestsWhoseEndIsInDoubt) {
+// Each of these could be parsed as one request or as two.
+TEST_F(CallerServerTest, RejectsAmbiguousFraming) {
   const std::vector<std::string> heads = {
       "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
       "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n",
@@ -123,7 +124,7 @@
   EXPECT_TRUE(bodies_.empty());
 }
 
-TEST_F(CallerServerTest, RefusesWhatIsTooLarge) {
+TEST_F(CallerServerTest, RejectsTooLargeHeadsAndBodies) {
   EXPECT_EQ(Status("POST /a HTTP/1.1\r\nHost: h\r\nX: " +
                    std::string(600, 'x') + "\r\n\r\n"),
             "HTTP/1.1 431");
@@ -133,7 +134,7 @@
   EXPECT_TRUE(bodies_.empty());
 }
 
-TEST_F(CallerServerTest, RefusesAHeadThatDoesNotCome) {
+TEST_F(CallerServerTest, RejectsSlowHeads) {
   thread_->Do([this] {
     bounds_.header_timeout = std::chrono::milliseconds(20);
     return true;
@@ -141,7 +142,7 @@
   EXPECT_EQ(Status("POST /a HTT"), "HTTP/1.1 408");
 }
 
-TEST_F(CallerServerTest, ClosesAnIdleConnectionWithoutAWord) {
+TEST_F(CallerServerTest, ClosesIdleConnectionsWithoutAnAnswer) {
   thread_->Do([this] {
     bounds_.idle_timeout = std::chrono::milliseconds(20);
     return true;
@@ -149,7 +150,7 @@
   EXPECT_EQ(Exchange(""), "");
 }
 
-TEST_F(CallerServerTest, NoticesThatTheCallerLeaves) {
+TEST_F(CallerServerTest, DetectsThatTheCallerDisconnects) {
   thread_->Do([this] { return hold_ = true; });
   {
     RawClient client(server_.port());
@@ -159,7 +160,7 @@
   thread_->Await([this] { return disconnected_; });
 }
 
-TEST_F(CallerServerTest, AnswersWhileStoppingEndTheConnection) {
+TEST_F(CallerServerTest, AnswersCloseTheConnectionWhileDraining) {
   thread_->Do([this] {
     server_.BeginDrain();
     return true;
@@ -168,7 +169,7 @@
   EXPECT_NE(answer.find("Connection: close"), std::string::npos);
 }
 
-TEST_F(CallerServerTest, ClosesIdleConnectionsWhenAsked) {
+TEST_F(CallerServerTest, CloseIdleClosesIdleConnections) {
   RawClient client(server_.port());
   client.Send("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
   EXPECT_TRUE(client.ReadHead().starts_with("HTTP/1.1 200"));
--- a/tests/connection/event/exchange_test.cc
+++ b/tests/connection/event/exchange_test.cc
@@ -16,7 +16,7 @@
 namespace lynxglade::connection::event {
 namespace {
 
-// A target that takes one connection, reads a little and then whatever comes.
+// Target that accepts one connection and reads until it ends.
 class ExchangeTest : public testing::Test {
  protected:
   Awaitable<void> Accept() {
@@ -47,11 +47,9 @@
   std::optional<ErrorCode> end_;
 };
 
-// The load this answers: callers left while a zone was cut off; the bytes of
-// their requests stayed with the system's connections, which were closed, and
-// reached the targets when the cut was over, three seconds after these had said
-// that they leave.
-TEST_F(ExchangeTest, ACancelledRequestIsReset) {
+// Unsent bytes of a cancelled request must not reach the target after a network
+// partition ends.
+TEST_F(ExchangeTest, CancelResetsTheConnection) {
   asio::co_spawn(loop_, Accept(), asio::detached);
   Exchange exchange(pool_);
   std::optional<ExchangeState> state;
@@ -71,12 +69,11 @@
   EXPECT_TRUE(exchange.sent());
 }
 
-// A target may read a long request slowly: what waits for it to read is not
-// unacknowledged.
-TEST_F(ExchangeTest, ATargetThatReadsLateGetsTheWholeRequest) {
+// Bytes held back by a full receive window do not count as unacknowledged.
+TEST_F(ExchangeTest, SlowReaderGetsTheCompleteRequest) {
   constexpr std::size_t kBodyBytes = std::size_t{8} * 1024 * 1024;
   ExchangeOptions options;
-  // Longer than an acknowledgement may be put off (40 ms).
+  // Longer than TCP's delayed acknowledgement (40 ms).
   options.acknowledge_timeout = std::chrono::milliseconds(200);
   Exchange exchange(pool_, options);
   std::size_t read = 0;
@@ -113,8 +110,8 @@
   EXPECT_EQ(*state, ExchangeState::kWhole);
 }
 
-// A kept connection that the pool is told to forget is not used again.
-TEST_F(ExchangeTest, AForgottenEndpointGetsANewConnection) {
+// After CloseIdleTo(), the idle connection is not reused.
+TEST_F(ExchangeTest, CloseIdleToForcesANewConnection) {
   auto channel = std::make_shared<Channel>(loop_);
   channel->endpoint = acceptor_.local_endpoint();
   channel->socket.connect(channel->endpoint);
--- a/tests/connection/event/loop_thread.h
+++ b/tests/connection/event/loop_thread.h
@@ -1,4 +1,4 @@
-// An event loop on a thread of its own, for tests whose other side blocks.
+// Runs an event loop on its own thread, for tests that use blocking clients.
 #ifndef LYNXGLADE_TESTS_CONNECTION_EVENT_LOOP_THREAD_H_
 #define LYNXGLADE_TESTS_CONNECTION_EVENT_LOOP_THREAD_H_
 
@@ -36,7 +36,7 @@
     return result.get();
   }
 
-  // Waits until `f` holds on the loop.
+  // Waits until `f`, called on the loop, returns true.
   void Await(const std::function<bool()>& f) {
     while (!Do(f)) {
       std::this_thread::yield();
--- a/tests/connection/hostile_numbers_test.cc
+++ b/tests/connection/hostile_numbers_test.cc
@@ -1,5 +1,5 @@
-// Numbers and shapes that no honest sender writes, as the fuzzer or a review
-// of its targets found them: none may wrap, overflow or throw.
+// Decoding of invalid numbers and types: must not wrap around, overflow or
+// throw.
 #include <cmath>
 #include <string>
 
@@ -33,7 +33,7 @@
           {"seq", 3}};
 }
 
-TEST(HostileNumbersTest, WholeMemberTakesOnlyWhatFits) {
+TEST(HostileNumbersTest, WholeMemberAcceptsOnlyValuesInRange) {
   const json object = {{"low", 0},      {"high", 5},          {"above", 6},
                        {"real", 3.0},   {"text", "3"},        {"below", -1},
                        {"huge", 1e300}, {"wraps", UINT64_MAX}};
@@ -66,9 +66,8 @@
   EXPECT_LE(report->load.as_of, now);
 }
 
-// A report of an engine that has no model used to lose its load on the way
-// between instances.
-TEST(HostileNumbersTest, LoadOfAnEngineWithoutModelComesBack) {
+// A report of an engine without a model must survive encoding and decoding.
+TEST(HostileNumbersTest, LoadOfAnEngineWithoutModelIsPreserved) {
   const base::Time now{std::chrono::hours(1)};
   const auto report = ParseLoadReport(
       R"({"engine":"e","queued_prefill_tokens":7,"decode_tokens_per_s":2.5})",
@@ -80,8 +79,8 @@
   EXPECT_EQ(again->load.decode_tokens_per_s, 2.5);
 }
 
-// 4294967296 used to come out as none in flight, which ends a drain.
-TEST(HostileNumbersTest, EngineStatesThatDoNotFitAreRefused) {
+// A count of 4294967296 must not wrap around to 0, which would end a drain.
+TEST(HostileNumbersTest, EngineStatesOutOfRangeAreRejected) {
   ASSERT_TRUE(DecodeEngineState(GoodState()));
   const json bad_values = {4294967296, -1, 1e300, UINT64_MAX, "0", nullptr};
   for (const char* name : {"in_flight", "generation", "fence", "seq"}) {
@@ -98,7 +97,7 @@
   EXPECT_FALSE(DecodeEngineState(state));
 }
 
-TEST(HostileNumbersTest, OrderAnswersOfWrongTypeAreNoAnswers) {
+TEST(HostileNumbersTest, OrderAnswersOfWrongTypeAreRejected) {
   EXPECT_FALSE(DecodeOrderAnswer(200, R"({"accepted":1})"));
   EXPECT_FALSE(DecodeOrderAnswer(409, R"({"error":{"code":1}})"));
   const std::string deep(100'000, '[');
--- a/tests/connection/http_server_bounds_test.cc
+++ b/tests/connection/http_server_bounds_test.cc
@@ -1,4 +1,4 @@
-// What a caller that has proved nothing can cause: a bounded refusal.
+// Limits on what unauthenticated callers can do to HttpServer.
 #include <pthread.h>
 
 #include <chrono>
@@ -18,13 +18,13 @@
 using tests::RawClient;
 
 constexpr std::size_t kMaxBody = 1000;
-// More than a test opens one after the other: a connection that has ended may
-// still hold its thread for a moment.
+// More than a test opens in sequence: a closed connection may still occupy its
+// thread for a moment.
 constexpr std::size_t kConnections = 64;
 
 class HttpServerBoundsTest : public ::testing::Test {
  protected:
-  // The daemon's connection threads have small stacks; so have these.
+  // Uses the same small thread stacks as the daemon.
   static void SetUpTestSuite() {
     pthread_attr_t attributes;
     pthread_attr_init(&attributes);
@@ -44,7 +44,7 @@
     return options;
   }
 
-  // A server that two connections fill.
+  // Options for a server with at most two connections.
   static HttpServerOptions TightOptions() {
     HttpServerOptions options = Options();
     options.max_connections = 2;
@@ -61,7 +61,7 @@
     port_ = server_->Start().value();
   }
 
-  // The answer to bytes on a fresh connection that ends after it.
+  // Sends `bytes` on a new connection and returns everything up to its end.
   std::string Answer(const std::string& bytes) {
     RawClient client(port_);
     client.Send(bytes);
@@ -73,9 +73,10 @@
   int handled_ = 0;
 };
 
-// The library's matcher recurses over this header's bytes; on a connection
-// thread's stack that ended the process.
-TEST_F(HttpServerBoundsTest, LongRangeHeaderNeitherCrashesNorCutsTheAnswer) {
+// The HTTP library matches this header by a recursive regular expression, which
+// could overflow the stack of a connection thread.
+TEST_F(HttpServerBoundsTest,
+       LongRangeHeaderNeitherCrashesNorTruncatesTheAnswer) {
   Start(Options());
   std::string ranges = "0-0";
   while (ranges.size() < 8000) {
@@ -88,7 +89,7 @@
   EXPECT_TRUE(answer.ends_with("\r\n\r\n|")) << answer;
 }
 
-TEST_F(HttpServerBoundsTest, HeadIsBoundedInBytesAndLines) {
+TEST_F(HttpServerBoundsTest, HeadIsLimitedInBytesAndLines) {
   Start(Options());
   std::string bytes = "GET / HTTP/1.1\r\n";
   for (int i = 0; i < 10; ++i) {
@@ -104,7 +105,7 @@
   EXPECT_EQ(handled_, 0);
 }
 
-TEST_F(HttpServerBoundsTest, SlowHeadAndSlowBodyAreCutOff) {
+TEST_F(HttpServerBoundsTest, SlowHeadAndSlowBodyTimeOut) {
   HttpServerOptions options = Options();
   options.head_timeout = std::chrono::milliseconds(100);
   options.body_timeout = std::chrono::milliseconds(100);
@@ -117,7 +118,7 @@
   EXPECT_EQ(handled_, 0);
 }
 
-TEST_F(HttpServerBoundsTest, ChunkedBodyIsBoundedLikeAnyOther) {
+TEST_F(HttpServerBoundsTest, ChunkedBodyIsLimitedInBytes) {
   Start(Options());
   const std::string head =
       "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n"
@@ -138,7 +139,7 @@
   EXPECT_EQ(handled_, 1);
 }
 
-TEST_F(HttpServerBoundsTest, BodiesOfUnclearLengthOrCompressedAreRefused) {
+TEST_F(HttpServerBoundsTest, AmbiguousOrCompressedBodiesAreRejected) {
   Start(Options());
   const std::string post = "POST / HTTP/1.1\r\n";
   const std::vector<std::pair<std::string, std::string>> heads = {
@@ -150,7 +151,7 @@
       {"Content-Encoding: gzip\r\nContent-Length: 1\r\n", "415"},
   };
   for (const auto& [lines, status] : heads) {
-    // Bytes behind such a head must not be taken for a further request.
+    // Bytes after such a head must not be parsed as another request.
     const std::string answer =
         Answer(post + lines + "\r\nGET /behind HTTP/1.1\r\n\r\n");
     EXPECT_TRUE(answer.starts_with("HTTP/1.1 " + status)) << lines << answer;
@@ -159,7 +160,8 @@
   EXPECT_EQ(handled_, 0);
 }
 
-TEST_F(HttpServerBoundsTest, FormsReachTheHandlerWholeAndNoBodyIsEmpty) {
+TEST_F(HttpServerBoundsTest,
+       FormsReachTheHandlerUnparsedAndMissingBodyIsEmpty) {
   Start(Options());
   const std::string form = "--b\r\nContent-Disposition: form-data\r\n\r\nx";
   EXPECT_TRUE(Answer("POST / HTTP/1.1\r\nConnection: close\r\n"
@@ -171,7 +173,7 @@
                   .ends_with("\r\n\r\n|"));
 }
 
-TEST_F(HttpServerBoundsTest, NoBodyIsReadBeforeTheHeadWasScreened) {
+TEST_F(HttpServerBoundsTest, BodyIsNotReadBeforeTheHeadIsScreened) {
   HttpServerOptions options = Options();
   options.screen = [](const HttpRequest& head) {
     return head.Header("authorization") == "Bearer good"
@@ -179,7 +181,7 @@
                : std::optional(HttpEarlyAnswer{401, {{"X-Why", "key"}}, "who"});
   };
   Start(options);
-  // The body never comes, and the answer does not wait for it.
+  // The answer must not wait for the body, which is never sent.
   for (const char* expect : {"", "Expect: 100-continue\r\n"}) {
     const std::string answer =
         Answer(std::string("POST / HTTP/1.1\r\nContent-Length: 900\r\n") +
@@ -193,9 +195,9 @@
                   .ends_with("|hi"));
 }
 
-// Silent connections above the bound held the only thread that turns further
-// ones away, for as long as they liked.
-TEST_F(HttpServerBoundsTest, SilentConnectionsDoNotStopTheRefusals) {
+// Silent connections above the limit must not block the thread that sends the
+// overflow answer.
+TEST_F(HttpServerBoundsTest, SilentConnectionsDoNotBlockOverflowAnswers) {
   Start(TightOptions());
   RawClient first(port_);
   RawClient second(port_);
@@ -203,7 +205,7 @@
   ASSERT_TRUE(second.Send("GET / HTTP/1.1\r\n\r\n"));
   EXPECT_TRUE(first.ReadHead().starts_with("HTTP/1.1 200"));
   EXPECT_TRUE(second.ReadHead().starts_with("HTTP/1.1 200"));
-  // Both are kept and in the midst of a next request.
+  // Both connections are in the middle of their next request.
   ASSERT_TRUE(first.Send("G"));
   ASSERT_TRUE(second.Send("G"));
   RawClient silent(port_);
@@ -211,7 +213,7 @@
   EXPECT_EQ(server_->counters().overflowed, 2u);
 }
 
-// Far more than may wait to be turned away: the rest is closed at once.
+// More connections than may wait for the overflow answer: the rest is closed.
 TEST_F(HttpServerBoundsTest, FloodOfConnectionsIsClosedUnanswered) {
   Start(TightOptions());
   std::vector<std::unique_ptr<RawClient>> flood;
--- a/tests/connection/http_server_test.cc
+++ b/tests/connection/http_server_test.cc
@@ -39,7 +39,7 @@
   EXPECT_TRUE(answer->body.ends_with("98,99,"));
 }
 
-TEST(HttpServerTest, AbortedStreamIsSeenAsBroken) {
+TEST(HttpServerTest, AbortedStreamIsDetectedByTheCaller) {
   HttpServer server(SmallServer(), [](HttpExchange& exchange) {
     exchange.StartStream(200, "text/plain", {});
     exchange.Write("part");
@@ -51,9 +51,8 @@
   EXPECT_FALSE(client.Get("/"));
 }
 
-// A caller that waits for a whole answer and hangs up is noticed before
-// anything is written to it.
-TEST(HttpServerTest, CallerThatHangsUpWhileItWaitsIsNoticed) {
+// A disconnect must be detected before anything is written to the caller.
+TEST(HttpServerTest, DisconnectOfAWaitingCallerIsDetected) {
   std::promise<void> entered;
   std::promise<void> noticed;
   HttpServer server(SmallServer(), [&](HttpExchange& exchange) {
@@ -74,7 +73,7 @@
   EXPECT_FALSE(call.get());
 }
 
-TEST(HttpServerTest, ConnectionsAboveTheBoundAreTurnedAwayAtOnce) {
+TEST(HttpServerTest, ConnectionsAboveTheLimitGetTheOverflowAnswer) {
   std::promise<void> release;
   const std::shared_future<void> released = release.get_future().share();
   std::mutex mutex;
@@ -112,7 +111,7 @@
   }
 }
 
-TEST(HttpServerTest, TooLargeBodyAndTooLongPathAreRefused) {
+TEST(HttpServerTest, TooLargeBodyAndTooLongPathAreRejected) {
   int handled = 0;
   HttpServer server(SmallServer(), [&](HttpExchange& exchange) {
     ++handled;
--- a/tests/connection/http_server_tls_test.cc
+++ b/tests/connection/http_server_tls_test.cc
@@ -1,5 +1,4 @@
-// TLS of the callers' and operators' servers, and certificates that are
-// replaced while they serve.
+// TLS of HttpServer, and reloading of certificates.
 #include <chrono>
 #include <filesystem>
 #include <fstream>
@@ -63,8 +62,8 @@
     return server_->Start().value_or(0);
   }
 
-  // Whether a client that trusts this authority only finds the server good.
-  // The name is not looked at: the certificates carry none.
+  // Whether a client that trusts only this authority accepts the server. Does
+  // not check the host name, which the certificates lack.
   static bool Trusts(int port, const std::string& authority) {
     const std::unique_ptr<SSL_CTX, decltype(&SSL_CTX_free)> context(
         SSL_CTX_new(TLS_client_method()), &SSL_CTX_free);
@@ -82,7 +81,7 @@
   std::optional<HttpServer> server_;
 };
 
-TEST_F(TlsServerTest, RefusesWhatCannotServeAndKeepsTheFormer) {
+TEST_F(TlsServerTest, RejectsInvalidFilesAndKeepsThePreviousSet) {
   ASSERT_EQ(Load(), TlsMaterialError::kNone);
   const auto context = material_->Context();
   const std::string serial = material_->facts()->serial;
@@ -113,20 +112,20 @@
   EXPECT_NE(material_->Context(), context);
 }
 
-TEST_F(TlsServerTest, SeesReplacedFilesOnce) {
+TEST_F(TlsServerTest, ReportsReplacedFilesOnce) {
   ASSERT_EQ(Load(), TlsMaterialError::kNone);
   EXPECT_FALSE(material_->HasChanged());
   const std::string moved = Files().certificate + ".new";
   std::filesystem::copy_file(Files().certificate, moved);
   std::filesystem::rename(moved, Files().certificate);
   EXPECT_TRUE(material_->HasChanged());
-  // A set that is not good is not read again and again.
+  // An invalid set is not loaded again until the files change.
   Write(Files().key, "no key");
   EXPECT_EQ(Load(), TlsMaterialError::kKeyUnreadable);
   EXPECT_FALSE(material_->HasChanged());
 }
 
-TEST_F(TlsServerTest, NewConnectionsGetTheNewCertificateAndOldOnesGoOn) {
+TEST_F(TlsServerTest, NewConnectionsGetTheNewCertificateAndOldOnesContinue) {
   ASSERT_EQ(Load(), TlsMaterialError::kNone);
   const int port = StartServer();
   ASSERT_NE(port, 0);
--- a/tests/connection/instance_list_test.cc
+++ b/tests/connection/instance_list_test.cc
@@ -23,7 +23,7 @@
      "address":"127.0.0.1","port":70000,"state":"live"}]})";
 }
 
-TEST(InstanceListTest, RowsAreTypedAndUnreadableOnesLeftOut) {
+TEST(InstanceListTest, RowsAreParsedAndUnreadableOnesSkipped) {
   const auto table = ParseInstanceTable(ListOf(4));
   ASSERT_TRUE(table);
   ASSERT_EQ(table->entries.size(), 1u);
@@ -35,9 +35,9 @@
   EXPECT_EQ(table->unreadable_rows, 1);
 }
 
-// Answers in any order, failures in between: the list held never goes back,
-// and its age counts from the last answer that confirmed it.
-RC_GTEST_PROP(InstanceListTest, NeverGoesBack, ()) {
+// With answers in any order and failures in between, the held list's revision
+// never decreases, and its age counts from the last answer that confirmed it.
+RC_GTEST_PROP(InstanceListTest, RevisionNeverDecreases, ()) {
   const auto answers =
       *rc::gen::container<std::vector<int>>(rc::gen::inRange(-1, 6));
   base::Time now{std::chrono::seconds(1)};
@@ -68,7 +68,7 @@
   }
 }
 
-TEST(WeightStoreTest, LimitsOutOfRangeAreRefused) {
+TEST(WeightStoreTest, LimitsOutOfRangeAreRejected) {
   const auto read = [](int status, const std::string& body) {
     PlatformError ec = PlatformError::kNone;
     const WeightStore store([&](const std::string&) {
--- a/tests/connection/key_value_test.cc
+++ b/tests/connection/key_value_test.cc
@@ -20,7 +20,7 @@
 
 constexpr base::Duration kTimeout = std::chrono::seconds(2);
 
-// Answers every call in the same way and keeps the last one.
+// Transport that gives a fixed answer and records the last call.
 struct Script {
   std::optional<KvAnswer> answer;
   KvError error = KvError::kNone;
@@ -39,13 +39,13 @@
   RC_ASSERT(Base64Decode(Base64Encode(bytes)) == bytes);
 }
 
-TEST(Base64Test, RefusesOtherText) {
+TEST(Base64Test, RejectsInvalidText) {
   EXPECT_FALSE(Base64Decode("abc"));
   EXPECT_FALSE(Base64Decode("a?=="));
   EXPECT_FALSE(Base64Decode("===="));
 }
 
-TEST(KeyValueTest, CommitSendsGuardsAndReadsWhatItFound) {
+TEST(KeyValueTest, CommitSendsGuardsAndReturnsFoundEntries) {
   Script script;
   script.answer = KvAnswer{
       200,
@@ -139,7 +139,7 @@
   RC_ASSERT(deleted == std::vector<bool>({false, true}));
 }
 
-// A port that is taken but not listened on, so that connecting is refused.
+// A bound port without a listener, so that connections are refused.
 class SilentPort {
  public:
   SilentPort() : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
@@ -170,7 +170,7 @@
   EXPECT_EQ(ec, KvError::kUnreachable);
 }
 
-// Serves on a free port until it goes out of scope.
+// HTTP server on a free port; stopped by the destructor.
 class LocalServer {
  public:
   explicit LocalServer(httplib::Server* server) : server_(server) {
@@ -191,12 +191,12 @@
   std::thread thread_;
 };
 
-TEST(HttpKvTransportTest, AnswerThatIsCutOffLeavesAWriteAmbiguous) {
+TEST(HttpKvTransportTest, TruncatedAnswerToAWriteIsAmbiguous) {
   httplib::Server server;
   int calls = 0;
   server.Post("/v3/kv/txn", [&](const auto&, httplib::Response& res) {
     ++calls;
-    // Promises more than it gives, then closes.
+    // Sends less than announced, then closes.
     res.set_content_provider(
         1000, "application/json",
         [](std::size_t, std::size_t, httplib::DataSink&) { return false; });
@@ -206,7 +206,7 @@
   KvError ec = KvError::kNone;
   EXPECT_FALSE(store.Commit({}, {{"k", "v", {}}}, &ec));
   EXPECT_EQ(ec, KvError::kAmbiguous);
-  // Never sent a second time by the library.
+  // The HTTP library must not resend the call.
   EXPECT_EQ(calls, 1);
 }
 
--- a/tests/connection/peer_link_test.cc
+++ b/tests/connection/peer_link_test.cc
@@ -1,4 +1,4 @@
-// Two ends of peer links in one process, over loopback.
+// Peer links between two PeerLinks in one process, over loopback.
 #include "connection/peer_link.h"
 
 #include <chrono>
@@ -20,10 +20,10 @@
 namespace lynxglade::connection {
 namespace {
 
-// Far longer than any step takes; only a real fault waits it out.
-constexpr std::chrono::seconds kPatience{30};
+// Reached only if a test fails.
+constexpr std::chrono::seconds kTimeout{30};
 
-// One end, with everything that its hooks were told.
+// One PeerLinks that records the calls of its hooks.
 class End {
  public:
   explicit End(std::string hello,
@@ -44,10 +44,10 @@
 
   bool WaitFor(const std::function<bool()>& done) {
     std::unique_lock lock(mutex_);
-    return changed_.wait_for(lock, kPatience, done);
+    return changed_.wait_for(lock, kTimeout, done);
   }
 
-  // Read under WaitFor or after Stop.
+  // Access only within WaitFor() or after Stop().
   std::vector<PeerLinkId> up;
   std::vector<std::string> hellos;
   std::vector<std::string> identities;
@@ -125,7 +125,7 @@
   }
 }
 
-TEST(PeerLink, TellsThePeerWhyItsGreetingIsRefused) {
+TEST(PeerLink, SendsThePeerTheReasonForRejectingItsHello) {
   End a("old version");
   End b("hello b", {}, "old version");
   ASSERT_TRUE(a.Start());
@@ -140,9 +140,9 @@
   EXPECT_EQ(b.links().counters().links_refused, 1u);
 }
 
-// Connections that never shake hands hold their sockets until a timeout; there
-// may be only so many, and they do not keep peers out for longer.
-TEST(PeerLink, SilentConnectionsAreBoundedAndPeersStillGetIn) {
+// Connections without a handshake occupy sockets until a timeout. Their number
+// is limited, and peers can connect once they are closed.
+TEST(PeerLink, SilentConnectionsAreLimitedAndPeersCanStillConnect) {
   End a("hello a");
   End b("hello b");
   ASSERT_TRUE(a.Start());
@@ -151,7 +151,7 @@
   for (int i = 0; i < 300; ++i) {
     silent.push_back(std::make_unique<tests::RawClient>(b.links().port()));
   }
-  // The last one is above the bound, so it is closed at once.
+  // The last one is above the limit, so it is closed at once.
   EXPECT_EQ(silent.back()->ReadToEnd(), "");
   EXPECT_GE(b.links().counters().links_refused, 100u);
   silent.clear();
@@ -161,7 +161,7 @@
   }));
 }
 
-TEST(PeerLink, ReportsAnAttemptThatFindsNobody) {
+TEST(PeerLink, ReportsAFailedDial) {
   End a("hello a");
   End gone("hello b");
   ASSERT_TRUE(gone.Start());
@@ -172,7 +172,7 @@
   EXPECT_TRUE(a.WaitFor([&] { return a.down_reasons.size() == 1; }));
 }
 
-TEST(PeerLink, StopOfOneEndIsSeenByTheOther) {
+TEST(PeerLink, StopClosesTheLinkForThePeer) {
   End a("hello a");
   End b("hello b");
   Connect(&a, &b);
@@ -180,7 +180,7 @@
   EXPECT_TRUE(a.WaitFor([&] { return a.down_reasons.size() == 1; }));
 }
 
-TEST(PeerLink, CutsOffAnOversizedMessage) {
+TEST(PeerLink, ClosesTheLinkOnAnOversizedMessage) {
   End a("hello a");
   End b("hello b");
   Connect(&a, &b);
@@ -216,7 +216,7 @@
   tests::TestAuthority authority_;
 };
 
-TEST_F(PeerLinkTlsTest, ProvesZoneAndRoleBothWays) {
+TEST_F(PeerLinkTlsTest, AuthenticatesZoneAndRoleInBothDirections) {
   End a("hello a", Files("a", "urn:lynxglade:scl-a:instance"));
   End b("hello b", Files("b", "urn:lynxglade:scl-b:instance"));
   Connect(&a, &b);
@@ -224,7 +224,7 @@
   EXPECT_EQ(b.identities.front(), "scl-a/instance");
 }
 
-TEST_F(PeerLinkTlsTest, RefusesOtherAuthoritiesAndPlainPeers) {
+TEST_F(PeerLinkTlsTest, RejectsOtherAuthoritiesAndPlainPeers) {
   tests::TestAuthority other;
   other.Issue("x", "urn:lynxglade:scl-a:instance");
   End stranger("hello x", {other.CertificateFile("x"), other.KeyFile("x"),
@@ -243,7 +243,7 @@
   EXPECT_TRUE(b.up.empty());
 }
 
-TEST_F(PeerLinkTlsTest, RefusesExpiredPeersAndThoseThatNameNoZone) {
+TEST_F(PeerLinkTlsTest, RejectsExpiredCertificatesAndThoseWithoutAZone) {
   authority_.Issue("late", "urn:lynxglade:scl-a:instance", {-7200, -3600});
   End late("hello l",
            {authority_.CertificateFile("late"), authority_.KeyFile("late"),
@@ -258,14 +258,14 @@
   EXPECT_TRUE(late.WaitFor([&] { return late.down_reasons.size() == 1; }));
   EXPECT_TRUE(
       nameless.WaitFor([&] { return nameless.down_reasons.size() == 1; }));
-  // The refused end also finds the other way closed.
+  // Dialling in the other direction fails, too.
   b.links().Dial("127.0.0.1", late.links().port());
   EXPECT_TRUE(b.WaitFor([&] { return b.down_reasons.size() == 1; }));
   b.links().Stop();
   EXPECT_TRUE(b.up.empty());
 }
 
-TEST_F(PeerLinkTlsTest, TakesReplacedCertificatesWithoutRestart) {
+TEST_F(PeerLinkTlsTest, ReloadsCertificatesWithoutRestart) {
   End a("hello a", Files("a", "urn:lynxglade:scl-a:instance"));
   End b("hello b", Files("b", "urn:lynxglade:scl-b:instance"));
   Connect(&a, &b);
@@ -274,7 +274,7 @@
   a.links().Dial("127.0.0.1", b.links().port());
   ASSERT_TRUE(b.WaitFor([&] { return b.identities.size() == 2; }));
   EXPECT_EQ(b.identities.back(), "scl-c/instance");
-  // The link made before goes on with its old keys.
+  // The existing link keeps working with its old certificate.
   b.links().Send(b.up.front(), "still here", PeerMessageClass::kKeep);
   EXPECT_TRUE(a.WaitFor([&] { return a.messages.size() == 1; }));
 }
--- a/tests/connection/raw_client.h
+++ b/tests/connection/raw_client.h
@@ -1,5 +1,4 @@
-// A TCP client that sends exactly the bytes it is given, for requests that no
-// library would send.
+// TCP client that sends raw bytes, for malformed requests.
 #ifndef LYNXGLADE_TESTS_CONNECTION_RAW_CLIENT_H_
 #define LYNXGLADE_TESTS_CONNECTION_RAW_CLIENT_H_
 
@@ -16,11 +15,11 @@
   RawClient(const RawClient&) = delete;
   RawClient& operator=(const RawClient&) = delete;
 
-  // False once the server has closed the connection.
+  // Returns false if the server has closed the connection.
   bool Send(std::string_view bytes);
-  // Everything up to the end of the connection.
+  // Reads up to the end of the connection.
   std::string ReadToEnd();
-  // Everything up to the end of one answer's head.
+  // Reads up to the end of one answer's head.
   std::string ReadHead();
 
  private:
--- a/tests/connection/scripted_server.cc
+++ b/tests/connection/scripted_server.cc
@@ -17,7 +17,7 @@
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 constexpr std::string_view kLength = "Content-Length: ";
 
-// Length of the whole request, or npos while its head is not complete.
+// Length of the complete request, or npos if its head is incomplete.
 std::size_t RequestSize(const std::string& text) {
   const std::size_t head = text.find(kHeadEnd);
   if (head == std::string::npos) {
@@ -119,13 +119,14 @@
 
 void ScriptedServer::End(int fd, Then then) {
   if (then == Then::kHang) {
-    // Until the peer closes.
+    // Waits until the peer closes.
     char byte = 0;
     while (::recv(fd, &byte, 1, 0) > 0) {
     }
   }
   if (then == Then::kReset) {
-    // Dissolving the association sends a reset; the descriptor stays ours.
+    // connect() with AF_UNSPEC resets the connection and keeps the descriptor
+    // open.
     sockaddr none{};
     none.sa_family = AF_UNSPEC;
     if (::connect(fd, &none, sizeof(none)) == 0) {
--- a/tests/connection/scripted_server.h
+++ b/tests/connection/scripted_server.h
@@ -1,5 +1,4 @@
-// A TCP server that answers HTTP requests with bytes written down in a test,
-// however broken.
+// TCP server that answers HTTP requests with raw bytes given by a test.
 #ifndef LYNXGLADE_TESTS_CONNECTION_SCRIPTED_SERVER_H_
 #define LYNXGLADE_TESTS_CONNECTION_SCRIPTED_SERVER_H_
 
@@ -14,13 +13,13 @@
 // Thread-safe. Listens on a free port of 127.0.0.1 from construction on.
 class ScriptedServer {
  public:
-  // What happens on the connection after the bytes.
+  // What to do with the connection after sending the bytes.
   enum class Then { kKeep, kClose, kReset, kHang };
   struct Reply {
     std::string bytes;
     Then then = Then::kKeep;
   };
-  // Gets the whole request (head and body).
+  // Receives the complete request, head and body.
   using Handler = std::function<Reply(const std::string& request)>;
 
   explicit ScriptedServer(Handler handler);
@@ -30,13 +29,13 @@
 
   int port() const noexcept { return port_; }
   int connections() const;
-  // Every request that came whole, in order of arrival.
+  // Complete requests in order of arrival.
   std::vector<std::string> requests() const;
 
  private:
   void Accept();
   void Talk(int fd);
-  // False when the peer has closed first.
+  // Returns false if the peer closed the connection before the end.
   static bool ReadRequest(int fd, std::string* request);
   static void End(int fd, Then then);
 
--- a/tests/connection/target_client_test.cc
+++ b/tests/connection/target_client_test.cc
@@ -119,7 +119,7 @@
   TargetClient client_;
 };
 
-TEST_F(TargetClientTest, WholeStreamsShareOneConnection) {
+TEST_F(TargetClientTest, CompleteStreamsShareOneConnection) {
   ScriptedServer server(
       [](const std::string&) { return Reply{Answered(WholeStream())}; });
   for (int i = 0; i < 3; ++i) {
@@ -133,9 +133,9 @@
   EXPECT_EQ(server.connections(), 1);
 }
 
-// The library must not send a request again when a kept connection dies under
-// it: the target may have run it the first time.
-TEST_F(TargetClientTest, DeadKeptConnectionNeverResendsARequest) {
+// The HTTP library must not resend a request when a reused connection breaks:
+// the target may have run it already.
+TEST_F(TargetClientTest, BrokenReusedConnectionNeverResendsARequest) {
   for (const Then then : {Then::kClose, Then::kReset}) {
     std::atomic<int> count{0};
     ScriptedServer server([&](const std::string&) {
@@ -152,7 +152,7 @@
   }
 }
 
-TEST_F(TargetClientTest, NonIdempotentRequestsGetAFreshConnection) {
+TEST_F(TargetClientTest, NonIdempotentRequestsGetANewConnection) {
   ScriptedServer server(
       [](const std::string&) { return Reply{Answered(WholeStream())}; });
   Run(Order(server.port()));
@@ -172,8 +172,8 @@
   EXPECT_EQ(report.outcome, Outcome::kNotRun);
 }
 
-// A process that was paused past the deadline sends no body when it wakes.
-TEST_F(TargetClientTest, OverdueOrderSendsNoBody) {
+// A process that was suspended past the deadline must not send the body.
+TEST_F(TargetClientTest, OverdueAttemptSendsNoBody) {
   ScriptedServer server(
       [](const std::string&) { return Reply{Answered(WholeStream())}; });
   request::AttemptSpec spec = Order(server.port());
@@ -183,12 +183,13 @@
   EXPECT_TRUE(server.requests().empty());
 }
 
-TEST_F(TargetClientTest, OnlyTheTargetsOwnWordMakesARefusal) {
+TEST_F(TargetClientTest, OnlyOutcomeNotRunMakesARefusal) {
   const AttemptReport refused = RunAgainst({Sized(503, kNotRunBody)});
   EXPECT_EQ(refused.end, AttemptEnd::kRefused);
   EXPECT_EQ(refused.refusal, request::TargetRefusal::kDraining);
   EXPECT_EQ(refused.outcome, Outcome::kNotRun);
-  // Its words may repeat the prompt and are kept apart from what is logged.
+  // The message may quote the prompt, so it is kept separate from what is
+  // logged.
   const AttemptReport wordy = RunAgainst(
       {Sized(400, R"({"error":{"code":"bad_request","outcome":"not_run",
                "message":"a prompt"}})")});
@@ -210,7 +211,7 @@
   }
 }
 
-TEST_F(TargetClientTest, BrokenStreamsAreNotWhole) {
+TEST_F(TargetClientTest, BrokenStreamsAreNotComplete) {
   const std::string first = Event(kAttempt, "one ", 0, 1);
   struct Case {
     Reply reply;
@@ -247,13 +248,13 @@
   EXPECT_EQ(text_.find("two"), std::string::npos);
 }
 
-TEST_F(TargetClientTest, WholeAnswerNeedsNoTidyConnectionEnd) {
+TEST_F(TargetClientTest, CompleteStreamDoesNotNeedTheMessageEnd) {
   const AttemptReport report =
       RunAgainst({StreamHead() + Chunk(WholeStream()), Then::kHang});
   EXPECT_EQ(report.end, AttemptEnd::kWhole);
 }
 
-TEST_F(TargetClientTest, SilenceTimesOut) {
+TEST_F(TargetClientTest, IdleTimeoutEndsTheAttempt) {
   ScriptedServer server([](const std::string&) {
     return Reply{StreamHead() + Chunk(Event(kAttempt, "one ", 0, 1)),
                  Then::kHang};
@@ -265,7 +266,7 @@
   EXPECT_EQ(report.outcome, Outcome::kRan);
 }
 
-TEST_F(TargetClientTest, CallerWhoLeavesWhileTheTargetIsSilentEndsTheAttempt) {
+TEST_F(TargetClientTest, CallerDisconnectEndsTheAttemptWhileTheTargetIsSilent) {
   std::atomic<bool> cancel_came{false};
   ScriptedServer server([&](const std::string& request) {
     if (request.starts_with("POST /v1/cancel")) {
@@ -283,7 +284,7 @@
   EXPECT_TRUE(cancel_came);
 }
 
-TEST_F(TargetClientTest, PlainAnswersPassThroughWhenTheirLengthProvesThem) {
+TEST_F(TargetClientTest, PlainAnswersNeedAKnownLength) {
   request_.method = "PUT";
   request_.path = "/a%20b?c=d";
   request_.content_type = "text/plain";
@@ -310,7 +311,7 @@
   const AttemptReport empty = RunAgainst({"HTTP/1.1 204 X\r\n\r\n"});
   ASSERT_TRUE(empty.plain) << empty.message;
   EXPECT_EQ(empty.plain->status, 204);
-  // Without a body the head alone was the request.
+  // Without a body, the head is the complete request.
   EXPECT_EQ(RunAgainst({"", Then::kReset}).outcome, Outcome::kUnknown);
 }
 
@@ -322,8 +323,8 @@
   EXPECT_EQ(report.outcome, Outcome::kNotRun);
 }
 
-// However the network cuts the bytes, the same tokens come out.
-RC_GTEST_PROP(EngineStreamProperty, CutsDoNotMatter, ()) {
+// The tokens do not depend on how the bytes are split.
+RC_GTEST_PROP(EngineStreamProperty, SplitsDoNotMatter, ()) {
   std::string bytes = ": comment\r\n" + WholeStream();
   std::string text;
   request::TokenSink sink;
@@ -342,8 +343,8 @@
   RC_ASSERT(text == "one two ");
 }
 
-// Bytes of any kind neither crash the reader nor make an answer whole.
-RC_GTEST_PROP(EngineStreamProperty, NonsenseIsNeverWhole, ()) {
+// Corrupted input neither crashes the parser nor makes a stream complete.
+RC_GTEST_PROP(EngineStreamProperty, CorruptedInputIsNeverComplete, ()) {
   std::string bytes = WholeStream();
   const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
   const auto cut = *rc::gen::inRange<std::size_t>(1, bytes.size() - at + 1);
@@ -356,8 +357,8 @@
   };
   EngineStream stream(base::AttemptId(kAttempt), base::Tokens(0), sink);
   stream.Feed(bytes);
-  // What is cut may be text inside a chunk or spare bytes around a line; what
-  // is counted must be there.
+  // The corruption may affect only text inside a chunk or ignored bytes; the
+  // token count must be right.
   if (stream.IsComplete()) {
     RC_ASSERT(stream.tokens() == base::Tokens(2));
   }
--- a/tests/connection/test_certificates.h
+++ b/tests/connection/test_certificates.h
@@ -1,4 +1,4 @@
-// Certificates made afresh for tests of TLS.
+// Creates certificates for TLS tests.
 #ifndef LYNXGLADE_TESTS_CONNECTION_TEST_CERTIFICATES_H_
 #define LYNXGLADE_TESTS_CONNECTION_TEST_CERTIFICATES_H_
 
@@ -13,8 +13,8 @@
   long to = 3600;
 };
 
-// A certificate authority that writes PEM files into a directory of its own,
-// which its destructor removes.
+// Certificate authority that writes PEM files to a temporary directory, which
+// its destructor removes.
 class TestAuthority {
  public:
   TestAuthority();
@@ -24,8 +24,8 @@
 
   // Path of the authority's own certificate.
   const std::string& authority_file() const noexcept;
-  // Issues a certificate with this URI as alternative name and writes
-  // <name>.crt and <name>.key; former files of the name are replaced.
+  // Issues a certificate with `uri` as subject alternative name and writes it
+  // to <name>.crt and <name>.key, replacing existing files.
   void Issue(const std::string& name,
              const std::string& uri,
              Validity validity = {});
