--- a/fuzz/engine_events.cc
+++ b/fuzz/engine_events.cc
@@ -36,11 +36,11 @@
     bytes.remove_prefix(std::min(piece, bytes.size()));
   }
   fuzz::Check(stream.tokens().value() >= 0, "tokens are counted");
-  if (stream.IsWhole()) {
+  if (stream.IsComplete()) {
     fuzz::Check(stream.usage()->completion == stream.tokens(),
                 "the usage matches the token count");
   }
-  return {stream.state(), stream.IsWhole(), stream.tokens().value(), text};
+  return {stream.state(), stream.IsComplete(), stream.tokens().value(), text};
 }
 
 }  // namespace
