--- a/bench/config_slopes.cc
+++ b/bench/config_slopes.cc
@@ -1,7 +1,6 @@
-// What the configuration costs, by the number of contracts: bytes of head,
-// delta and snapshot, time to take a change, memory held, and calls to the
-// key-value service for each accepted change. The slopes are for
-// docs/CAPACITY.md.
+// Cost of the configuration by the number of contracts: bytes of head, delta
+// and snapshot, time to apply a change, memory, and calls to the key-value
+// service per accepted change. The results are used in docs/CAPACITY.md.
 //
 //   config_slopes [changes=600]
 #include <malloc.h>
@@ -19,19 +18,19 @@
 #include "base/random.h"
 #include "connection/key_value.h"
 #include "fakes/fake_kv.h"
+#include "version/change_request.h"
 #include "version/config_store.h"
 #include "version/config_tracker.h"
 #include "version/plan_service.h"
-#include "version/stated_change.h"
 
 namespace lynxglade {
 namespace {
 
-using version::HeldConfiguration;
+using version::ConfigSnapshot;
 
 constexpr int kModels = 11;
 constexpr int kDefaultChanges = 600;
-// One statement must fit one delta; a fleet is filled in steps.
+// A change request must fit into one delta, so contracts are added in batches.
 constexpr int kContractsPerStep = 100;
 constexpr double kMicro = 1e6;
 constexpr std::size_t kKilobyte = 1024;
@@ -42,7 +41,7 @@
   return std::chrono::duration<double>(d).count() * kMicro;
 }
 
-// `edition` makes successive states of one contract differ.
+// `edition` distinguishes successive states of a contract.
 version::Contract MakeContract(int n, int contracts, int edition) {
   version::Contract contract;
   contract.id = base::ContractId("organisation-" + std::to_string(n));
@@ -60,7 +59,7 @@
   return contract;
 }
 
-// The stand-in service, with calls and written bytes counted.
+// A fake key-value service that counts calls and bytes written.
 struct Service {
   fakes::FakeKv kv{[] { return base::Time{}; }};
   std::map<std::string, int> calls;
@@ -85,11 +84,11 @@
     return hooks;
   }
 
-  bool Put(const version::Statement& statement) {
+  bool Put(const version::ChangeRequest& statement) {
     const version::Caller caller{
         base::OperatorId("bench"), version::OperatorRole::kFleet, {}};
     version::PlanFault fault;
-    const auto plan = plans.State(statement, caller, &fault);
+    const auto plan = plans.Create(statement, caller, &fault);
     if (!plan) {
       std::fprintf(stderr, "plan refused: %s\n", fault.message.c_str());
       return false;
@@ -104,8 +103,8 @@
   version::PlanService plans;
 };
 
-version::Statement Services() {
-  version::Statement statement;
+version::ChangeRequest Services() {
+  version::ChangeRequest statement;
   for (int i = 0; i < kModels; ++i) {
     version::ServiceSpec spec;
     spec.name = base::ServiceName("llm-" + std::to_string(i));
@@ -119,7 +118,7 @@
     return false;
   }
   for (int n = 0; n < contracts; n += kContractsPerStep) {
-    version::Statement statement;
+    version::ChangeRequest statement;
     for (int i = n; i < std::min(n + kContractsPerStep, contracts); ++i) {
       statement.changes.emplace_back(
           version::UpsertContract{MakeContract(i, contracts, 0)});
@@ -137,25 +136,26 @@
   std::size_t delta_bytes = 0;
 };
 
-// Times what every instance does with a change that a peer passes on.
+// Times the handling of a change that an instance receives from a peer.
 Taking TimeTaking(const Instance& filled, int contracts, int changes) {
   base::Metrics metrics;
   version::ConfigTracker tracker({base::BootClock::now, {}, {}, {}}, metrics);
-  tracker.OfferWhole(filled.tracker.Held(), version::ConfigSource::kPeer);
+  tracker.OfferSnapshot(filled.tracker.GetSnapshot(),
+                        version::ConfigSource::kPeer);
   std::vector<double> times;
   Taking taking;
   for (int i = 0; i < changes; ++i) {
-    const HeldConfiguration held = tracker.Held();
+    const ConfigSnapshot held = tracker.GetSnapshot();
     version::Configuration next = *held.configuration;
     const version::Contract contract =
         MakeContract(i % contracts, contracts, i + 1);
     next.contracts.insert_or_assign(contract.id, contract);
     const version::ChainedDelta delta =
-        Chain(MakeDelta(*held.configuration, next), held.digest);
-    const std::string bytes = EncodeChained(delta);
+        MakeChainedDelta(MakeDelta(*held.configuration, next), held.digest);
+    const std::string bytes = EncodeChainedDelta(delta);
     taking.delta_bytes = std::max(taking.delta_bytes, bytes.size());
     const auto start = Stopwatch::now();
-    const auto read = version::DecodeChained(bytes);
+    const auto read = version::DecodeChainedDelta(bytes);
     tracker.OfferDelta(*read, version::ConfigSource::kPeer);
     times.push_back(Micros(Stopwatch::now() - start));
   }
@@ -180,11 +180,11 @@
   if (!Fill(contracts, &instance)) {
     return false;
   }
-  const std::string whole = EncodeHeld(instance.tracker.Held());
+  const std::string whole = EncodeSnapshot(instance.tracker.GetSnapshot());
   const std::size_t before = HeapBytes();
   const auto start = Stopwatch::now();
   version::CodecFault fault;
-  const auto read = version::DecodeHeld(whole, &fault);
+  const auto read = version::DecodeSnapshot(whole, &fault);
   const double read_ms = Micros(Stopwatch::now() - start) / 1000;
   const std::size_t held_bytes = HeapBytes() - before;
   const Taking taking = TimeTaking(instance, contracts, changes);
@@ -192,7 +192,7 @@
   service.calls.clear();
   const auto begun = Stopwatch::now();
   for (int i = 0; i < changes; ++i) {
-    version::Statement statement;
+    version::ChangeRequest statement;
     statement.changes.emplace_back(
         version::UpsertContract{MakeContract(i % contracts, contracts, i + 1)});
     if (!instance.Put(statement)) {
--- a/bench/planner/policies.cc
+++ b/bench/planner/policies.cc
@@ -19,17 +19,18 @@
 namespace {
 
 using process::RoleCounts;
-using process::ServedPart;
+using process::ServedFraction;
 using process::TokenDemand;
 using request::EngineRole;
 
 constexpr std::array kRoles = {EngineRole::kPrefill, EngineRole::kDecode,
                                EngineRole::kMixed};
 constexpr double kFollowedSeconds = 60;
-// Part of the rates that the baselines count on, as the planner does.
+// Usable fraction of the rates that the baselines assume, as the planner does.
 constexpr double kUsable = 0.95;
-// What the oracle must gain for a change, so that ties stay as they are.
-constexpr double kLeastGain = 1e-6;
+// Minimum gain for which the oracle makes a change, so that ties keep the
+// split.
+constexpr double kMinGain = 1e-6;
 
 base::Duration FromSeconds(double s) {
   return std::chrono::duration_cast<base::Duration>(
@@ -59,8 +60,9 @@
          2;
 }
 
-// A change that leads from one split towards another.
-std::optional<Change> Towards(const RoleCounts& from, const RoleCounts& to) {
+// Returns a change that leads from one split towards another.
+std::optional<Change> ChangeTowards(const RoleCounts& from,
+                                    const RoleCounts& to) {
   const auto surplus = [&](EngineRole role) {
     return from.Of(role) - to.Of(role);
   };
@@ -80,7 +82,7 @@
   return {tokens * ratio / (1 + ratio), tokens / (1 + ratio)};
 }
 
-// The engines as the planner is shown them.
+// The engines as input of the planner.
 std::vector<process::PlannedEngine> MakeFleet(const RoleCounts& counts) {
   std::vector<process::PlannedEngine> fleet;
   for (const EngineRole role : kRoles) {
@@ -102,7 +104,7 @@
              double length_s,
              const OracleOptions& options)
       : step_s_(fluid.out_of_service_s),
-        price_(options.price_s / step_s_ + kLeastGain),
+        price_(options.price_s / step_s_ + kMinGain),
         splits_(AllSplits(fluid.initial.total())) {
     const auto steps = static_cast<std::size_t>(std::ceil(length_s / step_s_));
     plan_.resize(steps);
@@ -143,7 +145,7 @@
     };
     Values values;
     for (const RoleCounts& split : splits_) {
-      double best = ServedPart(rates, split, demand) + value_after(split);
+      double best = ServedFraction(rates, split, demand) + value_after(split);
       std::optional<Change> choice;
       for (const EngineRole from : kRoles) {
         if (split.Of(from) == 0) {
@@ -151,7 +153,7 @@
         }
         RoleCounts during = split;
         --during.Of(from);
-        const double served = ServedPart(rates, during, demand);
+        const double served = ServedFraction(rates, during, demand);
         for (const EngineRole to : kRoles) {
           RoleCounts after = during;
           ++after.Of(to);
@@ -208,7 +210,7 @@
       std::ranges::for_each(state->fleet, [&](process::PlannedEngine& it) {
         if (it.state == request::TargetState::kChanging) {
           it.state = request::TargetState::kServing;
-          it.role = state->planner->wishes().at(it.id);
+          it.role = state->planner->requested_roles().at(it.id);
         }
       });
     }
@@ -250,11 +252,11 @@
           return sum;
         });
     const auto rank = [&](const RoleCounts& split) {
-      return std::pair(ServedPart(Usable(fluid.rates), split, demand),
+      return std::pair(ServedFraction(Usable(fluid.rates), split, demand),
                        -Distance(service.counts(), split));
     };
-    return Towards(service.counts(),
-                   *std::ranges::max_element(splits, {}, rank));
+    return ChangeTowards(service.counts(),
+                         *std::ranges::max_element(splits, {}, rank));
   };
 }
 
@@ -281,7 +283,8 @@
   const auto served = [&](const RoleCounts& split) {
     double sum = 0;
     for (double at_s = 0; at_s < length_s; at_s += 1) {
-      sum += ServedPart(Usable(fluid.rates), split, MeanDemand(workload, at_s));
+      sum += ServedFraction(Usable(fluid.rates), split,
+                            MeanDemand(workload, at_s));
     }
     return sum;
   };
--- a/bench/router_benchmark.cc
+++ b/bench/router_benchmark.cc
@@ -1,5 +1,5 @@
-// Time of one routing decision, and of building the index, at several sizes of
-// the table. Half the picks ask for a prefix seen before, half for a new one.
+// Time of a routing decision and of building the index at several table sizes.
+// Half of the picks use a known prefix, half a new one.
 
 #include <cstdint>
 #include <memory>
@@ -32,9 +32,9 @@
     it.load.prefill_tokens_per_s = 8000;
     it.load.decode_tokens_per_s = 800;
     it.load.as_of = now - std::chrono::seconds(2);
-    it.own->running = 1;
-    it.own->history.Record({base::Tokens(900), base::Tokens(200)},
-                           now - std::chrono::seconds(1));
+    it.local_load->running = 1;
+    it.local_load->history.Record({base::Tokens(900), base::Tokens(200)},
+                                  now - std::chrono::seconds(1));
     table->targets.push_back(std::move(it));
   }
   return table;
@@ -45,16 +45,16 @@
   const TargetIndex index(
       MakeTable(static_cast<std::size_t>(state.range(0)), now));
   RouterOptions options;
-  // Local: the caller's zone only. Otherwise all targets are candidates, so
-  // a new prefix is weighed against every one.
-  options.zone_local = state.range(1) != 0;
+  // Local: only targets in the zone of the caller are candidates. Otherwise all
+  // targets are, and a new prefix is compared with each.
+  options.prefer_local_zone = state.range(1) != 0;
   const base::RandomSource random = base::SystemRandom();
   Router router(options, random);
   RouteQuery query;
   query.service = base::ServiceName("llm-restore");
   query.model = base::ModelName("restore-large");
   query.version = base::ModelVersion("2026-11-01");
-  query.own_zone = base::ZoneId("zone-3");
+  query.local_zone = base::ZoneId("zone-3");
   query.cost = {base::Tokens(2000), base::Tokens(300)};
   query.now = now;
   std::uint64_t n = 0;
--- a/bench/routing_experiment.cc
+++ b/bench/routing_experiment.cc
@@ -1,5 +1,5 @@
-// Routing policies, and the default with each mechanism off, on one seeded
-// trace of the fleet model. One JSON line a run.
+// Compares routing policies, and the default with each mechanism disabled, on
+// one seeded trace of the fleet model. Prints one JSON line per run.
 //
 // Usage: routing_experiment [repetitions, default 5]
 
@@ -31,17 +31,17 @@
     all.push_back({std::string(ToString(policy)), options});
   }
   RouterOptions options;
-  options.age_reports = false;
+  options.decay_reports = false;
   all.push_back({"without_aging", options});
   options = {};
-  options.add_own_sends = false;
+  options.add_unreported_sends = false;
   all.push_back({"without_own_sends", options});
   options = {};
-  options.age_reports = false;
-  options.add_own_sends = false;
+  options.decay_reports = false;
+  options.add_unreported_sends = false;
   all.push_back({"without_both", options});
   options = {};
-  options.zone_local = false;
+  options.prefer_local_zone = false;
   all.push_back({"without_zone_local", options});
   options = {};
   options.affinity_across_zones = true;
--- a/fuzz/loan_messages.cc
+++ b/fuzz/loan_messages.cc
@@ -1,4 +1,4 @@
-// What one instance tells another of retries that it asks for and lends.
+// Loan requests and loans of the shared retry budget between instances.
 #include "process/loan_messages.h"
 
 #include "fuzz/check.h"
@@ -8,18 +8,20 @@
   using namespace lynxglade;
   const auto bytes = fuzz::TextOf(data, size);
   if (const auto loan = process::DecodeLoan(bytes)) {
-    fuzz::Check(loan->arrivals >= 0 && loan->arrivals <= process::kMostLent,
-                "a bounded loan");
+    fuzz::Check(
+        loan->arrivals >= 0 && loan->arrivals <= process::kMaxLoanArrivals,
+        "a bounded loan");
     const auto again = process::DecodeLoan(process::EncodeLoan(*loan));
-    fuzz::Check(again && again->number == loan->number &&
+    fuzz::Check(again && again->request_id == loan->request_id &&
                     again->arrivals <= loan->arrivals,
-                "no more than was lent");
+                "a loan does not grow when encoded");
   }
-  if (const auto question = process::DecodeLoanQuestion(bytes)) {
-    fuzz::Check(question->wanted <= process::kMostLent, "a bounded question");
+  if (const auto request = process::DecodeLoanRequest(bytes)) {
+    fuzz::Check(request->arrivals <= process::kMaxLoanArrivals,
+                "a bounded loan request");
     const auto again =
-        process::DecodeLoanQuestion(process::EncodeLoanQuestion(*question));
-    fuzz::Check(again && again->service == question->service,
+        process::DecodeLoanRequest(process::EncodeLoanRequest(*request));
+    fuzz::Check(again && again->service == request->service,
                 "the same service");
   }
   return 0;
--- a/src/connection/bounded_server.cc
+++ b/src/connection/bounded_server.cc
@@ -15,15 +15,16 @@
 using Mode = ConnectionThreads::Mode;
 using Verdict = ServerStream::Verdict;
 
-// The library closes a connection after that many requests.
+// Limit of the HTTP library on requests per connection.
 constexpr std::size_t kRequestsPerConnection = 100'000;
-// Bounds on a connection that is only to be turned away.
-constexpr base::Duration kOverflowPatience = std::chrono::seconds(1);
-constexpr base::Duration kOverflowLinger = std::chrono::milliseconds(100);
-// How long an idle connection stays while most threads are taken.
-constexpr base::Duration kCrowdedIdle = std::chrono::seconds(1);
-constexpr base::Duration kLinger = std::chrono::milliseconds(500);
-// Chunk framing may take an eighth of a body's size, and this much.
+// Limits for a connection that gets the overflow answer.
+constexpr base::Duration kOverflowTimeout = std::chrono::seconds(1);
+constexpr base::Duration kOverflowLingerTimeout =
+    std::chrono::milliseconds(100);
+// Idle timeout while most connection threads are in use.
+constexpr base::Duration kNearlyFullIdleTimeout = std::chrono::seconds(1);
+constexpr base::Duration kLingerTimeout = std::chrono::milliseconds(500);
+// Allowance for chunk framing: an eighth of the body limit plus a constant.
 constexpr std::size_t kFramingShare = 8;
 constexpr std::size_t kFramingBytes = 64u << 10;
 
@@ -34,7 +35,7 @@
 constexpr int kHeadTooLarge = 431;
 constexpr int kNotImplemented = 501;
 
-// What handlers may ask of the connection that their thread serves.
+// State of the connection served by this thread.
 struct Current {
   ServerStream* stream = nullptr;
   bool close = false;
@@ -47,7 +48,7 @@
   });
 }
 
-// Changes a head, once read, so that the library leaves the body alone.
+// Changes a parsed head so that the HTTP library does not interpret the body.
 void PrepareHead(httplib::Request& request) {
   request.headers.erase(kHiddenContentType);
   const std::string type = request.get_header_value("Content-Type");
@@ -57,8 +58,8 @@
   request.headers.erase("Content-Type");
   request.headers.erase("Range");
   request.ranges.clear();
-  // Without either the body is empty; the library would read to the
-  // connection's end.
+  // Without either header the body is empty, but the HTTP library would read to
+  // the end of the connection.
   if (!request.has_header("Content-Length") &&
       !request.has_header("Transfer-Encoding")) {
     request.headers.emplace("Content-Length", "0");
@@ -76,7 +77,7 @@
                              ConnectionThreads& threads)
     : options_(options), threads_(threads) {}
 
-int BoundedServer::JudgeHead(const httplib::Request& head) {
+int BoundedServer::CheckHead(const httplib::Request& head) {
   const auto lengths = head.get_header_value_count("Content-Length");
   const auto encodings = head.get_header_value_count("Transfer-Encoding");
   if (lengths + encodings > 1) {
@@ -89,7 +90,7 @@
       head.get_header_value("Transfer-Encoding") != "chunked") {
     return kNotImplemented;
   }
-  // A few compressed kilobytes can become gigabytes.
+  // Compressed bodies are rejected: a small one can expand to gigabytes.
   const std::string coding = head.get_header_value("Content-Encoding");
   return coding.empty() || coding == "identity" ? 0 : kUnsupportedMedia;
 }
@@ -144,7 +145,7 @@
 void BoundedServer::Serve(socket_t sock) {
   const bool overflow = ConnectionThreads::CurrentMode() == Mode::kOverflow;
   if (overflow && svr_sock_ == INVALID_SOCKET) {
-    return;  // a stop does not wait for those that are turned away
+    return;  // a stop does not wait for overflow connections
   }
   ServerStream stream(sock, Limits());
   if (options_.tls && !stream.Handshake(options_.tls->Context())) {
@@ -152,7 +153,7 @@
     return;
   }
   ServeRequests(stream);
-  stream.CloseGently(overflow ? kOverflowLinger : kLinger);
+  stream.CloseWithLinger(overflow ? kOverflowLingerTimeout : kLingerTimeout);
 }
 
 void BoundedServer::ServeRequests(ServerStream& stream) {
@@ -169,21 +170,23 @@
 
 bool BoundedServer::AwaitNext(ServerStream& stream, bool first) const {
   const auto start = std::chrono::steady_clock::now();
-  const auto give_up = [&] {
+  const auto should_stop = [&] {
     const bool idle_long =
-        std::chrono::steady_clock::now() - start >= kCrowdedIdle;
-    return svr_sock_ == INVALID_SOCKET || (idle_long && threads_.crowded());
+        std::chrono::steady_clock::now() - start >= kNearlyFullIdleTimeout;
+    return svr_sock_ == INVALID_SOCKET ||
+           (idle_long && threads_.IsNearlyFull());
   };
   const bool overflow = ConnectionThreads::CurrentMode() == Mode::kOverflow;
-  const base::Duration patience =
+  const base::Duration timeout =
       first ? options_.head_timeout : options_.idle_timeout;
-  return stream.AwaitRequest(overflow ? kOverflowPatience : patience, give_up);
+  return stream.AwaitRequest(overflow ? kOverflowTimeout : timeout,
+                             should_stop);
 }
 
 bool BoundedServer::ServeOne(ServerStream& stream, bool last) {
   const Verdict verdict = stream.ReadHead();
   if (verdict != Verdict::kGood) {
-    RefuseHead(stream, verdict);
+    RejectHead(stream, verdict);
     return false;
   }
   bool closed = false;
@@ -193,7 +196,7 @@
          stream.body_verdict() == Verdict::kGood;
 }
 
-void BoundedServer::RefuseHead(ServerStream& stream, Verdict verdict) {
+void BoundedServer::RejectHead(ServerStream& stream, Verdict verdict) {
   if (verdict == Verdict::kClosed) {
     return;
   }
@@ -231,9 +234,9 @@
   limits.body_timeout = options_.body_timeout;
   limits.write_timeout = options_.write_timeout;
   if (ConnectionThreads::CurrentMode() == Mode::kOverflow) {
-    limits.handshake_timeout = kOverflowPatience;
-    limits.head_timeout = kOverflowPatience;
-    limits.write_timeout = kOverflowPatience;
+    limits.handshake_timeout = kOverflowTimeout;
+    limits.head_timeout = kOverflowTimeout;
+    limits.write_timeout = kOverflowTimeout;
   }
   return limits;
 }
--- a/src/connection/caller_front.cc
+++ b/src/connection/caller_front.cc
@@ -39,7 +39,7 @@
   return {{"X-Request-Id", request.id.str()}};
 }
 
-// Whole seconds, rounded up, as Retry-After wants them.
+// For the Retry-After header: whole seconds, rounded up, at least 1.
 std::string RetryAfterSeconds(base::Duration d) {
   const auto seconds = std::chrono::ceil<std::chrono::seconds>(d).count();
   return std::to_string(std::max<std::int64_t>(seconds, 1));
@@ -56,8 +56,8 @@
                 "no such path or method; see /v1/models");
 }
 
-// The caller's name of the request as it may stand in a log, bounded because
-// it may not have been checked yet.
+// The caller's request id for logs, truncated because it may not have been
+// validated yet.
 std::string LoggedId(const HttpRequest& http) {
   return http.Header("x-request-id").substr(0, kMaxLoggedIdBytes);
 }
@@ -138,9 +138,9 @@
     return;
   }
   const auto* intent =
-      version::ServingConfiguration::FindModel(*contract, call->model);
+      version::ServingConfiguration::FindModelIntent(*contract, call->model);
   if (intent == nullptr) {
-    const bool known = configuration->KnowsModel(call->model);
+    const bool known = configuration->ServesModel(call->model);
     Refuse(exchange,
            known ? NotRun(RefusalReason::kNotEntitled,
                           "the contract does not include this model")
@@ -202,8 +202,8 @@
            NotRun(RefusalReason::kUnknownService, "no such plain service"));
     return;
   }
-  if (version::ServingConfiguration::FindPlain(*contract, service->name) ==
-      nullptr) {
+  if (version::ServingConfiguration::FindPlainIntent(
+          *contract, service->name) == nullptr) {
     Refuse(exchange, NotRun(RefusalReason::kNotEntitled,
                             "the contract does not include this service"));
     return;
@@ -273,7 +273,7 @@
     }
     return exchange.Write(ChatTokenEvent(head, chunk));
   };
-  sink.gone = [&exchange] { return exchange.caller_gone(); };
+  sink.disconnected = [&exchange] { return exchange.caller_disconnected(); };
   const request::RelayResult result = hooks_.serve(request, sink);
   if (result.refusal && !started) {
     Refuse(exchange, *result.refusal);
@@ -303,7 +303,7 @@
 void CallerFront::ServeWhole(HttpExchange& exchange,
                              const request::Request& request) {
   request::CallerSink sink;
-  sink.gone = [&exchange] { return exchange.caller_gone(); };
+  sink.disconnected = [&exchange] { return exchange.caller_disconnected(); };
   const request::RelayResult result = hooks_.serve(request, sink);
   if (result.refusal) {
     Refuse(exchange, *result.refusal);
--- a/src/connection/event/caller_server.cc
+++ b/src/connection/event/caller_server.cc
@@ -23,14 +23,15 @@
 
 namespace {
 
-// Silence on a caller's connection while data is on its way to it.
+// TCP_USER_TIMEOUT of connections to callers.
 constexpr base::Duration kCallerUserTimeout = std::chrono::seconds(5);
-// After an accept that failed (no descriptors), before the next.
+// Delay before the next accept after one failed, such as for lack of
+// descriptors.
 constexpr base::Duration kAcceptPause = std::chrono::milliseconds(50);
 
 using BodyParser = http::request_parser<http::string_body>;
 
-// Why a connection's next request was not read.
+// Why the next request of a connection could not be read.
 enum class ReadFault {
   kClosed,
   kIdle,
@@ -43,7 +44,7 @@
 
 struct FaultAnswer {
   ReadFault fault;
-  // 0: no answer, the connection just ends.
+  // 0 closes the connection without an answer.
   unsigned status;
   const char* name;
 };
@@ -77,8 +78,9 @@
   return is_http && !torn ? ReadFault::kMalformed : ReadFault::kClosed;
 }
 
-// A transfer coding other than chunked leaves the body's end in doubt.
-bool HasClearLength(const RequestHead& head) {
+// Whether the end of the body is unambiguous: either chunked, or at most one
+// Content-Length.
+bool HasUnambiguousLength(const RequestHead& head) {
   const auto coding = head.find(http::field::transfer_encoding);
   if (coding == head.end()) {
     return head.count(http::field::content_length) <= 1;
@@ -90,10 +92,10 @@
 
 }  // namespace
 
-// What all sessions use; outlives the server while a session runs.
+// State shared by all sessions, which may outlive the server.
 struct CallerServer::Shared {
   Shared(asio::io_context& l,
-         std::function<CallerBounds()> b,
+         std::function<CallerServerLimits()> b,
          CallerHandler h,
          base::Clock c,
          base::Metrics& m,
@@ -106,7 +108,7 @@
         max_buffered(buffered) {}
 
   asio::io_context& loop;
-  std::function<CallerBounds()> bounds;
+  std::function<CallerServerLimits()> bounds;
   CallerHandler handler;
   base::Clock clock;
   base::Metrics& metrics;
@@ -135,9 +137,11 @@
 
  private:
   Awaitable<std::shared_ptr<CallerRequest>> Read();
-  Awaitable<bool> AwaitFirstByte(const CallerBounds& bounds);
-  Awaitable<bool> ReadHead(const CallerBounds& bounds, BodyParser& parser);
-  Awaitable<bool> ReadBody(const CallerBounds& bounds, BodyParser& parser);
+  Awaitable<bool> AwaitFirstByte(const CallerServerLimits& bounds);
+  Awaitable<bool> ReadHead(const CallerServerLimits& bounds,
+                           BodyParser& parser);
+  Awaitable<bool> ReadBody(const CallerServerLimits& bounds,
+                           BodyParser& parser);
   Awaitable<void> SendContinue(const RequestHead& head);
   Awaitable<bool> Serve(std::shared_ptr<CallerRequest> request);
   Awaitable<void> AnswerFault();
@@ -152,11 +156,12 @@
   boost::beast::flat_buffer buffer_;
   std::string caller_;
   base::Time arrived_{};
-  // Set by the timer, to tell its close of the wait from the caller's.
+  // Set when the timer cancelled a wait; distinguishes a timeout from a close
+  // by the caller.
   std::optional<ReadFault> timed_out_;
   ReadFault fault_ = ReadFault::kClosed;
-  // A timer's handler of an earlier wait must not end a later one.
-  int timer_round_ = 0;
+  // Keeps a timer handler that is already queued from cancelling a later wait.
+  int timer_generation_ = 0;
   bool idle_ = true;
 };
 
@@ -180,7 +185,7 @@
 }
 
 Awaitable<std::shared_ptr<CallerRequest>> CallerServer::Session::Read() {
-  const CallerBounds bounds = shared_->bounds();
+  const CallerServerLimits bounds = shared_->bounds();
   const bool begun = co_await AwaitFirstByte(bounds);
   if (!begun) {
     co_return nullptr;
@@ -207,7 +212,7 @@
 }
 
 Awaitable<bool> CallerServer::Session::AwaitFirstByte(
-    const CallerBounds& bounds) {
+    const CallerServerLimits& bounds) {
   idle_ = true;
   if (buffer_.size() == 0) {
     Arm(bounds.idle_timeout, ReadFault::kIdle);
@@ -224,8 +229,9 @@
   co_return true;
 }
 
-Awaitable<bool> CallerServer::Session::ReadHead(const CallerBounds& bounds,
-                                                BodyParser& parser) {
+Awaitable<bool> CallerServer::Session::ReadHead(
+    const CallerServerLimits& bounds,
+    BodyParser& parser) {
   Arm(bounds.header_timeout, ReadFault::kSlow);
   ErrorCode ec;
   co_await http::async_read_header(socket_, buffer_, parser, Into(ec));
@@ -234,15 +240,16 @@
     Fault(ec);
     co_return false;
   }
-  if (!HasClearLength(parser.get())) {
+  if (!HasUnambiguousLength(parser.get())) {
     fault_ = ReadFault::kMalformed;
     co_return false;
   }
   co_return true;
 }
 
-Awaitable<bool> CallerServer::Session::ReadBody(const CallerBounds& bounds,
-                                                BodyParser& parser) {
+Awaitable<bool> CallerServer::Session::ReadBody(
+    const CallerServerLimits& bounds,
+    BodyParser& parser) {
   if (parser.is_done()) {
     co_return true;
   }
@@ -294,8 +301,8 @@
   co_return reply->reusable();
 }
 
-// While nothing is read, only a readable socket tells of the caller's close.
-// Bytes of a further request end the watch: the close stands behind them.
+// Detects a close by the caller while no read is pending. Pipelined bytes end
+// the watch, since a close would only be visible after them.
 void CallerServer::Session::WatchForClose(std::weak_ptr<CallerReply> reply) {
   socket_.async_wait(Tcp::socket::wait_read,
                      [self = shared_from_this(), reply](const ErrorCode& ec) {
@@ -306,7 +313,7 @@
                        const bool closed = ec || !self->socket_.is_open() ||
                                            PeerClosed(self->socket_);
                        if (closed) {
-                         answer->MarkGone();
+                         answer->MarkDisconnected();
                        }
                      });
 }
@@ -332,8 +339,8 @@
   timed_out_.reset();
   timer_.expires_after(wait);
   timer_.async_wait([self = shared_from_this(), fault,
-                     round = ++timer_round_](const ErrorCode& ec) {
-    if (ec || round != self->timer_round_) {
+                     generation = ++timer_generation_](const ErrorCode& ec) {
+    if (ec || generation != self->timer_generation_) {
       return;
     }
     self->timed_out_ = fault;
@@ -342,7 +349,7 @@
 }
 
 void CallerServer::Session::Disarm() {
-  ++timer_round_;
+  ++timer_generation_;
   timer_.cancel();
 }
 
@@ -359,7 +366,7 @@
 
 CallerServer::CallerServer(asio::io_context& loop,
                            CallerServerOptions options,
-                           std::function<CallerBounds()> bounds,
+                           std::function<CallerServerLimits()> bounds,
                            CallerHandler handler,
                            base::Clock clock,
                            base::Metrics& metrics)
--- a/src/connection/event/exchange.cc
+++ b/src/connection/event/exchange.cc
@@ -16,11 +16,11 @@
 
 constexpr unsigned kFirstFinalStatus = 200;
 constexpr std::int64_t kMaxIdleSeconds = std::int64_t{24} * 3600;
-// Bodies are passed on piece by piece. (An empty limit is taken for zero by
-// this version of the library.)
+// Bodies are streamed, so their size is not limited here. (This version of
+// Beast treats boost::none as a limit of zero.)
 constexpr std::uint64_t kNoBodyLimit = std::uint64_t{1} << 62;
 
-// The idle time a Keep-Alive header allows ("timeout=5").
+// Parses the idle timeout in a Keep-Alive header, such as "timeout=5".
 std::optional<base::Duration> IdleLimitOf(const ResponseHead& head) {
   constexpr std::string_view kTimeout = "timeout=";
   const std::string_view text = View(head[http::field::keep_alive]);
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-// Outlives the exchange while the write is under way.
+// Shared with the write operation, which may outlive the exchange.
 struct Exchange::Sending {
   explicit Sending(OutgoingRequest it) : request(std::move(it)) {}
 
@@ -60,8 +60,8 @@
 Awaitable<ExchangeState> Exchange::Start(Tcp::endpoint endpoint,
                                          OutgoingRequest request,
                                          AnswerFilter is_answer,
-                                         bool careful) {
-  channel_ = pool_.Take(endpoint, careful);
+                                         bool recent_only) {
+  channel_ = pool_.Take(endpoint, recent_only);
   if (!channel_->socket.is_open()) {
     const auto channel = channel_;
     if (!co_await pool_.Open(channel)) {
@@ -87,7 +87,8 @@
   return sending_ && sending_->unacknowledged;
 }
 
-// Starts the write and does not wait for its end: the answer may come first.
+// Starts the write without waiting for its completion, since the answer may
+// arrive first.
 void Exchange::Send(OutgoingRequest request) {
   state_ = ExchangeState::kBroken;
   sending_ = std::make_shared<Sending>(std::move(request));
@@ -99,7 +100,7 @@
 
 void Exchange::WatchSending() {
   sending_->watch = std::make_unique<asio::steady_timer>(
-      channel_->socket.get_executor(), options_.acknowledged_within);
+      channel_->socket.get_executor(), options_.acknowledge_timeout);
   sending_->watch->async_wait([sending = std::weak_ptr(sending_),
                                channel = channel_](const ErrorCode& ec) {
     const bool stuck = !ec && channel->socket.is_open() &&
@@ -151,7 +152,7 @@
   skipping_ = true;
   state_ = ExchangeState::kHead;
   while (state_ == ExchangeState::kHead) {
-    co_await Next();
+    co_await ReadSome();
   }
   skipping_ = false;
   if (state_ != ExchangeState::kWhole) {
@@ -167,7 +168,7 @@
   parser_->body_limit(kNoBodyLimit);
 }
 
-Awaitable<std::string_view> Exchange::Next() {
+Awaitable<std::string_view> Exchange::ReadSome() {
   if (state_ != ExchangeState::kHead) {
     co_return std::string_view();
   }
@@ -195,10 +196,10 @@
   co_return std::string_view();
 }
 
-Awaitable<std::string> Exchange::Rest(std::size_t max_bytes) {
+Awaitable<std::string> Exchange::ReadRest(std::size_t max_bytes) {
   std::string body;
   while (state_ == ExchangeState::kHead) {
-    body.append(co_await Next());
+    body.append(co_await ReadSome());
     if (body.size() > max_bytes) {
       Fail();
     }
@@ -214,7 +215,7 @@
   if (skipping_) {
     return;
   }
-  // The connection may go to another exchange.
+  // The connection may be reused by another exchange.
   sending_->watch.reset();
   const bool reusable = sending_->written && parser_->keep_alive() &&
                         !parser_->need_eof() && channel_->buffer.size() == 0;
@@ -254,8 +255,8 @@
                          Exchange& exchange,
                          base::Duration wait)
     : timer_(loop, std::max(wait, base::Duration::zero())) {
-  // A wait that ended before the timer is destroyed still runs its handler,
-  // hence the flag.
+  // The handler may already be queued when the timer is destroyed; the flag
+  // keeps it from using the exchange then.
   timer_.async_wait([&exchange, armed = armed_](const ErrorCode& ec) {
     if (!ec && *armed) {
       exchange.Cancel();
--- a/src/connection/http_server.cc
+++ b/src/connection/http_server.cc
@@ -21,8 +21,8 @@
 
 namespace coro = boost::coroutines2;
 
-// The library matches routes by a recursive regular expression; longer paths
-// would need more stack than a connection thread has.
+// The HTTP library matches routes by a recursive regular expression; longer
+// paths could overflow the stack of a connection thread.
 constexpr std::size_t kMaxPathBytes = 256;
 constexpr int kHttpBodyTooLarge = 413;
 constexpr int kHttpUriTooLong = 414;
@@ -59,11 +59,11 @@
 
 // --- One exchange -----------------------------------------------------------
 
-// Runs the handler as a coroutine: up to StartStream() inside the library's
-// handler, and from there inside its content provider.
+// Runs the handler as a coroutine: up to StartStream() in the HTTP library's
+// request handler, after that in its content provider.
 class CoroutineExchange final : public HttpExchange {
  public:
-  // Made on the connection's thread; `stream` outlives it.
+  // Created on the connection's thread. `stream` must outlive this object.
   CoroutineExchange(HttpRequest request,
                     const ServerStream& stream,
                     const HttpHandler& handler)
@@ -76,8 +76,8 @@
               }) {}
 
   ~CoroutineExchange() override {
-    // The headers could not be sent: let the handler see that and return.
-    gone_ = true;
+    // The headers could not be sent: resume the handler, so that it returns.
+    disconnected_ = true;
     Resume(nullptr);
   }
 
@@ -97,23 +97,25 @@
     SetHead(status, content_type, headers);
     streaming_ = true;
     (*yield_)();
-    return !gone_;
+    return !disconnected_;
   }
 
   bool Write(std::string_view piece) override {
-    if (gone_ || aborted_) {
+    if (disconnected_ || aborted_) {
       return false;
     }
     if (!sink_->write(piece.data(), piece.size())) {
-      gone_ = true;
+      disconnected_ = true;
     }
-    return !gone_;
+    return !disconnected_;
   }
 
   void Abort() override { aborted_ = true; }
 
   const HttpRequest& request() const override { return request_; }
-  bool caller_gone() const override { return gone_ || stream_.PeerClosed(); }
+  bool caller_disconnected() const override {
+    return disconnected_ || stream_.PeerClosed();
+  }
 
   // --- For the server
 
@@ -127,14 +129,14 @@
   const std::string& content_type() const { return content_type_; }
   std::string TakeBody() { return std::move(whole_body_); }
 
-  // Runs the rest of the handler. Returns whether the stream is whole.
+  // Resumes the handler. Returns whether the stream was completed.
   bool Resume(httplib::DataSink* sink) {
     sink_ = sink;
     if (body_) {
       body_();
     }
     sink_ = nullptr;
-    return !gone_ && !aborted_;
+    return !disconnected_ && !aborted_;
   }
 
  private:
@@ -156,12 +158,13 @@
   HttpHeaders headers_;
   std::string whole_body_;
   bool streaming_ = false;
-  // Read by other threads through caller_gone().
-  std::atomic<bool> gone_{false};
+  // Read by other threads through caller_disconnected().
+  std::atomic<bool> disconnected_{false};
   bool aborted_ = false;
   httplib::DataSink* sink_ = nullptr;
   Push* yield_ = nullptr;
-  // Last: starting it runs the handler, which uses all of the above.
+  // Must be last: its construction starts the handler, which uses the members
+  // above.
   Pull body_;
 };
 
@@ -198,9 +201,9 @@
 
   void Configure();
   void Serve(const httplib::Request& in, httplib::Response& out);
-  // Answer what is refused by its head alone; true when it was.
-  bool RefuseByHead(const httplib::Request& in, httplib::Response& out);
-  bool RefusesHead(const httplib::Request& in, httplib::Response& out);
+  // Answers the request and returns true if its head is rejected.
+  bool RejectByHead(const httplib::Request& in, httplib::Response& out);
+  bool RejectsHead(const httplib::Request& in, httplib::Response& out);
   bool Screen(const httplib::Request& in, httplib::Response& out);
   void FillError(httplib::Response& out) const;
 
@@ -217,8 +220,8 @@
   server.new_task_queue = [this] { return new TaskQueue(threads); };
   server.set_tcp_nodelay(true);
   server.set_payload_max_length(options.max_body_bytes);
-  // Not the library's default: that sets SO_REUSEPORT, with which a second
-  // daemon on the same port would silently take half of the connections.
+  // The library's default sets SO_REUSEPORT, which would let a second daemon on
+  // the same port take part of the connections.
   server.set_socket_options([this](socket_t fd) {
     const int on = 1;
     ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
@@ -226,16 +229,17 @@
   });
   server.set_expect_100_continue_handler(
       [this](const httplib::Request& in, httplib::Response& out) {
-        return RefuseByHead(in, out) ? out.status : 100;
+        return RejectByHead(in, out) ? out.status : 100;
       });
   server.set_pre_routing_handler([this](const httplib::Request& in,
                                         httplib::Response& out) {
-    return RefuseByHead(in, out) ? httplib::Server::HandlerResponse::Handled
+    return RejectByHead(in, out) ? httplib::Server::HandlerResponse::Handled
                                  : httplib::Server::HandlerResponse::Unhandled;
   });
   server.set_error_handler([this](const httplib::Request&,
                                   httplib::Response& out) { FillError(out); });
-  // The library's own would tell the caller the exception's text.
+  // The library's default handler would send the exception's text to the
+  // caller.
   server.set_exception_handler(
       [](const httplib::Request&, httplib::Response& out,
          const std::exception_ptr&) { out.status = kHttpInternalError; });
@@ -248,26 +252,27 @@
   server.Delete(".*", serve);
 }
 
-bool HttpServer::Details::RefuseByHead(const httplib::Request& in,
+bool HttpServer::Details::RejectByHead(const httplib::Request& in,
                                        httplib::Response& out) {
   if (ConnectionThreads::CurrentMode() != ConnectionThreads::Mode::kServe) {
     out.status = options.overflow.status;
     out.set_content(options.overflow.body, options.overflow.content_type);
-  } else if (!RefusesHead(in, out)) {
+  } else if (!RejectsHead(in, out)) {
     return false;
   }
-  // The body stays unread, so nothing after it could be told from it.
+  // The body is not read, so a following request could not be told apart from
+  // it.
   BoundedServer::CloseAfterAnswer();
   out.set_header("Connection", "close");
   return true;
 }
 
-// What is wrong with the head by itself, or to `screen`.
-bool HttpServer::Details::RefusesHead(const httplib::Request& in,
+// Checks the head and fills the answer if it is rejected.
+bool HttpServer::Details::RejectsHead(const httplib::Request& in,
                                       httplib::Response& out) {
   if (in.path.size() > kMaxPathBytes) {
     out.status = kHttpUriTooLong;
-  } else if (const int status = BoundedServer::JudgeHead(in)) {
+  } else if (const int status = BoundedServer::CheckHead(in)) {
     out.status = status;
   } else if (in.get_header_value<std::uint64_t>("Content-Length") >
              options.max_body_bytes) {
@@ -304,7 +309,7 @@
 
 void HttpServer::Details::Serve(const httplib::Request& in,
                                 httplib::Response& out) {
-  // A chunked body shows its size only now.
+  // The size of a chunked body is known only after reading it.
   if (in.body.size() > options.max_body_bytes) {
     out.status = kHttpBodyTooLarge;
     return;
@@ -353,7 +358,7 @@
                     std::to_string(d.options.port);
     return std::nullopt;
   }
-  // The library listens with a backlog of 5; asking again raises it.
+  // The library listens with a backlog of 5; a second call raises it.
   ::listen(d.listening_socket, kListenBacklog);
   d.accept_thread =
       std::thread([this] { details_->server.listen_after_bind(); });
--- a/src/connection/peer_link_endpoint.h
+++ b/src/connection/peer_link_endpoint.h
@@ -1,5 +1,5 @@
-// Inside of peer_link: the transport over websocketpp, for plain TCP and for
-// TLS alike. Included by peer_link_plain.cc and peer_link_tls.cc only.
+// Transport of peer links over websocketpp, for plain TCP and TLS. Included by
+// peer_link_plain.cc and peer_link_tls.cc only.
 #ifndef LYNXGLADE_CONNECTION_PEER_LINK_ENDPOINT_H_
 #define LYNXGLADE_CONNECTION_PEER_LINK_ENDPOINT_H_
 
@@ -28,8 +28,8 @@
 
 namespace lynxglade::connection {
 
-// The library's settings for both ends; `Socket` is its plain or TLS socket
-// policy. Lower-case names are the library's.
+// websocketpp configuration for server and client. `Socket` is websocketpp's
+// plain or TLS socket policy. Lower-case names are required by websocketpp.
 // NOLINTBEGIN(readability-identifier-naming)
 template <typename Socket>
 struct PeerWebSocketConfig : public websocketpp::config::core_client {
@@ -54,7 +54,7 @@
 };
 // NOLINTEND(readability-identifier-naming)
 
-// What plain TCP and TLS do differently.
+// The parts that differ between plain TCP and TLS.
 template <typename Config>
 struct PeerSocketPolicy {
   using Server = websocketpp::server<Config>;
@@ -62,10 +62,11 @@
   using ConnectionPtr = typename Server::connection_ptr;
 
   std::string scheme;
-  // Reads the files; false when they cannot be used.
+  // Loads the TLS files; returns false if they are unusable.
   std::function<bool()> reload;
   std::function<void(Server&, Client&)> install;
-  // Fills the identity proved by the peer; null result refuses the link.
+  // Sets the identity from the peer's certificate. Returns false to reject the
+  // link.
   std::function<bool(ConnectionPtr, std::optional<PeerIdentity>*)> identify;
 };
 
@@ -163,18 +164,18 @@
     PeerLinkQueue queue;
   };
 
-  // Bytes that the library may hold for one connection before messages wait
-  // in our own, bounded queue.
+  // Once websocketpp buffers this much for a connection, messages go to the
+  // bounded queue of the link.
   static constexpr std::size_t kLibraryBufferBytes = 64u << 10;
   static constexpr std::chrono::milliseconds kSweepInterval{50};
   static constexpr const char* kResource = "/lynxglade/peer";
-  // Longest close reason that a WebSocket close frame carries.
+  // A WebSocket close frame carries at most 123 bytes of reason.
   static constexpr std::size_t kMaxReasonBytes = 120;
 
   bool Listen() {
     websocketpp::lib::error_code ec;
-    Quiet(server_);
-    Quiet(client_);
+    DisableLogging(server_);
+    DisableLogging(client_);
     server_.init_asio(&io_, ec);
     if (ec) {
       return false;
@@ -204,23 +205,23 @@
   }
 
   template <typename Endpoint>
-  static void Quiet(Endpoint& endpoint) {
+  static void DisableLogging(Endpoint& endpoint) {
     endpoint.clear_access_channels(websocketpp::log::alevel::all);
     endpoint.clear_error_channels(websocketpp::log::elevel::all);
   }
 
   void InstallServerHandlers() {
-    // Counted from the accept on: a handshake that does not come holds a
-    // socket until its timeout.
+    // Counts pending handshakes: a client that never starts one occupies a
+    // socket until the handshake timeout.
     server_.set_tcp_pre_init_handler([this](websocketpp::connection_hdl hdl) {
-      if (++unproved_ > options_.max_unproved) {
+      if (++handshakes_ > options_.max_handshakes) {
         ++links_refused_;
         boost::system::error_code ec;
         server_.get_con_from_hdl(hdl)->get_raw_socket().close(ec);
       }
     });
     server_.set_fail_handler(
-        [this](websocketpp::connection_hdl) { ForgetUnproved(); });
+        [this](websocketpp::connection_hdl) { EndHandshake(); });
     server_.set_tcp_post_init_handler([this](websocketpp::connection_hdl hdl) {
       SetNoDelay(server_.get_con_from_hdl(hdl));
     });
@@ -230,16 +231,16 @@
     server_.set_open_handler([this](websocketpp::connection_hdl hdl) {
       ConnectionPtr con = server_.get_con_from_hdl(hdl);
       const PeerLinkId id = next_link_.fetch_add(1);
-      ForgetUnproved();
-      Adopt(id, con);
+      EndHandshake();
+      InstallLinkHandlers(id, con);
       links_.emplace(id, Link(con, false, options_.max_queue_bytes));
-      Greet(id);
+      SendHello(id);
     });
   }
 
-  void ForgetUnproved() {
-    if (unproved_ > 0) {
-      --unproved_;
+  void EndHandshake() {
+    if (handshakes_ > 0) {
+      --handshakes_;
     }
   }
 
@@ -259,8 +260,8 @@
     return false;
   }
 
-  // Binds a connection's events to its link id.
-  void Adopt(PeerLinkId id, const ConnectionPtr& con) {
+  // Installs the handlers that map a connection's events to its link id.
+  void InstallLinkHandlers(PeerLinkId id, const ConnectionPtr& con) {
     con->set_message_handler(
         [this, id](websocketpp::connection_hdl, MessagePtr message) {
           Receive(id, message);
@@ -284,10 +285,12 @@
                                    ec);
     }
     if (!con || ec) {
-      hooks_.on_down(id, con ? ec.message() : "too many links");
+      hooks_.on_down(id, con ? ec.message()
+                             : "too many links (limit " +
+                                   std::to_string(options_.max_links) + ")");
       return;
     }
-    Adopt(id, con);
+    InstallLinkHandlers(id, con);
     con->set_tcp_post_init_handler(
         [this, con_weak = std::weak_ptr(con)](websocketpp::connection_hdl) {
           if (const ConnectionPtr c = con_weak.lock()) {
@@ -295,13 +298,14 @@
           }
         });
     con->set_open_handler(
-        [this, id](websocketpp::connection_hdl) { Greet(id); });
+        [this, id](websocketpp::connection_hdl) { SendHello(id); });
     links_.emplace(id, Link(con, true, options_.max_queue_bytes));
     client_.connect(con);
   }
 
-  // The connection is open: prove the peer, then send our greeting.
-  void Greet(PeerLinkId id) {
+  // Called when the connection is open: checks the peer's identity and sends
+  // the hello message.
+  void SendHello(PeerLinkId id) {
     const auto it = links_.find(id);
     if (it == links_.end()) {
       return;
@@ -309,7 +313,8 @@
     Link& link = it->second;
     if (!policy_.identify(link.connection, &link.identity)) {
       ++links_refused_;
-      Drop(id, "certificate names no zone and role", "certificate refused");
+      Drop(id, "certificate names no zone and role",
+           "peer certificate names no zone and role");
       return;
     }
     link.hello_deadline = SteadyClock::now() + options_.hello_timeout;
@@ -326,17 +331,18 @@
     bytes_received_ += payload.size();
     if (message->get_opcode() != websocketpp::frame::opcode::binary) {
       ++links_refused_;
-      Drop(id, "binary messages only", "peer sent text");
+      Drop(id, "binary messages only",
+           "peer sent a message that is not binary");
       return;
     }
     if (it->second.up) {
       hooks_.on_message(id, payload);
       return;
     }
-    JudgeHello(id, &it->second, payload);
+    CheckHello(id, &it->second, payload);
   }
 
-  void JudgeHello(PeerLinkId id, Link* link, const std::string& hello) {
+  void CheckHello(PeerLinkId id, Link* link, const std::string& hello) {
     const PeerIdentity* identity =
         link->identity.has_value() ? &*link->identity : nullptr;
     const std::string refusal = hooks_.check_hello(hello, identity);
@@ -362,7 +368,7 @@
     bool fits = true;
     messages_dropped_ += link.queue.Push(std::move(message), cls, &fits);
     if (!fits) {
-      Drop(id, "too slow", "peer too slow");
+      Drop(id, "send queue full", "send queue full, peer too slow");
     }
   }
 
@@ -381,10 +387,10 @@
     bytes_sent_ += message.size();
   }
 
-  // Forgets the link, closes its connection and tells the owner if it knows
-  // of the link.
+  // Removes the link and closes its connection. Calls on_down if the link was
+  // up or dialled, so that the owner has its id.
   void Drop(PeerLinkId id,
-            const std::string& told_to_peer,
+            const std::string& close_reason,
             const std::string& reason) {
     const auto it = links_.find(id);
     if (it == links_.end()) {
@@ -395,7 +401,7 @@
     links_.erase(it);
     websocketpp::lib::error_code ec;
     con->close(websocketpp::close::status::policy_violation,
-               told_to_peer.substr(0, kMaxReasonBytes), ec);
+               close_reason.substr(0, kMaxReasonBytes), ec);
     if (known) {
       hooks_.on_down(id, reason);
     }
@@ -411,31 +417,30 @@
     });
   }
 
-  // Moves waiting messages on and cuts off peers that never greet.
+  // Sends queued messages and closes links whose hello is overdue.
   void Sweep() {
     const auto now = SteadyClock::now();
-    std::vector<PeerLinkId> silent;
+    std::vector<PeerLinkId> overdue;
     std::vector<PeerLinkId> waiting;
     for (const auto& [id, link] : links_) {
-      const bool greeted_by_us =
-          link.hello_deadline != SteadyClock::time_point{};
-      if (!link.up && greeted_by_us && link.hello_deadline < now) {
-        silent.push_back(id);
+      const bool hello_sent = link.hello_deadline != SteadyClock::time_point{};
+      if (!link.up && hello_sent && link.hello_deadline < now) {
+        overdue.push_back(id);
       }
       if (!link.queue.empty()) {
         waiting.push_back(id);
       }
     }
-    for (const PeerLinkId id : silent) {
+    for (const PeerLinkId id : overdue) {
       ++links_refused_;
-      Drop(id, "no greeting", "no greeting");
+      Drop(id, "hello timed out", "peer sent no hello in time");
     }
     for (const PeerLinkId id : waiting) {
-      Pump(id);
+      SendQueued(id);
     }
   }
 
-  void Pump(PeerLinkId id) {
+  void SendQueued(PeerLinkId id) {
     auto it = links_.find(id);
     while (it != links_.end() && !it->second.queue.empty() &&
            HasRoom(it->second)) {
@@ -450,8 +455,9 @@
         io_.run();
         return;
       } catch (const std::exception&) {
-        // The library throws out of handlers for a connection that broke in
-        // between; that connection's own events follow, the others go on.
+        // websocketpp throws from handlers of a connection that broke
+        // meanwhile. Its close or fail handler still runs; other links are not
+        // affected.
         continue;
       }
     }
@@ -462,8 +468,8 @@
     sweep_timer_.cancel();
     websocketpp::lib::error_code ec;
     server_.stop_listening(ec);
-    // The loop ends before a closing handshake could, so the sockets are closed
-    // at once for the peers to see it.
+    // The event loop stops before a closing handshake could finish, so the
+    // sockets are closed directly to notify the peers.
     for (const auto& [id, link] : links_) {
       boost::system::error_code bec;
       link.connection->get_raw_socket().close(bec);
@@ -488,10 +494,10 @@
   std::atomic<std::uint64_t> bytes_received_{0};
   std::atomic<std::uint64_t> messages_dropped_{0};
   std::atomic<std::uint64_t> links_refused_{0};
-  // Only on the I/O thread once that runs.
+  // The members below are used only on the I/O thread once it runs.
   bool stopping_ = false;
-  // Accepted connections whose handshake is not over.
-  std::size_t unproved_ = 0;
+  // Accepted connections with an incomplete handshake.
+  std::size_t handshakes_ = 0;
   std::map<PeerLinkId, Link> links_;
   std::thread thread_;
 };
--- a/src/connection/target_client_exchange.cc
+++ b/src/connection/target_client_exchange.cc
@@ -21,14 +21,14 @@
 
 constexpr char kChatPath[] = "/v1/chat/completions";
 constexpr std::string_view kEventStream = "text/event-stream";
-// An error body larger than this is no refusal that we understand.
-constexpr std::size_t kMaxErrorBody = 64u << 10;
-// Bytes handed to the socket a time.
-constexpr std::size_t kWriteSlice = 64u << 10;
-// How long the end of the HTTP message may lag behind the end marker before
-// the connection is given up; the answer is whole already.
-constexpr base::Duration kEndLinger = std::chrono::milliseconds(50);
-constexpr std::size_t kMaxMessage = 512;
+// Larger error bodies are not parsed.
+constexpr std::size_t kMaxErrorBodyBytes = 64u << 10;
+// Bytes per write to the socket.
+constexpr std::size_t kWriteChunkBytes = 64u << 10;
+// How long to wait for the end of the HTTP message after the stream's end
+// marker before closing the connection. The answer is already complete.
+constexpr base::Duration kMessageEndTimeout = std::chrono::milliseconds(50);
+constexpr std::size_t kMaxMessageBytes = 512;
 
 constexpr int kStatusOk = 200;
 constexpr int kStatusUnavailable = 503;
@@ -45,7 +45,7 @@
   return c >= 'A' && c <= 'Z';
 }
 
-// Statuses whose answers have no body by definition.
+// Statuses whose answers never have a body.
 bool HasNoBody(int status) noexcept {
   return status == 204 || status == 304;
 }
@@ -67,8 +67,8 @@
 
 }  // namespace
 
-std::optional<std::string> EngineBody(const request::AttemptOrder& order) {
-  const request::Request& request = *order.request;
+std::optional<std::string> EngineBody(const request::AttemptSpec& spec) {
+  const request::Request& request = *spec.request;
   std::optional<json> parsed = base::ParseBoundedJson(request.body);
   if (!parsed || !parsed->is_object()) {
     return std::nullopt;
@@ -77,18 +77,18 @@
   body["stream"] = true;
   body["stream_options"] = {{"include_usage", true}};
   body["priority"] = request.priority.value();
-  if (order.resume_from.value() > 0) {
-    body["resume_from"] = order.resume_from.value();
+  if (spec.resume_from.value() > 0) {
+    body["resume_from"] = spec.resume_from.value();
   }
   if (request.prefix_hash != 0) {
     body["prefix_hint"] = base::ToHex(request.prefix_hash);
   }
-  if (order.kind == AttemptKind::kPrefill) {
+  if (spec.kind == AttemptKind::kPrefill) {
     body["max_tokens"] = 1;
     body["kv_transfer_params"] = {{"do_remote_decode", true}};
-  } else if (!order.kv_transfer_params.empty()) {
+  } else if (!spec.kv_transfer_params.empty()) {
     body["kv_transfer_params"] =
-        json::parse(order.kv_transfer_params, nullptr, false);
+        json::parse(spec.kv_transfer_params, nullptr, false);
   }
   return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
@@ -103,17 +103,17 @@
          });
 }
 
-TargetExchange::TargetExchange(const request::AttemptOrder& order,
+TargetExchange::TargetExchange(const request::AttemptSpec& spec,
                                const request::TokenSink& sink,
                                std::string body,
                                const base::Clock& clock,
                                std::size_t max_plain_body)
-    : order_(order),
+    : spec_(spec),
       body_(std::move(body)),
       clock_(clock),
       started_(clock()),
       max_plain_body_(max_plain_body),
-      stream_(order.id, order.resume_from, counted_sink_) {
+      stream_(spec.id, spec.resume_from, counted_sink_) {
   counted_sink_.on_token = [this, &sink](const request::TokenChunk& chunk) {
     if (!report_.first_token) {
       report_.first_token = clock_() - started_;
@@ -128,11 +128,11 @@
   httplib::Response response;
   httplib::Error error = httplib::Error::Success;
   const bool sent = client.send(request, response, error);
-  // Nobody may break the connection from here on.
-  watch.Retire();
-  // The library hands over no head when the answer has no body.
+  // From here on, the watch no longer closes the connection.
+  watch.Disarm();
+  // The HTTP library does not call the response handler if there is no body.
   if (sent && phase_ != Phase::kAnswering) {
-    TakeHead(response, watch);
+    HandleHead(response, watch);
   }
   Classify(sent ? httplib::Error::Success : error, watch.reason());
   connection_clean_ = sent && report_.end != AttemptEnd::kCrossed &&
@@ -142,18 +142,18 @@
 }
 
 httplib::Request TargetExchange::MakeRequest(WatchedAttempt& watch) {
-  const request::Request& from = *order_.request;
+  const request::Request& from = *spec_.request;
   httplib::Request request;
   request.method = IsPlain() ? from.method : "POST";
   request.path = IsPlain() ? from.path : kChatPath;
   request.set_header("X-Request-Id", from.id.str());
-  request.set_header("X-Attempt-Id", order_.id.str());
+  request.set_header("X-Attempt-Id", spec_.id.str());
   const std::string type = IsPlain() ? from.content_type : "application/json";
   if (!type.empty()) {
     request.set_header("Content-Type", type);
   }
-  // The body goes out through a provider, because its first call is the
-  // latest moment at which the attempt can still be called off as not run.
+  // The body is sent by a content provider: its first call is the last point at
+  // which the attempt can still be abandoned as not run.
   request.content_length_ = body_.size();
   request.content_provider_ = [this, &watch](std::size_t offset,
                                              std::size_t size,
@@ -161,11 +161,11 @@
     return WriteBody(offset, size, out, watch);
   };
   request.response_handler = [this, &watch](const httplib::Response& head) {
-    return TakeHead(head, watch);
+    return HandleHead(head, watch);
   };
   request.content_receiver = [this, &watch](const char* data, std::size_t size,
                                             std::uint64_t, std::uint64_t) {
-    return TakeBytes(std::string_view(data, size), watch);
+    return HandleBytes(std::string_view(data, size), watch);
   };
   return request;
 }
@@ -176,10 +176,10 @@
                                WatchedAttempt& watch) {
   if (phase_ == Phase::kConnecting) {
     const base::Time now = clock_();
-    // The process may have been paused since the order was made.
-    const base::Duration limit = order_.start_within > base::Duration::zero()
-                                     ? order_.start_within
-                                     : order_.remaining;
+    // The process may have been suspended since the attempt started.
+    const base::Duration limit = spec_.start_timeout > base::Duration::zero()
+                                     ? spec_.start_timeout
+                                     : spec_.timeout;
     overdue_ = now - started_ >= limit;
     if (overdue_) {
       return false;
@@ -187,7 +187,7 @@
     watch.Arm(now);
     phase_ = Phase::kWriting;
   }
-  const std::size_t n = std::min(size, kWriteSlice);
+  const std::size_t n = std::min(size, kWriteChunkBytes);
   if (!out.write(body_.data() + offset, n)) {
     return false;
   }
@@ -197,9 +197,9 @@
   return true;
 }
 
-bool TargetExchange::TakeHead(const httplib::Response& head,
-                              WatchedAttempt& watch) {
-  // A request without a body was not armed before.
+bool TargetExchange::HandleHead(const httplib::Response& head,
+                                WatchedAttempt& watch) {
+  // A request without a body has not been armed by WriteBody().
   watch.Arm(clock_());
   phase_ = Phase::kAnswering;
   status_ = head.status;
@@ -209,21 +209,23 @@
   length_known_ = head.has_header("Content-Length") || HasNoBody(status_) ||
                   head.get_header_value("Transfer-Encoding") == "chunked";
   const std::string echo = head.get_header_value("X-Attempt-Id");
-  crossed_ = !echo.empty() && echo != order_.id.str();
+  crossed_ = !echo.empty() && echo != spec_.id.str();
   return !crossed_;
 }
 
-bool TargetExchange::TakeBytes(std::string_view bytes, WatchedAttempt& watch) {
+bool TargetExchange::HandleBytes(std::string_view bytes,
+                                 WatchedAttempt& watch) {
   watch.Touch(clock_());
   if (IsStreaming()) {
     const bool more = stream_.Feed(bytes);
     if (stream_.state() == EngineStream::State::kEnded) {
-      watch.EndBy(clock_() + kEndLinger);
+      watch.ShortenDeadline(clock_() + kMessageEndTimeout);
     }
     return more;
   }
-  const std::size_t bound =
-      IsPlain() ? max_plain_body_ : std::min(kMaxErrorBody, max_plain_body_);
+  const std::size_t bound = IsPlain()
+                                ? max_plain_body_
+                                : std::min(kMaxErrorBodyBytes, max_plain_body_);
   body_too_large_ = answer_.size() + bytes.size() > bound;
   if (!body_too_large_) {
     answer_ += bytes;
@@ -232,7 +234,7 @@
 }
 
 bool TargetExchange::IsPlain() const noexcept {
-  return order_.role == request::EngineRole::kPlain;
+  return spec_.role == request::EngineRole::kPlain;
 }
 
 bool TargetExchange::IsStreaming() const noexcept {
@@ -278,14 +280,14 @@
     return;
   }
   if (!body_.empty()) {
-    // The head may have left, but the target never saw what to run.
+    // The head may have been sent, but none of the body.
     End(AttemptEnd::kSendFailed, Outcome::kNotRun);
     return;
   }
-  // Without a body the head was the whole request.
-  const base::Duration limit = order_.silence > base::Duration::zero()
-                                   ? std::min(order_.remaining, order_.silence)
-                                   : order_.remaining;
+  // Without a body, the head is the complete request and may have been sent.
+  const base::Duration limit = spec_.idle_timeout > base::Duration::zero()
+                                   ? std::min(spec_.timeout, spec_.idle_timeout)
+                                   : spec_.timeout;
   const bool timed_out = clock_() - started_ >= limit;
   End(timed_out ? AttemptEnd::kTimeout : AttemptEnd::kReset, Outcome::kUnknown);
 }
@@ -295,8 +297,9 @@
   const Outcome so_far = stream_.started() ? Outcome::kRan : Outcome::kUnknown;
   switch (stream_.state()) {
     case EngineStream::State::kEnded:
-      if (!stream_.IsWhole()) {
-        report_.message = "the parts do not add up to the usage";
+      if (!stream_.IsComplete()) {
+        report_.message =
+            "finish reason or usage missing, or token count differs from usage";
         End(AttemptEnd::kBadAnswer, so_far);
         return;
       }
@@ -323,7 +326,7 @@
     return;
   }
   if (complete) {
-    report_.message = "the stream ended without its end marker";
+    report_.message = "stream ended without its end marker";
   }
   End(AttemptEnd::kTruncated, so_far);
 }
@@ -334,12 +337,12 @@
     return;
   }
   if (body_too_large_) {
-    report_.message = "answer too large";
+    report_.message = "answer body too large";
     End(AttemptEnd::kBadAnswer, IsPlain() ? Outcome::kRan : Outcome::kUnknown);
     return;
   }
   const bool whole = complete && length_known_;
-  if (whole && IsRefusalStatus(status_) && TakeRefusal()) {
+  if (whole && IsRefusalStatus(status_) && ParseRefusal()) {
     End(AttemptEnd::kRefused, Outcome::kNotRun);
     return;
   }
@@ -365,7 +368,7 @@
       Outcome::kUnknown);
 }
 
-bool TargetExchange::TakeRefusal() {
+bool TargetExchange::ParseRefusal() {
   const std::optional<json> body = base::ParseBoundedJson(answer_);
   if (!body || !body->is_object() || !body->contains("error") ||
       !(*body)["error"].is_object()) {
@@ -384,7 +387,8 @@
           : TargetRefusal::kOther;
   const auto message = error.find("message");
   if (message != error.end() && message->is_string()) {
-    report_.target_message = message->get<std::string>().substr(0, kMaxMessage);
+    report_.target_message =
+        message->get<std::string>().substr(0, kMaxMessageBytes);
   }
   report_.retry_after = ParseRetryAfter(error, retry_after_);
   return true;
--- a/src/connection/target_client_stream.cc
+++ b/src/connection/target_client_stream.cc
@@ -15,17 +15,17 @@
 constexpr std::string_view kDataField = "data:";
 constexpr std::string_view kEndMarker = "[DONE]";
 
-// Greater than any answer; sums of two stay far from overflow.
+// Exceeds any real answer; the sum of two cannot overflow.
 constexpr std::int64_t kMaxTokens = 1'000'000'000;
 
-// The member if it is a possible count of tokens, else `fallback`.
+// The member if it is a valid token count, else `fallback`.
 std::int64_t TokensOr(const json& object,
                       const char* name,
                       std::int64_t fallback) {
   return base::WholeMember(object, name, 0, kMaxTokens).value_or(fallback);
 }
 
-// The member if it is text, else empty.
+// The member if it is a string, else empty.
 std::string_view TextOr(const json& object, const char* name) {
   const auto it = object.find(name);
   return it != object.end() && it->is_string()
@@ -54,11 +54,11 @@
       partial_ += bytes;
       bytes = {};
     } else if (partial_.empty()) {
-      TakeLine(bytes.substr(0, n));
+      HandleLine(bytes.substr(0, n));
       bytes.remove_prefix(n + 1);
     } else {
       partial_ += bytes.substr(0, n);
-      TakeLine(std::exchange(partial_, {}));
+      HandleLine(std::exchange(partial_, {}));
       bytes.remove_prefix(n + 1);
     }
     if (partial_.size() + data_.size() > kMaxEventBytes) {
@@ -68,22 +68,22 @@
   return state_ == State::kOpen || state_ == State::kEnded;
 }
 
-bool EngineStream::IsWhole() const noexcept {
+bool EngineStream::IsComplete() const noexcept {
   return state_ == State::kEnded && !finish_reason_.empty() && usage_ &&
          resume_from_ + tokens_ == usage_->completion;
 }
 
-void EngineStream::TakeLine(std::string_view line) {
+void EngineStream::HandleLine(std::string_view line) {
   if (line.ends_with('\r')) {
     line.remove_suffix(1);
   }
   if (line.empty()) {
     if (!data_.empty()) {
-      TakeEvent(std::exchange(data_, {}));
+      HandleEvent(std::exchange(data_, {}));
     }
     return;
   }
-  // Comments and the fields that this protocol does not use are skipped.
+  // Skips comments and unused fields.
   if (!line.starts_with(kDataField)) {
     return;
   }
@@ -97,38 +97,38 @@
   data_ += line;
 }
 
-void EngineStream::TakeEvent(std::string_view data) {
+void EngineStream::HandleEvent(std::string_view data) {
   if (data == kEndMarker) {
     state_ = State::kEnded;
     return;
   }
   const std::optional<json> event = base::ParseBoundedJson(data);
   if (!event || !event->is_object()) {
-    Fail(State::kBad, "event is no JSON object");
+    Fail(State::kBad, "event is not a JSON object");
     return;
   }
   if (const json* error = Find(*event, "error", json::value_t::object)) {
-    // Its text may repeat the request, so only a known code is kept.
+    // The error text may quote the prompt, so only the code is kept.
     const auto code = request::ParseTargetRefusal(TextOr(*error, "code"));
     Fail(State::kBad,
-         "the engine's own error: " + std::string(request::ToString(code)));
+         "engine reported an error: " + std::string(request::ToString(code)));
     return;
   }
   if (TextOr(*event, "id") != expected_id_) {
-    Fail(State::kCrossed, "event of another attempt");
+    Fail(State::kCrossed, "event has the id of another attempt");
     return;
   }
   started_ = true;
-  TakeChunk(*event);
+  HandleChunk(*event);
 }
 
-void EngineStream::TakeChunk(const json& event) {
+void EngineStream::HandleChunk(const json& event) {
   const json* choices = Find(event, "choices", json::value_t::array);
   if (choices && !choices->empty() && choices->front().is_object()) {
-    TakeChoice(event, choices->front());
+    HandleChoice(event, choices->front());
   }
   if (const json* usage = Find(event, "usage", json::value_t::object)) {
-    TakeUsage(*usage);
+    HandleUsage(*usage);
   }
   if (const json* kv =
           Find(event, "kv_transfer_params", json::value_t::object)) {
@@ -137,7 +137,7 @@
   }
 }
 
-void EngineStream::TakeChoice(const json& event, const json& choice) {
+void EngineStream::HandleChoice(const json& event, const json& choice) {
   const std::string_view reason = TextOr(choice, "finish_reason");
   if (!reason.empty()) {
     finish_reason_ = reason;
@@ -151,11 +151,11 @@
   }
   const std::int64_t offset = TokensOr(event, "token_offset", -1);
   if (offset < 0 || count <= 0) {
-    Fail(State::kBad, "chunk without token offset and count");
+    Fail(State::kBad, "chunk without valid token offset and count");
     return;
   }
   if (tokens_.value() + count > kMaxTokens) {
-    Fail(State::kBad, "more tokens than an answer can have");
+    Fail(State::kBad, "token count of the answer out of range");
     return;
   }
   const request::TokenChunk chunk{.text = text,
@@ -168,7 +168,7 @@
   tokens_ += chunk.count;
 }
 
-void EngineStream::TakeUsage(const json& usage) {
+void EngineStream::HandleUsage(const json& usage) {
   request::Usage seen;
   seen.prompt = base::Tokens(TokensOr(usage, "prompt_tokens", 0));
   seen.completion = base::Tokens(TokensOr(usage, "completion_tokens", -1));
--- a/src/main/daemon_hooks.cc
+++ b/src/main/daemon_hooks.cc
@@ -1,4 +1,4 @@
-// How the daemon's parts are bound to each other.
+// Connects the daemon's components to each other.
 #include "main/details/daemon_details.h"
 
 namespace lynxglade {
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-// --- Putting it together ----------------------------------------------------
+// --- Construction -----------------------------------------------------------
 
 Daemon::Details::Details(process::Settings s)
     : settings(std::move(s)),
@@ -92,11 +92,11 @@
   hooks.clock = base::BootClock::now;
   hooks.random = random;
   hooks.wall_millis = base::WallMillis;
-  hooks.on_change = [this] { TakeConfiguration(); };
+  hooks.on_change = [this] { ApplyConfiguration(); };
   hooks.publish = [this](process::ViewItem item) {
     views.Publish(std::move(item));
   };
-  hooks.in_force_facts = [this] {
+  hooks.revision_facts = [this] {
     return views.Snapshot(process::ViewKind::kConfigInForce);
   };
   hooks.member_count = [this] { return views.Members().size(); };
@@ -105,8 +105,9 @@
   return hooks;
 }
 
-// Changes may be announced out of order; the newest is read under the lock.
-void Daemon::Details::TakeConfiguration() {
+// Notifications may arrive out of order, so the current configuration is read
+// under the lock and an older one is ignored.
+void Daemon::Details::ApplyConfiguration() {
   std::lock_guard lock(configuration_mutex);
   const auto current = configuration.Current();
   if (current->revision <=
@@ -122,7 +123,7 @@
 version::FleetFacts Daemon::Details::Fleet() const {
   version::FleetFacts facts;
   const std::chrono::duration<double> change = settings.role_change_time;
-  facts.seconds_per_change = change.count();
+  facts.seconds_per_reload = change.count();
   const auto index = registry.Index();
   std::ranges::transform(index->table().targets,
                          std::back_inserter(facts.targets),
@@ -141,12 +142,12 @@
   process::ServingHooks hooks;
   hooks.clock = base::BootClock::now;
   hooks.random = random;
-  hooks.run = [this](const request::AttemptOrder& order,
+  hooks.run = [this](const request::AttemptSpec& spec,
                      const request::TokenSink& sink) {
-    return target_client.Run(order, sink);
+    return target_client.Run(spec, sink);
   };
-  hooks.cancel = [this](const request::AttemptOrder& order) {
-    target_client.Cancel(order);
+  hooks.cancel = [this](const request::AttemptSpec& spec) {
+    target_client.Cancel(spec);
   };
   hooks.claim_begin = [this](const request::Request& request) {
     return claims.Begin(request);
@@ -170,7 +171,7 @@
                        const request::CallerSink& sink) {
     return serving.Serve(request, sink);
   };
-  hooks.closed = [this] { return Closed(); };
+  hooks.closed = [this] { return NotReadyRefusal(); };
   hooks.now = base::BootClock::now;
   hooks.random = random;
   return hooks;
@@ -179,10 +180,10 @@
 process::AdminFrontHooks Daemon::Details::MakeAdminHooks() {
   process::AdminFrontHooks hooks;
   hooks.role_of_key = [this](const std::string& key) {
-    const auto caller = configuration.access().Recognise(key);
+    const auto caller = configuration.access().Authenticate(key);
     return caller ? std::optional(caller->role) : std::nullopt;
   };
-  hooks.not_ready = [this] { return NotReady(); };
+  hooks.not_ready = [this] { return NotReadyReason(); };
   return hooks;
 }
 
@@ -194,7 +195,8 @@
   const auto quarantine = [this](const connection::ApiCall& call) {
     return serving.HandleQuarantine(call);
   };
-  // The configuration's own handlers look at each contract's operators.
+  // The handlers of the configuration check the operators of each contract
+  // themselves.
   std::vector<process::AdminRoute> routes;
   for (const char* path : {"/v1/admin/plans", "/v1/admin/config",
                            "/v1/admin/contracts", "/v1/admin/audit"}) {
@@ -208,13 +210,13 @@
   for (const char* path : {"/v1/admin/fleet", "/v1/admin/targets"}) {
     routes.push_back({path, OperatorRole::kReadOnly, OperatorRole::kFleet,
                       [this](const connection::ApiCall& call) {
-                        return orders->HandleFleet(call);
+                        return fleet_control->HandleFleet(call);
                       }});
   }
   routes.push_back({"/v1/admin/planner", OperatorRole::kReadOnly,
                     OperatorRole::kFleet,
                     [this](const connection::ApiCall& call) {
-                      return orders->HandlePlanner(call);
+                      return fleet_control->HandlePlanner(call);
                     }});
   routes.push_back({"/v1/admin/quarantine", OperatorRole::kReadOnly,
                     OperatorRole::kFleet, quarantine});
@@ -224,8 +226,8 @@
   return routes;
 }
 
-OrdersHooks Daemon::Details::MakeOrdersHooks() {
-  OrdersHooks hooks;
+FleetControlHooks Daemon::Details::MakeFleetControlHooks() {
+  FleetControlHooks hooks;
   hooks.configuration = [this] { return configuration.Current(); };
   hooks.offered = [this] {
     std::map<base::ServiceName, process::OfferedTotals> out;
@@ -254,7 +256,7 @@
     views.Publish(std::move(item));
   };
   hooks.zone_members = [this] { return ZoneMembers(); };
-  hooks.should_tell = [this] { return ShouldWatch(); };
+  hooks.should_publish_list = [this] { return ShouldWatch(); };
   hooks.listed_facts = [this] {
     return views.Snapshot(process::ViewKind::kListed);
   };
@@ -274,27 +276,27 @@
           return process::InstanceRow{entry.id, entry.zone, entry.address,
                                       entry.peer_port, entry.leaving};
         });
-    const bool names_peers =
+    const bool has_peers =
         std::ranges::any_of(rows, [this](const process::InstanceRow& row) {
           return row.id != settings.instance;
         });
-    return names_peers ? rows : SeedRows(settings);
+    return has_peers ? rows : SeedRows(settings);
   };
   return hooks;
 }
 
-// Facts from peers go to the part that they concern.
+// Dispatches facts from peers to the components that use them.
 void Daemon::Details::SubscribeToViews() {
   const auto to_fleet = [this](const process::ViewItem& item) {
-    fleet.Hear(item);
+    fleet.OnFact(item);
   };
   const auto to_configuration = [this](const process::ViewItem& item) {
-    configuration.Hear(item);
+    configuration.HandleFact(item);
   };
   views.Subscribe(process::ViewKind::kTarget,
                   [this](const process::ViewItem& item) {
-                    fleet.Hear(item);
-                    orders->Hear(item);
+                    fleet.OnFact(item);
+                    fleet_control->OnTargetFact(item);
                   });
   views.Subscribe(process::ViewKind::kLoad, to_fleet);
   views.Subscribe(process::ViewKind::kListed, to_fleet);
--- a/src/main/daemon_options.cc
+++ b/src/main/daemon_options.cc
@@ -23,7 +23,7 @@
 constexpr int kHttpTooLarge = 413;
 constexpr std::int64_t kMillisPerSecond = 1000;
 
-// The library's own errors, in the form that callers know.
+// Errors of the HTTP library in the format of this API's errors.
 std::string LibraryErrorBody(int status) {
   const RefusalReason reason = status == kHttpTooLarge
                                    ? RefusalReason::kBodyTooLarge
@@ -43,7 +43,7 @@
   options.max_body_bytes = connection::kMaxCallerBodyBytes;
   options.overflow.body = connection::RefusalBody(
       {RefusalReason::kOverloaded, base::Outcome::kNotRun,
-       "this instance serves as many connections as it may", kRetryElsewhere});
+       "this instance has reached its connection limit", kRetryElsewhere});
   options.error_body = LibraryErrorBody;
   return options;
 }
--- a/src/main/details/daemon_details.h
+++ b/src/main/details/daemon_details.h
@@ -1,4 +1,4 @@
-// What the daemon is made of. For src/main/daemon*.cc only.
+// The daemon's components. Private to src/main/daemon*.cc.
 #ifndef LYNXGLADE_MAIN_DETAILS_DAEMON_DETAILS_H_
 #define LYNXGLADE_MAIN_DETAILS_DAEMON_DETAILS_H_
 
@@ -20,7 +20,7 @@
 #include "connection/tls_material.h"
 #include "main/check_report.h"
 #include "main/daemon_options.h"
-#include "main/orders_part.h"
+#include "main/fleet_control.h"
 #include "process/admin_front.h"
 #include "process/certificate_reload.h"
 #include "process/control_system.h"
@@ -55,7 +55,7 @@
   process::AdminFrontHooks MakeAdminHooks();
   std::vector<process::AdminRoute> MakeAdminRoutes();
   process::FleetWatchHooks MakeFleetHooks();
-  OrdersHooks MakeOrdersHooks();
+  FleetControlHooks MakeFleetControlHooks();
   process::ViewServiceHooks MakeViewHooks();
   void SubscribeToViews();
   void MakeServers();
@@ -64,9 +64,9 @@
                        const connection::HttpServer& server);
 
   version::FleetFacts Fleet() const;
-  void TakeConfiguration();
-  std::optional<request::Refusal> Closed() const;
-  std::optional<std::string> NotReady() const;
+  void ApplyConfiguration();
+  std::optional<request::Refusal> NotReadyRefusal() const;
+  std::optional<std::string> NotReadyReason() const;
   std::vector<base::InstanceId> ZoneMembers() const;
   bool ShouldWatch() const;
   std::size_t LiveInstances() const;
@@ -78,7 +78,7 @@
   const process::Settings settings;
   std::string last_reason;
   std::atomic<bool> leaving{false};
-  // Admission has seen the targets that the fleet watch waits for.
+  // The fleet watch was ready, and admission has been refreshed since.
   std::atomic<bool> capacity_known{false};
   std::mutex configuration_mutex;
   base::Metrics metrics;
@@ -94,8 +94,8 @@
   base::Snapshot<version::ServingConfiguration> serving_configuration;
   version::ConfigurationPlane configuration;
   process::FleetWatch fleet;
-  // From Start() to Stop().
-  std::unique_ptr<OrdersPart> orders;
+  // Null until Start().
+  std::unique_ptr<FleetControl> fleet_control;
   connection::CallerFront caller_front;
   process::AdminFront admin_front;
   // Null without TLS.
--- a/src/main/entry_daemon.cc
+++ b/src/main/entry_daemon.cc
@@ -26,12 +26,12 @@
 #include "process/instance_presence.h"
 #include "process/order_authority.h"
 #include "process/peer_datagrams.h"
+#include "process/prefill_sharing.h"
 #include "process/prefix_follower.h"
-#include "process/read_sharing.h"
 #include "process/retry_loans.h"
 #include "process/stage_orders.h"
 #include "process/watch_sharing.h"
-#include "request/passthrough/peer_reads.h"
+#include "request/passthrough/peer_prefills.h"
 #include "request/passthrough/relay.h"
 
 namespace lynxglade {
@@ -41,10 +41,10 @@
 using base::Log;
 using base::LogLevel;
 using connection::event::Awaitable;
-using connection::event::CallerBounds;
 using connection::event::CallerReply;
 using connection::event::CallerRequest;
 using connection::event::CallerServer;
+using connection::event::CallerServerLimits;
 using connection::event::ErrorCode;
 using connection::event::Into;
 using connection::event::SleepFor;
@@ -55,22 +55,23 @@
 namespace asio = connection::event::asio;
 namespace http = connection::event::http;
 
-constexpr base::Duration kHousekeepingPeriod = std::chrono::milliseconds(250);
-// After SIGTERM, before idle callers are closed: the balancer asks once a
-// second and takes an instance out after two misses.
-constexpr base::Duration kBalancerNotices = std::chrono::milliseconds(2500);
-// Kept of the grace for the end of the process itself.
+constexpr base::Duration kMaintenancePeriod = std::chrono::milliseconds(250);
+// After SIGTERM, before idle connections are closed. Allows for a load balancer
+// that checks health once a second and removes an instance after two failures.
+constexpr base::Duration kBalancerNoticeTime = std::chrono::milliseconds(2500);
+// Part of the stop grace period reserved for the exit of the process.
 constexpr base::Duration kExitMargin = std::chrono::milliseconds(300);
-constexpr base::Duration kDrainPoll = std::chrono::milliseconds(50);
-// Everything the instances themselves write.
-constexpr char kOwnPrefix[] = "lynxglade/";
-// Between watches that brought changes. Where each instance watches for itself
-// a burst of changes is to be one call of each; where few do, calls are cheap,
-// and a change passes this pause twice on its way.
-constexpr base::Duration kGather = std::chrono::milliseconds(800);
-constexpr base::Duration kGatherShared = std::chrono::milliseconds(300);
-// Without a request for so long, engines may change all at once.
-constexpr base::Duration kIdleAfter = std::chrono::seconds(3);
+constexpr base::Duration kDrainPollPeriod = std::chrono::milliseconds(50);
+// Prefix of all keys that instances write.
+constexpr char kInstanceKeysPrefix[] = "lynxglade/";
+// Delay after a watch that returned changes, to batch a burst of changes. It is
+// shorter if few instances watch the store for the others: their calls cost
+// little, and a change is delayed both at the watching instance and at the
+// receiving one.
+constexpr base::Duration kBatchDelay = std::chrono::milliseconds(800);
+constexpr base::Duration kSharedBatchDelay = std::chrono::milliseconds(300);
+// After this time without a request, all engines may change stage at once.
+constexpr base::Duration kIdleTimeout = std::chrono::seconds(3);
 
 Tcp::endpoint EndpointOf(const process::Endpoint& endpoint) {
   return {asio::ip::make_address(endpoint.address),
@@ -82,19 +83,19 @@
 struct EntryDaemon::Details {
   explicit Details(const process::EntrySettings& s);
 
-  CallerBounds Bounds() const;
+  CallerServerLimits Bounds() const;
   bool Ready() const;
   Awaitable<void> ServeHealth(std::shared_ptr<CallerRequest> request,
                               CallerReply& reply);
   void AddGauges();
-  Awaitable<void> Housekeep();
+  Awaitable<void> RunMaintenance();
   Awaitable<void> WaitForStop();
   Awaitable<void> Drain();
   void Spawn(Awaitable<void> task);
-  request::passthrough::RelayParts MakeRelayParts();
-  // What instances tell each other, at this address.
+  request::passthrough::RelayDependencies MakeRelayDependencies();
+  // Starts the exchange with peer instances through this address.
   void JoinPeers(const process::Endpoint& endpoint);
-  process::PrefixFollowerHooks OwnKeysHooks();
+  process::PrefixFollowerHooks InstanceKeysHooks();
   process::PrefixFollowerHooks StoreHooks();
 
   const process::EntrySettings settings;
@@ -106,68 +107,70 @@
   platform::StoreClient store;
 
   EntryViews views{clock, metrics};
-  request::passthrough::PeerReads peer_reads;
+  request::passthrough::PeerPrefills peer_prefills;
   request::passthrough::PeerAvoidance peer_avoidance;
   request::passthrough::ZoneHealth zones;
-  request::passthrough::ReadTimes read_times;
+  request::passthrough::PrefillTimes prefill_times;
   request::passthrough::GenerationTimes generation_times;
   request::passthrough::AnswerAdmission answers{generation_times};
-  const request::passthrough::EngineRoom room =
+  const request::passthrough::EngineCapacity capacity =
       [this](const request::passthrough::Engine& engine, base::Time now) {
-        return answers.Room(engine, now);
+        return answers.Capacity(engine, now);
       };
-  request::passthrough::EngineChoice choice;
-  request::passthrough::RetryAllowance allowance;
+  request::passthrough::EnginePicker picker;
+  request::passthrough::SharedRetryBudget retry_budget;
   process::InstancePresence presence;
-  // What the followers watch: the store, or another instance that does.
+  // Source of the store follower: the store, or another instance that watches
+  // it.
   process::WatchSharing watches;
   process::OrderAuthority authority;
   process::StageOrders stage_orders;
   base::Time last_request{};
-  // Of all keys: the operator's, the targets' and the instances' own.
+  // Follows all keys: of the configuration, the targets and the instances.
   PrefixFollower store_follower;
   request::passthrough::Relay relay;
   CallerServer callers;
   CallerServer health;
   asio::signal_set signals{loop, SIGTERM, SIGINT, SIGHUP};
-  // Only where there is a port for them.
+  // Set only if a peer address is configured.
   std::optional<process::PeerDatagrams> datagrams;
-  std::optional<process::ReadSharing> read_sharing;
+  std::optional<process::PrefillSharing> prefill_sharing;
   std::optional<process::AvoidanceSharing> avoidance_sharing;
   std::optional<process::RetryLoans> retry_loans;
   std::optional<process::ChangeRelay> change_relay;
   bool stopping = false;
-  // New requests are refused: they might not be finished before the end.
-  bool refusing = false;
+  // New requests are rejected, as they might not finish before the process
+  // exits.
+  bool rejecting = false;
 };
 
 EntryDaemon::Details::Details(const process::EntrySettings& s)
     : settings(s),
       store(loop, channels, {.endpoint = EndpointOf(s.store)}, metrics),
-      choice(
+      picker(
           {.zone = s.zone},
-          read_times,
+          prefill_times,
           random,
           [this](const request::passthrough::Engine& engine,
                  int priority,
                  base::Time now) {
-            return peer_reads.UnreadTokens(engine.entry.id, priority, now);
+            return peer_prefills.PrefillTokens(engine.entry.id, priority, now);
           },
           [this](const base::ZoneId& zone, base::Time now) {
-            return zones.CutOff(zone, now);
+            return zones.IsUnreachable(zone, now);
           },
           [this](const request::passthrough::Engine& engine, base::Time now) {
-            return peer_avoidance.Avoided(engine.entry.id, now);
+            return peer_avoidance.IsAvoided(engine.entry.id, now);
           },
-          room),
-      allowance({.ratio = s.retry_ratio,
-                 .allowance = s.retry_allowance,
-                 .window = s.retry_window},
-                [this](const base::ServiceName& service, double missing) {
-                  if (retry_loans) {
-                    retry_loans->Ask(service, missing);
-                  }
-                }),
+          capacity),
+      retry_budget({.ratio = s.retry_ratio,
+                    .allowance = s.retry_allowance,
+                    .window = s.retry_window},
+                   [this](const base::ServiceName& service, double missing) {
+                     if (retry_loans) {
+                       retry_loans->RequestLoan(service, missing);
+                     }
+                   }),
       presence(loop,
                store,
                {.instance = s.instance,
@@ -181,37 +184,43 @@
           [this]() -> const std::vector<process::InstancePeer>& {
             return presence.Peers();
           },
-          process::MakeAskRelay(loop, channels),
+          process::MakeQueryRelay(loop, channels),
           clock,
           metrics),
-      authority(store, presence, {.quiet = s.order_quiet}, clock, random),
+      authority(store,
+                presence,
+                {.takeover_delay = s.order_takeover_delay},
+                clock,
+                random),
       stage_orders(
           loop,
           views.engines(),
           authority,
-          platform::MakeOrderHooks(loop, channels),
+          platform::MakeStageOrderHooks(loop, channels),
           {.instance = s.instance, .plan = {.decode_share = s.decode_share}},
           [this] {
             return views.routes() ? views.routes()->StagedServices()
                                   : std::vector<base::ServiceName>();
           },
-          [this] { return clock() - last_request > kIdleAfter; },
+          [this] { return clock() - last_request > kIdleTimeout; },
           [this](const base::ServiceName& service) {
-            return choice.Backlog(views.engines().OfService(service), clock());
+            return picker.Backlog(views.engines().OfService(service), clock());
           },
-          room,
+          capacity,
           clock,
           metrics),
-      store_follower(
-          loop,
-          watches,
-          {.gather =
-               [this] { return watches.Shares() ? kGatherShared : kGather; }},
-          StoreHooks(),
-          clock,
-          random,
-          metrics),
-      relay(MakeRelayParts()),
+      store_follower(loop,
+                     watches,
+                     {.batch_delay =
+                          [this] {
+                            return watches.IsSharing() ? kSharedBatchDelay
+                                                       : kBatchDelay;
+                          }},
+                     StoreHooks(),
+                     clock,
+                     random,
+                     metrics),
+      relay(MakeRelayDependencies()),
       callers(
           loop,
           {.endpoint = EndpointOf(s.listen),
@@ -226,7 +235,7 @@
       health(
           loop,
           {.endpoint = EndpointOf(s.health_listen)},
-          [] { return CallerBounds(); },
+          [] { return CallerServerLimits(); },
           [this](std::shared_ptr<CallerRequest> request, CallerReply& reply) {
             return ServeHealth(std::move(request), reply);
           },
@@ -238,22 +247,22 @@
 }
 
 void EntryDaemon::Details::JoinPeers(const process::Endpoint& endpoint) {
-  const process::ReadSharingOptions sharing{.instance = settings.instance,
-                                            .zone = settings.zone};
+  const process::PrefillSharingOptions sharing{.instance = settings.instance,
+                                               .zone = settings.zone};
   const Tcp::endpoint at = EndpointOf(endpoint);
   datagrams.emplace(loop, presence,
                     asio::ip::udp::endpoint{at.address(), at.port()}, metrics);
-  read_sharing.emplace(views.engines(), presence, peer_reads, *datagrams,
-                       sharing, clock);
+  prefill_sharing.emplace(views.engines(), presence, peer_prefills, *datagrams,
+                          sharing, clock);
   const auto peers = [this, sharing] {
     return process::SharingPeers(presence.Peers(), sharing);
   };
   avoidance_sharing.emplace(views.engines(), peer_avoidance, *datagrams, peers,
                             process::AvoidanceSharingOptions{}, clock);
-  retry_loans.emplace(allowance, *datagrams,
+  retry_loans.emplace(retry_budget, *datagrams,
                       process::RetryLoansHooks{
                           .peers = peers,
-                          .instances = [this] { return presence.Count(); },
+                          .instance_count = [this] { return presence.Count(); },
                           .is_served =
                               [this](const base::ServiceName& service) {
                                 return views.routes() &&
@@ -267,10 +276,10 @@
   return process::DispatchByPrefix(
       {{platform::kConfigurationKey, views.ConfigurationHooks()},
        {platform::kTargetsPrefix, views.TargetHooks()},
-       {kOwnPrefix, OwnKeysHooks()}});
+       {kInstanceKeysPrefix, InstanceKeysHooks()}});
 }
 
-process::PrefixFollowerHooks EntryDaemon::Details::OwnKeysHooks() {
+process::PrefixFollowerHooks EntryDaemon::Details::InstanceKeysHooks() {
   return {
       .on_list =
           [this](const std::vector<StoreItem>& items) {
@@ -282,26 +291,27 @@
             presence.OnChange(it);
             authority.OnChange(it);
           },
-      .on_returned = [] {},
+      .on_recovered = [] {},
   };
 }
 
-request::passthrough::RelayParts EntryDaemon::Details::MakeRelayParts() {
+request::passthrough::RelayDependencies
+EntryDaemon::Details::MakeRelayDependencies() {
   return {.loop = loop,
           .channels = channels,
           .engines = views.engines(),
-          .choice = choice,
-          .read_times = read_times,
+          .picker = picker,
+          .prefill_times = prefill_times,
           .generation_times = generation_times,
           .answers = answers,
-          .allowance = allowance,
+          .retry_budget = retry_budget,
           .zones = zones,
           .metrics = metrics,
           .clock = clock,
           .random = random,
           .protocol = platform::MakeTargetProtocol(),
           .routes = [this] { return views.routes(); },
-          .accepts = [this] { return !refusing; },
+          .accepts = [this] { return !rejecting; },
           .instances = [this] { return presence.Count(); },
           .view_age =
               [this] {
@@ -309,8 +319,8 @@
               }};
 }
 
-CallerBounds EntryDaemon::Details::Bounds() const {
-  CallerBounds bounds;
+CallerServerLimits EntryDaemon::Details::Bounds() const {
+  CallerServerLimits bounds;
   if (!views.routes()) {
     return bounds;
   }
@@ -343,7 +353,7 @@
   co_await reply.SendWhole(std::move(head), body);
 }
 
-// Read when the page is rendered, on the event loop.
+// The gauges are read on the event loop, when the metrics are rendered.
 void EntryDaemon::Details::AddGauges() {
   metrics.AddGauge("lynxglade_targets_known", {}, [this] {
     return static_cast<double>(views.engines().size());
@@ -364,11 +374,11 @@
   });
 }
 
-Awaitable<void> EntryDaemon::Details::Housekeep() {
+Awaitable<void> EntryDaemon::Details::RunMaintenance() {
   while (true) {
-    co_await SleepFor(loop, kHousekeepingPeriod);
+    co_await SleepFor(loop, kMaintenancePeriod);
     views.engines().Expire(clock());
-    channels.Sweep();
+    channels.CloseIdle();
   }
 }
 
@@ -379,38 +389,39 @@
     if (number != SIGHUP) {
       break;
     }
-    // Flags and environment cannot change while the process runs.
+    // Flags and the environment cannot change while the process runs.
     Log(LogLevel::kInfo, "reload_ignored",
-        {{"reason", "settings are taken at the start"}});
+        {{"reason", "settings are read only at startup"}});
   }
   co_await Drain();
   loop.stop();
 }
 
-// Not ready at once, but callers are taken until the balancer has noticed;
-// then the process ends as soon as no request is under way.
+// Readiness is withdrawn at once, but requests are accepted until the load
+// balancer has had time to notice. Returns once all connections are closed, or
+// at the end of the grace period.
 Awaitable<void> EntryDaemon::Details::Drain() {
   Log(LogLevel::kInfo, "stop_begun", {{"busy", callers.busy()}});
   stopping = true;
   callers.BeginDrain();
-  const base::Time begun = clock();
-  const base::Time last = begun + settings.stop_grace - kExitMargin;
+  const base::Time start = clock();
+  const base::Time deadline = start + settings.stop_grace - kExitMargin;
   stage_orders.Stop();
   Spawn(presence.Leave());
-  while (clock() < last) {
-    const bool noticed = clock() - begun >= kBalancerNotices;
-    if (noticed) {
-      // A balancer with too few other instances still sends requests here.
-      refusing = true;
+  while (clock() < deadline) {
+    const bool balancer_noticed = clock() - start >= kBalancerNoticeTime;
+    if (balancer_noticed) {
+      // A load balancer with too few other instances still sends requests here.
+      rejecting = true;
       callers.CloseIdle();
     }
-    if (noticed && callers.connections() == 0) {
+    if (balancer_noticed && callers.connections() == 0) {
       break;
     }
-    co_await SleepFor(loop, kDrainPoll);
+    co_await SleepFor(loop, kDrainPollPeriod);
   }
   Log(LogLevel::kInfo, "stop_done",
-      {{"busy", callers.busy()}, {"ms", base::ToMillis(clock() - begun)}});
+      {{"busy", callers.busy()}, {"ms", base::ToMillis(clock() - start)}});
 }
 
 void EntryDaemon::Details::Spawn(Awaitable<void> task) {
@@ -438,7 +449,7 @@
     return false;
   }
   if (details_->datagrams) {
-    details_->read_sharing->Start();
+    details_->prefill_sharing->Start();
     details_->avoidance_sharing->Start();
     details_->retry_loans->Start();
   }
@@ -449,7 +460,7 @@
   details_->Spawn(details_->store_follower.Run());
   details_->Spawn(details_->presence.Run());
   details_->Spawn(details_->stage_orders.Run());
-  details_->Spawn(details_->Housekeep());
+  details_->Spawn(details_->RunMaintenance());
   details_->Spawn(details_->WaitForStop());
   return true;
 }
--- a/src/main/orders_part.cc
+++ b/src/main/fleet_control.cc
@@ -1,4 +1,4 @@
-#include "main/orders_part.h"
+#include "main/fleet_control.h"
 
 #include <algorithm>
 #include <iterator>
@@ -17,8 +17,9 @@
 constexpr base::Duration kPlatformTimeout = std::chrono::seconds(1);
 constexpr base::Duration kPlanningInterval = std::chrono::seconds(1);
 constexpr base::Duration kWeightInterval = std::chrono::seconds(30);
-// A drain takes about as long as the change that follows it.
-constexpr int kDrainAndChange = 2;
+// A role change consists of a drain and the change itself, which take about the
+// same time.
+constexpr int kRoleChangePhases = 2;
 
 process::OrderSettings OrderSettingsOf(const process::Settings& settings) {
   process::OrderSettings out;
@@ -31,19 +32,19 @@
     const process::Settings& settings) {
   process::RolePlanningOptions out;
   out.zone = settings.zone;
-  out.out_of_service = settings.role_change_time * kDrainAndChange;
+  out.out_of_service = settings.role_change_time * kRoleChangePhases;
   return out;
 }
 
 }  // namespace
 
-OrdersPart::OrdersPart(const process::Settings& settings,
-                       process::ControlSystem& control,
-                       const connection::KeyValue& key_value,
-                       const process::TargetRegistry& registry,
-                       OrdersHooks hooks,
-                       base::RandomSource random,
-                       base::Metrics& metrics)
+FleetControl::FleetControl(const process::Settings& settings,
+                           process::ControlSystem& control,
+                           const connection::KeyValue& key_value,
+                           const process::TargetRegistry& registry,
+                           FleetControlHooks hooks,
+                           base::RandomSource random,
+                           base::Metrics& metrics)
     : hooks_(std::move(hooks)),
       registry_(registry),
       metrics_(metrics),
@@ -63,26 +64,27 @@
       planning_task_(kPlanningInterval, [this] { planning_.Tick(); }),
       weight_task_(kWeightInterval, [this] { ReadWeightLimits(); }) {}
 
-void OrdersPart::Stop() {
+void FleetControl::Stop() {
   planning_task_.Stop();
   weight_task_.Stop();
   orders_.Stop();
 }
 
-void OrdersPart::Hear(const process::ViewItem& item) {
+void FleetControl::OnTargetFact(const process::ViewItem& item) {
   orders_.OnTargetView(item);
 }
 
-connection::ApiAnswer OrdersPart::HandleFleet(const connection::ApiCall& call) {
+connection::ApiAnswer FleetControl::HandleFleet(
+    const connection::ApiCall& call) {
   return orders_.Handle(call);
 }
 
-connection::ApiAnswer OrdersPart::HandlePlanner(
+connection::ApiAnswer FleetControl::HandlePlanner(
     const connection::ApiCall&) const {
   return {200, planning_.StatusJson()};
 }
 
-process::RolePlanningHooks OrdersPart::MakePlanningHooks() {
+process::RolePlanningHooks FleetControl::MakePlanningHooks() {
   process::RolePlanningHooks out;
   out.clock = base::BootClock::now;
   out.wall_millis = base::WallMillis;
@@ -93,17 +95,17 @@
   return out;
 }
 
-process::OrderHooks OrdersPart::MakeOrderHooks() {
+process::OrderHooks FleetControl::MakeOrderHooks() {
   process::OrderHooks out;
   out.engines = [this] { return EngineRows(); };
   out.configuration = hooks_.configuration;
-  out.role_wishes = [this] { return planning_.Wishes(); };
+  out.requested_roles = [this] { return planning_.RequestedRoles(); };
   out.weight_loads_per_minute = [this] { return loads_per_minute_.load(); };
   out.publish = hooks_.publish;
   return out;
 }
 
-std::vector<process::EngineRow> OrdersPart::EngineRows() const {
+std::vector<process::EngineRow> FleetControl::EngineRows() const {
   std::map<base::TargetId, request::TargetState> states;
   const auto index = registry_.Index();
   for (const request::Target& target : index->table().targets) {
@@ -129,7 +131,7 @@
   return out;
 }
 
-void OrdersPart::ReadWeightLimits() {
+void FleetControl::ReadWeightLimits() {
   connection::PlatformError error{};
   if (const auto limits = weight_store_.ReadLimits(&error)) {
     loads_per_minute_ = limits->loads_per_minute;
--- a/src/process/change_history.cc
+++ b/src/process/change_history.cc
@@ -9,20 +9,20 @@
     : options_(options) {}
 
 void ChangeHistory::Add(base::Revision after, const StoreItems& changes) {
-  if (!start_ || after > at_) {
+  if (!start_ || after > revision_) {
     start_ = after;
-    at_ = after;
+    revision_ = after;
     changes_.clear();
     bytes_ = 0;
   }
   for (const StoreItem& item : changes.items) {
-    if (item.revision > at_) {
+    if (item.revision > revision_) {
       bytes_ += item.value.size();
       changes_.push_back(item);
     }
   }
-  at_ = std::max(at_, changes.at);
-  Trim();
+  revision_ = std::max(revision_, changes.revision);
+  EvictOldest();
 }
 
 std::optional<StoreItems> ChangeHistory::After(base::Revision revision) const {
@@ -30,17 +30,18 @@
     return std::nullopt;
   }
   StoreItems found;
-  found.at = std::max(at_, revision);
+  found.revision = std::max(revision_, revision);
   std::ranges::copy_if(
       changes_, std::back_inserter(found.items),
       [revision](const StoreItem& it) { return it.revision > revision; });
   return found;
 }
 
-// Changes of one revision go together.
-void ChangeHistory::Trim() {
-  while (changes_.size() > options_.most_changes ||
-         bytes_ > options_.most_bytes) {
+// Changes of one revision are evicted together, so that After() never returns
+// part of a revision.
+void ChangeHistory::EvictOldest() {
+  while (changes_.size() > options_.max_changes ||
+         bytes_ > options_.max_bytes) {
     start_ = changes_.front().revision;
     while (!changes_.empty() && changes_.front().revision == *start_) {
       bytes_ -= changes_.front().value.size();
--- a/src/process/demand_estimator.cc
+++ b/src/process/demand_estimator.cc
@@ -20,10 +20,10 @@
 
 DemandEstimator::DemandEstimator(base::Duration fast,
                                  base::Duration slow,
-                                 base::Duration trend_life)
+                                 base::Duration trend_decay)
     : fast_s_(Seconds(fast)),
       slow_s_(Seconds(slow)),
-      trend_life_s_(Seconds(trend_life)) {}
+      trend_decay_s_(Seconds(trend_decay)) {}
 
 void DemandEstimator::Add(double rate, base::Duration over) noexcept {
   const double dt = Seconds(over);
@@ -35,8 +35,8 @@
   }
   const double error = rate - At(base::Duration::zero()).mean;
   observed_ += over;
-  // While young, the averages weigh all samples alike instead of clinging to
-  // the first one.
+  // Until a window has passed, all samples have about equal weight, so that the
+  // first one does not dominate.
   const double age = Seconds(observed_);
   const auto step = [&](double window) {
     return 1 - std::exp(-dt / std::min(window, age));
@@ -48,15 +48,15 @@
 
 Estimate DemandEstimator::At(base::Duration ahead) const noexcept {
   const double trend_time =
-      trend_life_s_ * (1 - std::exp(-Seconds(ahead) / trend_life_s_));
+      trend_decay_s_ * (1 - std::exp(-Seconds(ahead) / trend_decay_s_));
   const double reach = fast_s_ + trend_time;
   const double a = reach / (slow_s_ - fast_s_);
   // Variances and covariance of two averages of the same white noise.
   const double fast_var = noise_ / (2 * fast_s_);
   const double slow_var = noise_ / (2 * slow_s_);
-  const double both = noise_ / (fast_s_ + slow_s_);
-  const double variance =
-      Square(1 + a) * fast_var + Square(a) * slow_var - 2 * a * (1 + a) * both;
+  const double covariance = noise_ / (fast_s_ + slow_s_);
+  const double variance = Square(1 + a) * fast_var + Square(a) * slow_var -
+                          2 * a * (1 + a) * covariance;
   return {std::max(0.0, fast_mean_ + Trend() * reach),
           std::sqrt(std::max(0.0, variance))};
 }
@@ -68,7 +68,7 @@
       noise_ *
       (1 / (2 * fast_s_) + 1 / (2 * slow_s_) - 2 / (fast_s_ + slow_s_)) /
       Square(lag);
-  // A trend that noise alone could have made is shrunk, down to nothing.
+  // Shrinks the trend by its variance; 0 if noise alone can explain it.
   const double square = Square(trend);
   return square <= variance ? 0 : trend * (1 - variance / square);
 }
--- a/src/process/engine_driver.cc
+++ b/src/process/engine_driver.cc
@@ -14,7 +14,7 @@
 using connection::KvError;
 using request::TargetState;
 
-// Between two tries for a permit when other engines have them all.
+// Retry interval when no permit could be taken.
 constexpr base::Duration kPermitRetry = std::chrono::seconds(2);
 
 }  // namespace
@@ -29,9 +29,10 @@
     return;
   }
   const base::Time now = context_.clock();
-  const auto fence = context_.lease->MayOrder(now);
-  const OrderDecision decision = Decide(Situation(now), Settings());
-  Note(decision, now);
+  const auto fence = context_.lease->FenceForOrders(now);
+  const OrderDecision decision =
+      Decide(MakeDecisionInputs(now), MakeSettings());
+  UpdateDecision(decision, now);
   if (!fence) {
     return;
   }
@@ -39,15 +40,15 @@
     journal_read_needed_ ? ReadJournalBack() : CommitPending();
     return;
   }
-  if (permit_ && permit_leaving_) {
-    GiveBackPermit(*fence);
+  if (permit_ && permit_release_unconfirmed_) {
+    ReleaseHeldPermit(*fence);
     return;
   }
-  Take(decision, *fence);
+  Execute(decision, *fence);
 }
 
-void EngineDriver::Take(const OrderDecision& decision,
-                        base::FencingToken fence) {
+void EngineDriver::Execute(const OrderDecision& decision,
+                           base::FencingToken fence) {
   switch (decision.step) {
     case OrderStep::kWait:
     case OrderStep::kDone:
@@ -59,10 +60,10 @@
       ReadBack();
       return;
     case OrderStep::kTakePermit:
-      ClaimPermit(fence);
+      AcquirePermit(fence);
       return;
     case OrderStep::kReleasePermit:
-      GiveBackPermit(fence);
+      ReleaseHeldPermit(fence);
       return;
     case OrderStep::kWriteRecord:
       WriteRecord(*decision.record);
@@ -74,12 +75,12 @@
   }
 }
 
-// --- What is known ----------------------------------------------------------
+// --- State -------------------------------------------------------------------
 
 void EngineDriver::SetRow(EngineRow row) {
   if (row.endpoint.address != row_.endpoint.address ||
       row.endpoint.port != row_.endpoint.port) {
-    evidence_.reset();
+    observation_.reset();
   }
   row_ = std::move(row);
 }
@@ -91,26 +92,28 @@
 
 void EngineDriver::SetPermit(std::optional<Permit> permit) {
   permit_ = std::move(permit);
-  permit_leaving_ = permit_leaving_ && permit_;
+  permit_release_unconfirmed_ = permit_release_unconfirmed_ && permit_;
 }
 
-bool EngineDriver::examined() const noexcept {
-  return journal_.loaded() && (evidence_ || unreachable_since_);
+bool EngineDriver::state_known() const noexcept {
+  return journal_.loaded() && (observation_ || unreachable_since_);
 }
 
 std::optional<connection::EngineTargetState> EngineDriver::Content() const {
   const auto& record = journal_.record();
-  const bool known = evidence_ && evidence_->state.phase == EnginePhase::kReady;
+  const bool known =
+      observation_ && observation_->state.phase == EnginePhase::kReady;
   if (record && (IsOpen(record->phase) || !known)) {
     return record->target;
   }
-  return evidence_ ? std::optional(evidence_->state.current) : std::nullopt;
+  return observation_ ? std::optional(observation_->state.current)
+                      : std::nullopt;
 }
 
-bool EngineDriver::Serving() const {
-  return evidence_ && !unreachable_since_ &&
-         evidence_->state.phase == EnginePhase::kReady &&
-         !evidence_->state.current.draining && !row_.leaving;
+bool EngineDriver::IsServing() const {
+  return observation_ && !unreachable_since_ &&
+         observation_->state.phase == EnginePhase::kReady &&
+         !observation_->state.current.draining && !row_.leaving;
 }
 
 EngineStatus EngineDriver::Status() const {
@@ -121,60 +124,60 @@
   status.fenced = row_.fenced;
   status.intended = desired_;
   status.ordered = journal_.record();
-  status.observed = evidence_;
+  status.observed = observation_;
   status.step = decision_.step;
   status.reason = decision_.reason;
   status.waiting_since = waiting_since_;
-  status.overdue = Overdue();
+  status.overdue = IsOverdue();
   status.permit = permit_ ? permit_->key : std::string();
   const auto& record = journal_.record();
   if (row_.leaving) {
     status.state = TargetState::kLeaving;
-  } else if (evidence_ && evidence_->state.phase != EnginePhase::kReady) {
+  } else if (observation_ && observation_->state.phase != EnginePhase::kReady) {
     status.state = decision_.reason == WaitReason::kIsolated
                        ? TargetState::kEjected
                        : TargetState::kChanging;
-  } else if ((evidence_ && evidence_->state.current.draining) ||
+  } else if ((observation_ && observation_->state.current.draining) ||
              (record && IsOpen(record->phase) && record->target.draining)) {
     status.state = TargetState::kDraining;
   }
   return status;
 }
 
-bool EngineDriver::Overdue() const {
+bool EngineDriver::IsOverdue() const {
   const base::Duration waiting = context_.clock() - waiting_since_;
   return decision_.step == OrderStep::kWait &&
-         decision_.reason != WaitReason::kNothingIntended &&
+         decision_.reason != WaitReason::kNoDesiredState &&
          waiting > context_.settings.overdue_after;
 }
 
-OrderSituation EngineDriver::Situation(base::Time now) const {
-  OrderSituation situation;
-  situation.now = now;
-  situation.authority = context_.lease->MayOrder(now);
-  situation.journal_loaded = journal_.loaded();
-  situation.journal_unreadable = journal_unreadable_;
-  situation.record = journal_.record();
-  situation.evidence = evidence_;
-  situation.unreachable_since = unreachable_since_;
-  situation.last_read_attempt = last_read_attempt_;
-  situation.sent = sent_;
-  situation.desired = desired_;
-  situation.fenced = row_.fenced && (!evidence_ || evidence_->state.fenced);
-  situation.quiet_until =
-      inherited_ ? std::max(context_.quiet_until, unanswered_until_)
+DecisionInputs EngineDriver::MakeDecisionInputs(base::Time now) const {
+  DecisionInputs inputs;
+  inputs.now = now;
+  inputs.authority = context_.lease->FenceForOrders(now);
+  inputs.journal_loaded = journal_.loaded();
+  inputs.journal_unreadable = journal_unreadable_;
+  inputs.record = journal_.record();
+  inputs.observation = observation_;
+  inputs.unreachable_since = unreachable_since_;
+  inputs.last_read_attempt = last_read_attempt_;
+  inputs.sent = sent_;
+  inputs.desired = desired_;
+  inputs.fenced = row_.fenced && (!observation_ || observation_->state.fenced);
+  inputs.late_orders_until =
+      inherited_ ? std::max(context_.late_orders_until, unanswered_until_)
                  : unanswered_until_;
-  situation.permit_held = permit_.has_value();
-  situation.permit_free = now >= permit_retry_;
-  situation.capacity_allows = capacity_allows_;
-  situation.load_allowed = context_.pacer->Allows(now);
-  return situation;
+  inputs.permit_held = permit_.has_value();
+  inputs.permit_free = now >= permit_retry_;
+  inputs.capacity_allows = capacity_allows_;
+  inputs.load_allowed = context_.load_limiter->Allows(now);
+  return inputs;
 }
 
-ExecutorSettings EngineDriver::Settings() const {
-  ExecutorSettings settings;
+DecisionSettings EngineDriver::MakeSettings() const {
+  DecisionSettings settings;
   settings.holder = context_.instance;
-  settings.evidence_max_age = 4 * context_.settings.tick;
+  settings.observation_max_age = 4 * context_.settings.tick;
   settings.busy_interval = 2 * context_.settings.tick;
   settings.idle_interval = context_.settings.read_back_interval;
   settings.retry_pause = 4 * context_.settings.tick;
@@ -182,21 +185,22 @@
   return settings;
 }
 
-void EngineDriver::Note(const OrderDecision& decision, base::Time now) {
-  const bool still = decision.step == OrderStep::kWait &&
-                     decision_.step == OrderStep::kWait &&
-                     decision.reason == decision_.reason;
-  // Reading back in the middle of a wait doesn't end it.
+void EngineDriver::UpdateDecision(const OrderDecision& decision,
+                                  base::Time now) {
+  const bool same_wait = decision.step == OrderStep::kWait &&
+                         decision_.step == OrderStep::kWait &&
+                         decision.reason == decision_.reason;
+  // A read-back during a wait doesn't restart the wait.
   if (decision.step == OrderStep::kReadBack) {
     return;
   }
-  if (!still) {
+  if (!same_wait) {
     waiting_since_ = now;
-    overdue_told_ = false;
+    overdue_logged_ = false;
   }
   decision_ = decision;
-  if (Overdue() && !overdue_told_) {
-    overdue_told_ = true;
+  if (IsOverdue() && !overdue_logged_) {
+    overdue_logged_ = true;
     const std::string reason(ToString(decision.reason));
     base::Log(base::LogLevel::kWarning, "order_overdue",
               {{"target", row_.id.str()}, {"reason", reason}});
@@ -227,10 +231,10 @@
           if (!range) {
             return;
           }
-          const bool there = !range->entries.empty();
+          const bool found = !range->entries.empty();
           journal_unreadable_ = !journal_.Load(
-              there ? std::optional(range->entries.front()) : std::nullopt);
-          inherited_ = there;
+              found ? std::optional(range->entries.front()) : std::nullopt);
+          inherited_ = found;
           Step();
         };
       });
@@ -252,20 +256,20 @@
             return;
           }
           unreachable_since_.reset();
-          evidence_ = EngineEvidence{*state, requested_at};
+          observation_ = EngineObservation{*state, requested_at};
           Step();
         };
       });
 }
 
 void EngineDriver::WriteRecord(JournalRecord record) {
-  record.mark = base::RandomHexId(context_.random);
+  record.write_id = base::RandomHexId(context_.random);
   journal_.Write(record, context_.lease_key, record.fence);
   CommitPending();
 }
 
 void EngineDriver::CommitPending() {
-  // Repeats the write that is pending.
+  // The arguments are not used while a write is pending.
   Run(context_.run_store,
       [this, store = context_.store,
        commit = journal_.Write({}, {}, {})]() -> Completion {
@@ -296,13 +300,13 @@
       return;
     case JournalWriteResult::kReadBack:
     case JournalWriteResult::kRetry:
-      // The next tick goes on, so that a service in trouble is not pressed.
+      // Retried at the next tick, to limit the load on a failing service.
       return;
     case JournalWriteResult::kLeaseLost:
       context_.lease->OnGuardFailed(context_.clock());
       return;
-    case JournalWriteResult::kOvertaken:
-      evidence_.reset();
+    case JournalWriteResult::kConflict:
+      observation_.reset();
       return;
   }
 }
@@ -320,9 +324,10 @@
   order.holder = context_.instance;
   order.target = record.target;
   if (decision.loads_weights) {
-    context_.pacer->Take(now);
+    context_.load_limiter->RecordLoad(now);
   }
-  // The deadline is copied: it only ever moves later while the lease is held.
+  // A copy is safe on another thread: the deadline only moves later while the
+  // lease is held.
   const base::Time deadline = context_.lease->OrderDeadline();
   Run(context_.run_engine,
       [this, admin = context_.admin, endpoint = row_.endpoint, order, deadline,
@@ -331,7 +336,7 @@
         const connection::MaySend may_send = [&](const auto& state) {
           return MayApply(order, state) && clock() < deadline;
         };
-        auto answer = admin->give_order(endpoint, order, may_send, &error);
+        auto answer = admin->send_order(endpoint, order, may_send, &error);
         return [this, order, attempt, answer = std::move(answer), error] {
           OnSent(order, attempt, answer, error);
         };
@@ -343,49 +348,51 @@
                           const std::optional<connection::OrderAnswer>& answer,
                           EngineAdminError error) {
   const base::Time now = context_.clock();
-  const bool left = answer || error == EngineAdminError::kAmbiguous ||
-                    error == EngineAdminError::kBadAnswer;
-  if (left) {
+  const bool may_have_arrived = answer ||
+                                error == EngineAdminError::kAmbiguous ||
+                                error == EngineAdminError::kBadAnswer;
+  if (may_have_arrived) {
     sent_ = SentOrder{order.generation, order.fence, attempt,
                       answer && answer->accepted, now};
   } else {
-    evidence_.reset();
+    observation_.reset();
   }
-  if (left && !answer) {
+  if (may_have_arrived && !answer) {
     unanswered_until_ = now + context_.settings.engine_connection_bound +
                         context_.settings.guard;
   }
-  const std::string refusal =
+  const std::string result =
       answer ? std::string(connection::ToString(answer->refusal))
              : std::string(connection::ToString(error));
-  Count(answer && answer->accepted ? "accepted" : refusal.c_str());
+  CountOrder(answer && answer->accepted ? "accepted" : result.c_str());
   base::Log(base::LogLevel::kInfo, "order_sent",
             {{"target", row_.id.str()},
              {"generation", order.generation.value()},
              {"fence", order.fence.value()},
              {"accepted", answer && answer->accepted},
-             {"result", refusal}});
+             {"result", result}});
   if (answer && answer->accepted) {
     CountChange(order.target);
   }
-  if (left) {
+  if (may_have_arrived) {
     Step();
   }
 }
 
 void EngineDriver::CountChange(
     const connection::EngineTargetState& target) const {
-  if (!evidence_ || connection::SameContent(evidence_->state.current, target)) {
+  if (!observation_ ||
+      connection::SameContent(observation_->state.current, target)) {
     return;
   }
-  const bool role = evidence_->state.current.role != target.role;
+  const bool role = observation_->state.current.role != target.role;
   context_.metrics
       ->GetCounter("lynxglade_engine_changes_total",
                    {{"kind", role ? "role" : "weights"}})
       .Add();
 }
 
-void EngineDriver::ClaimPermit(base::FencingToken fence) {
+void EngineDriver::AcquirePermit(base::FencingToken fence) {
   Permit permit;
   permit.service = row_.service;
   permit.target = row_.id;
@@ -406,13 +413,13 @@
           }
           permit_retry_ = context_.clock() + kPermitRetry;
           if (result == PermitResult::kUnknown) {
-            context_.permits_unknown = true;
+            context_.permits_stale = true;
           }
         };
       });
 }
 
-void EngineDriver::GiveBackPermit(base::FencingToken fence) {
+void EngineDriver::ReleaseHeldPermit(base::FencingToken fence) {
   ++context_.permit_calls;
   Run(context_.run_store,
       [this, store = context_.store,
@@ -421,7 +428,7 @@
         const bool done = ReleasePermit(*store, guard, permit);
         return [this, done] {
           ++context_.permit_calls;
-          permit_leaving_ = !done;
+          permit_release_unconfirmed_ = !done;
           if (done) {
             permit_.reset();
             Step();
@@ -430,7 +437,7 @@
       });
 }
 
-void EngineDriver::Count(const char* result) const {
+void EngineDriver::CountOrder(const char* result) const {
   context_.metrics->GetCounter("lynxglade_orders_total", {{"result", result}})
       .Add();
 }
--- a/src/process/engine_driver.h
+++ b/src/process/engine_driver.h
@@ -1,8 +1,8 @@
-// Takes the steps that Decide() names for one engine.
+// Executes the steps that Decide() returns for one engine.
 //
-// Runs on its owner's single thread; blocking calls go through
-// ShardContext::run and come back on the same thread. At most one is under
-// way for an engine.
+// Runs on its owner's thread. Blocking calls go through the runners in
+// ShardContext and complete on the same thread; at most one call per engine is
+// in flight.
 #ifndef LYNXGLADE_PROCESS_ENGINE_DRIVER_H_
 #define LYNXGLADE_PROCESS_ENGINE_DRIVER_H_
 
@@ -18,16 +18,16 @@
 #include "connection/engine_admin.h"
 #include "process/change_permits.h"
 #include "process/fleet_status.h"
-#include "process/lease_keeper.h"
-#include "process/load_pacer.h"
-#include "process/order_executor.h"
+#include "process/load_rate_limiter.h"
+#include "process/order_decision.h"
 #include "process/order_hooks.h"
 #include "process/order_journal.h"
 #include "process/order_store.h"
+#include "process/shard_lease.h"
 
 namespace lynxglade::process {
 
-// What the engines of a shard share. Outlives its drivers.
+// State shared by the engines of a shard. Must outlive its drivers.
 struct ShardContext {
   OrderSettings settings;
   base::InstanceId instance;
@@ -36,20 +36,21 @@
   base::RandomSource random;
   std::shared_ptr<const OrderStore> store;
   std::shared_ptr<const connection::EngineAdmin> admin;
-  // Calls to the key-value service and to engines, apart, so that an engine
-  // that does not answer never holds up a renewal of the lease.
+  // Separate runners for the key-value service and for engines, so that an
+  // engine that does not answer can't delay a lease renewal.
   CallRunner run_store;
   CallRunner run_engine;
-  LeaseKeeper* lease = nullptr;
-  LoadPacer* pacer = nullptr;
+  ShardLease* lease = nullptr;
+  LoadRateLimiter* load_limiter = nullptr;
   base::Metrics* metrics = nullptr;
-  // Until then orders of earlier holders may still arrive.
-  base::Time quiet_until{};
-  // Counts starts and ends of permit calls; a list of permits that was read
-  // across one is worth nothing.
+  // Orders of earlier holders may still arrive before this time.
+  base::Time late_orders_until{};
+  // Number of starts and ends of permit calls. If it changed while the permits
+  // were listed, the list may be stale and is discarded.
   std::uint64_t permit_calls = 0;
-  // Set when the outcome of a permit call is not known.
-  bool permits_unknown = true;
+  // Set when the permits have to be listed again, for example because the
+  // outcome of a permit call is unknown.
+  bool permits_stale = true;
 };
 
 // Not thread-safe. Must not be destroyed while busy().
@@ -59,9 +60,9 @@
   EngineDriver(const EngineDriver&) = delete;
   EngineDriver& operator=(const EngineDriver&) = delete;
 
-  // Takes the next step, unless one is under way.
+  // Takes the next step unless a call is in flight.
   void Step();
-  // Takes no step from now on; what is under way ends.
+  // Takes no further steps; a call in flight still completes.
   void Retire() noexcept { retired_ = true; }
 
   void SetRow(EngineRow row);
@@ -72,21 +73,22 @@
   bool busy() const noexcept { return busy_; }
   const EngineRow& row() const noexcept { return row_; }
   bool permit_held() const noexcept { return permit_.has_value(); }
-  // Something is known of the engine, or that it can't be reached.
-  bool examined() const noexcept;
-  // What it is, or is being changed to; nothing when not known.
+  // Whether the journal is loaded and the engine was read or found unreachable.
+  bool state_known() const noexcept;
+  // State that the engine is in or is changing to; empty if unknown.
   std::optional<connection::EngineTargetState> Content() const;
-  // It takes new work, by its own last word.
-  bool Serving() const;
+  // Whether the engine accepted new work at its last read-back and is
+  // reachable.
+  bool IsServing() const;
   EngineStatus Status() const;
-  // It waits longer than operators should have to.
-  bool Overdue() const;
+  // Whether it has waited longer than OrderSettings::overdue_after.
+  bool IsOverdue() const;
 
  private:
-  OrderSituation Situation(base::Time now) const;
-  ExecutorSettings Settings() const;
-  void Note(const OrderDecision& decision, base::Time now);
-  void Take(const OrderDecision& decision, base::FencingToken fence);
+  DecisionInputs MakeDecisionInputs(base::Time now) const;
+  DecisionSettings MakeSettings() const;
+  void UpdateDecision(const OrderDecision& decision, base::Time now);
+  void Execute(const OrderDecision& decision, base::FencingToken fence);
 
   void LoadJournal();
   void ReadBack();
@@ -99,39 +101,39 @@
               int attempt,
               const std::optional<connection::OrderAnswer>& answer,
               connection::EngineAdminError error);
-  void ClaimPermit(base::FencingToken fence);
-  void GiveBackPermit(base::FencingToken fence);
+  void AcquirePermit(base::FencingToken fence);
+  void ReleaseHeldPermit(base::FencingToken fence);
 
-  // Runs `call`; its completion runs after the driver is free again.
+  // Runs `call`; busy() is false again when its completion runs.
   void Run(const CallRunner& runner, BlockingCall call);
   void CountChange(const connection::EngineTargetState& target) const;
-  void Count(const char* result) const;
+  void CountOrder(const char* result) const;
 
   ShardContext& context_;
   EngineRow row_;
   OrderJournal journal_;
   bool journal_unreadable_ = false;
-  // An earlier holder's order was found in the journal.
+  // The journal had a record when it was loaded.
   bool inherited_ = false;
-  // A write's answer was lost: read the record before writing again.
+  // A write was not answered; the record has to be read before the next write.
   bool journal_read_needed_ = false;
-  std::optional<EngineEvidence> evidence_;
+  std::optional<EngineObservation> observation_;
   std::optional<base::Time> unreachable_since_;
   base::Time last_read_attempt_{};
   std::optional<SentOrder> sent_;
-  // A copy of an order without an answer may arrive until then.
+  // An order that was not answered may still arrive before this time.
   base::Time unanswered_until_{};
   std::optional<connection::EngineTargetState> desired_;
   std::optional<Permit> permit_;
-  // A call that gives it back may still take effect.
-  bool permit_leaving_ = false;
+  // A release of the permit was not confirmed and may still take effect.
+  bool permit_release_unconfirmed_ = false;
   base::Time permit_retry_{};
   bool capacity_allows_ = false;
   bool busy_ = false;
   bool retired_ = false;
   OrderDecision decision_;
   base::Time waiting_since_{};
-  bool overdue_told_ = false;
+  bool overdue_logged_ = false;
 };
 
 }  // namespace lynxglade::process
--- a/src/process/entry_settings.cc
+++ b/src/process/entry_settings.cc
@@ -12,62 +12,67 @@
 
 namespace {
 
-using Apply = process::Apply<EntrySettings>;
+using OptionParser = process::OptionParser<EntrySettings>;
 using Option = process::Option<EntrySettings>;
-using Allowed = std::optional<std::string>;
+using ParseError = std::optional<std::string>;
 
 constexpr std::size_t kMaxNameLength = 128;
 constexpr std::int64_t kMaxConnections = 20'000;
-constexpr double kLeastSeconds = 0.1;
+constexpr double kMinSeconds = 0.1;
 constexpr double kMaxSeconds = 3600;
 constexpr double kMaxAllowance = 1'000'000;
 
 template <typename Id>
-Apply ReadId(Id EntrySettings::* member) {
-  return [member](EntrySettings& settings, const std::string& text) -> Allowed {
-    if (text.size() > kMaxNameLength) {
-      return "a name of at most 128 bytes";
-    }
-    settings.*member = Id(text);
-    return std::nullopt;
-  };
+OptionParser IdParser(Id EntrySettings::* member) {
+  return
+      [member](EntrySettings& settings, const std::string& text) -> ParseError {
+        if (text.size() > kMaxNameLength) {
+          return "a name of at most 128 bytes";
+        }
+        settings.*member = Id(text);
+        return std::nullopt;
+      };
 }
 
-// A whole number or a fraction, in any form of the C library.
+// Parses any form of number that strtod accepts.
 std::optional<double> ParseNumber(const std::string& text,
-                                  double low,
-                                  double high) {
+                                  double min_value,
+                                  double max_value) {
   char* end = nullptr;
   const double n = std::strtod(text.c_str(), &end);
-  if (end != text.c_str() + text.size() || !(n >= low && n <= high)) {
+  if (end != text.c_str() + text.size() ||
+      !(n >= min_value && n <= max_value)) {
     return std::nullopt;
   }
   return n;
 }
 
-std::string NumberFrom(double low, double high) {
-  return "a number from " + std::to_string(low) + " to " + std::to_string(high);
+std::string NumberRange(double min_value, double max_value) {
+  return "a number from " + std::to_string(min_value) + " to " +
+         std::to_string(max_value);
 }
 
-Apply ReadNumber(double EntrySettings::* member, double low, double high) {
-  return [=](EntrySettings& settings, const std::string& text) -> Allowed {
-    const auto n = ParseNumber(text, low, high);
+OptionParser NumberParser(double EntrySettings::* member,
+                          double min_value,
+                          double max_value) {
+  return [=](EntrySettings& settings, const std::string& text) -> ParseError {
+    const auto n = ParseNumber(text, min_value, max_value);
     if (!n) {
-      return NumberFrom(low, high);
+      return NumberRange(min_value, max_value);
     }
     settings.*member = *n;
     return std::nullopt;
   };
 }
 
-// Seconds: platforms state their bounds as whole numbers or as fractions.
-Apply ReadSeconds(base::Duration EntrySettings::* member,
-                  double low,
-                  double high) {
-  return [=](EntrySettings& settings, const std::string& text) -> Allowed {
-    const auto n = ParseNumber(text, low, high);
+// Accepts fractions of seconds, as platforms may pass them.
+OptionParser SecondsParser(base::Duration EntrySettings::* member,
+                           double min_value,
+                           double max_value) {
+  return [=](EntrySettings& settings, const std::string& text) -> ParseError {
+    const auto n = ParseNumber(text, min_value, max_value);
     if (!n) {
-      return NumberFrom(low, high) + " of seconds";
+      return NumberRange(min_value, max_value) + " of seconds";
     }
     settings.*member = std::chrono::duration_cast<base::Duration>(
         std::chrono::duration<double>(*n));
@@ -78,44 +83,48 @@
 std::vector<Option> AllOptions() {
   return {
       {"instance-id", "", true, "name of this instance",
-       ReadId(&EntrySettings::instance)},
+       IdParser(&EntrySettings::instance)},
       {"zone", "", true, "availability zone of this instance",
-       ReadId(&EntrySettings::zone)},
-      {"listen", "", true, "where callers connect",
-       ReadEndpoint(&EntrySettings::listen)},
+       IdParser(&EntrySettings::zone)},
+      {"listen", "", true, "address and port for callers",
+       EndpointParser(&EntrySettings::listen)},
       {"health-listen", "", true,
-       "where readiness is asked for and metrics are read",
-       ReadEndpoint(&EntrySettings::health_listen)},
-      {"store", "", true, "the platform's key-value store",
-       ReadEndpoint(&EntrySettings::store)},
+       "address and port for readiness checks and metrics",
+       EndpointParser(&EntrySettings::health_listen)},
+      {"store", "", true, "address and port of the platform's key-value store",
+       EndpointParser(&EntrySettings::store)},
       {"peer-listen", "", false,
-       "where other instances send datagrams on their requests; without it "
-       "this instance knows of its own only",
-       ReadEndpoint(&EntrySettings::peer_listen)},
+       "address and port for messages of other instances; without it this "
+       "instance uses only its own observations",
+       EndpointParser(&EntrySettings::peer_listen)},
       {"log-level", "info", false, "debug, info, warning or error",
-       ReadLogLevel(&EntrySettings::log_level)},
+       LogLevelParser(&EntrySettings::log_level)},
       {"max-connections", "1500", false,
-       "caller connections at a time; further ones are closed",
-       ReadWhole<std::int64_t>(&EntrySettings::max_connections, 1,
-                               kMaxConnections)},
-      {"stop-grace", "8", false, "seconds from SIGTERM to the end, at most",
-       ReadSeconds(&EntrySettings::stop_grace, kLeastSeconds, kMaxSeconds)},
+       "maximum number of concurrent caller connections; further ones are "
+       "closed",
+       IntegerParser<std::int64_t>(&EntrySettings::max_connections, 1,
+                                   kMaxConnections)},
+      {"stop-grace", "8", false, "maximum seconds from SIGTERM to exit",
+       SecondsParser(&EntrySettings::stop_grace, kMinSeconds, kMaxSeconds)},
       {"order-quiet-ms", "4500", false,
-       "milliseconds from taking authority over the engines to the first "
-       "order; more than the platform's bound on turns between holders",
-       ReadWhole<std::chrono::milliseconds>(&EntrySettings::order_quiet, 1,
-                                            600'000)},
+       "milliseconds from acquiring the authority over engines to the first "
+       "order; more than the platform's minimum gap between two holders",
+       IntegerParser<std::chrono::milliseconds>(
+           &EntrySettings::order_takeover_delay, 1, 600'000)},
       {"retry-ratio", "0.2", false,
-       "arrivals at targets beyond the first of each request, for each "
-       "request, that all instances together may make",
-       ReadNumber(&EntrySettings::retry_ratio, 0, 10)},
+       "arrivals at targets beyond the first of each request, per request, "
+       "over all instances",
+       NumberParser(&EntrySettings::retry_ratio, 0, 10)},
       {"decode-share", "0.25", false,
-       "part of a service's engines that generate; the others read prompts",
-       ReadNumber(&EntrySettings::decode_share, 0, 1)},
-      {"retry-allowance", "50", false, "and so many more",
-       ReadNumber(&EntrySettings::retry_allowance, 0, kMaxAllowance)},
-      {"retry-window", "10", false, "in so many seconds",
-       ReadSeconds(&EntrySettings::retry_window, kLeastSeconds, kMaxSeconds)},
+       "minimum fraction of a service's engines that decode; the others "
+       "prefill",
+       NumberParser(&EntrySettings::decode_share, 0, 1)},
+      {"retry-allowance", "50", false,
+       "such arrivals per window that are allowed in addition to the ratio",
+       NumberParser(&EntrySettings::retry_allowance, 0, kMaxAllowance)},
+      {"retry-window", "10", false,
+       "sliding window of the retry budget, in seconds",
+       SecondsParser(&EntrySettings::retry_window, kMinSeconds, kMaxSeconds)},
   };
 }
 
@@ -123,13 +132,13 @@
 
 std::optional<EntrySettings> ParseEntrySettings(int argc,
                                                 const char* const* argv,
-                                                SettingsFault* last_reason) {
+                                                SettingsFault* fault) {
   const auto settings = ParseOptions<EntrySettings>(
       "One entry instance of lynxglade on a platform whose store holds the "
       "targets and the configuration. Each flag can be given by the "
-      "environment variable named in parentheses; the flag goes first.",
-      AllOptions(), argc, argv, last_reason);
-  if (!settings || !last_reason->lines.empty()) {
+      "environment variable named in parentheses; the flag takes precedence.",
+      AllOptions(), argc, argv, fault);
+  if (!settings || !fault->lines.empty()) {
     return std::nullopt;
   }
   return settings;
--- a/src/process/fleet_status.h
+++ b/src/process/fleet_status.h
@@ -1,5 +1,5 @@
-// What operators see of the orders: intended, ordered, observed, and why
-// nothing moves.
+// Status of engines and shards for operators: intended, ordered and observed
+// state, and why an engine is waiting.
 #ifndef LYNXGLADE_PROCESS_FLEET_STATUS_H_
 #define LYNXGLADE_PROCESS_FLEET_STATUS_H_
 
@@ -12,9 +12,9 @@
 #include "base/ids.h"
 #include "base/time.h"
 #include "connection/engine_admin.h"
-#include "process/lease_keeper.h"
-#include "process/order_executor.h"
+#include "process/order_decision.h"
 #include "process/order_journal.h"
+#include "process/shard_lease.h"
 #include "request/target.h"
 
 namespace lynxglade::process {
@@ -29,13 +29,13 @@
   request::TargetState state = request::TargetState::kServing;
   std::optional<connection::EngineTargetState> intended;
   std::optional<JournalRecord> ordered;
-  std::optional<EngineEvidence> observed;
+  std::optional<EngineObservation> observed;
   OrderStep step = OrderStep::kWait;
   WaitReason reason = WaitReason::kNone;
   base::Time waiting_since{};
-  // It waits longer than operators should have to.
+  // It has waited longer than OrderSettings::overdue_after.
   bool overdue = false;
-  // Key of the permit it holds; empty when none.
+  // Key of the permit that it holds; empty if none.
   std::string permit;
 };
 
@@ -44,8 +44,8 @@
   int shard = 0;
   LeaseState state = LeaseState::kNone;
   std::optional<LeaseHolder> holder;
-  // Own lease only: when it lapses if not renewed, and until when orders may
-  // leave.
+  // Valid for an own lease only: when it expires without a renewal, and until
+  // when orders may be sent.
   base::Time expiry{};
   base::Time order_deadline{};
   std::vector<EngineStatus> engines;
--- a/src/process/load_pacer.cc
+++ b/src/process/load_rate_limiter.cc
@@ -1,16 +1,16 @@
-#include "process/load_pacer.h"
+#include "process/load_rate_limiter.h"
 
 namespace lynxglade::process {
 
-void LoadPacer::SetRate(double loads_per_minute) noexcept {
+void LoadRateLimiter::SetRate(double loads_per_minute) noexcept {
   loads_per_minute_ = loads_per_minute;
 }
 
-bool LoadPacer::Allows(base::Time now) const noexcept {
+bool LoadRateLimiter::Allows(base::Time now) const noexcept {
   if (loads_per_minute_ <= 0) {
     return false;
   }
-  if (!taken_) {
+  if (!any_load_) {
     return true;
   }
   const double elapsed_minutes =
@@ -18,8 +18,8 @@
   return elapsed_minutes * loads_per_minute_ >= 1.0;
 }
 
-void LoadPacer::Take(base::Time now) noexcept {
-  taken_ = true;
+void LoadRateLimiter::RecordLoad(base::Time now) noexcept {
+  any_load_ = true;
   last_ = now;
 }
 
--- a/src/process/loan_messages.h
+++ b/src/process/loan_messages.h
@@ -1,4 +1,4 @@
-// What instances ask and lend each other of the retries, as CBOR.
+// CBOR messages by which instances borrow retry budget from each other.
 #ifndef LYNXGLADE_PROCESS_LOAN_MESSAGES_H_
 #define LYNXGLADE_PROCESS_LOAN_MESSAGES_H_
 
@@ -12,32 +12,32 @@
 
 namespace lynxglade::process {
 
-// Names a question of one instance; a loan answers one.
-using QuestionNumber =
-    base::StrongNumber<struct QuestionNumberTag, std::uint64_t>;
+// Identifies a request of one instance; a loan refers to the request.
+using LoanRequestId =
+    base::StrongNumber<struct LoanRequestIdTag, std::uint64_t>;
 
-// More is neither asked for nor lent at once, in arrivals.
-inline constexpr double kMostLent = 100;
+// Upper bound of one request or loan, in arrivals.
+inline constexpr double kMaxLoanArrivals = 100;
 
-struct LoanQuestion {
-  QuestionNumber number;
+struct LoanRequest {
+  LoanRequestId request_id;
   base::ServiceName service = base::ServiceName("");
   // Arrivals.
-  double wanted = 0;
+  double arrivals = 0;
 };
 
 struct Loan {
-  QuestionNumber number;
+  LoanRequestId request_id;
   // Arrivals.
   double arrivals = 0;
 };
 
-// An array of version, number, service and thousandths of arrivals, rounded
-// down. Decoding gives nothing for other bytes.
-std::string EncodeLoanQuestion(const LoanQuestion& question);
-std::optional<LoanQuestion> DecodeLoanQuestion(std::string_view bytes);
+// Encodes version, request id, service and thousandths of arrivals (rounded
+// down) as an array. Decoding returns nullopt for malformed bytes.
+std::string EncodeLoanRequest(const LoanRequest& request);
+std::optional<LoanRequest> DecodeLoanRequest(std::string_view bytes);
 
-// The same without the service.
+// The same array without the service.
 std::string EncodeLoan(const Loan& loan);
 std::optional<Loan> DecodeLoan(std::string_view bytes);
 
--- a/src/process/option_table.h
+++ b/src/process/option_table.h
@@ -1,7 +1,7 @@
-// Settings as a table: one row a flag, with its environment variable, its
-// default and how its text is read.
+// Parses command-line flags and environment variables by a table of options.
 //
-// Included only by the .cc files that hold such a table: it brings TCLAP in.
+// Include only from .cc files that define such a table, as this header includes
+// TCLAP.
 #ifndef LYNXGLADE_PROCESS_OPTION_TABLE_H_
 #define LYNXGLADE_PROCESS_OPTION_TABLE_H_
 
@@ -29,22 +29,23 @@
 
 namespace lynxglade::process {
 
-// Takes the text into the settings; returns what is allowed when it cannot.
+// Parses the text into the settings. Returns nullopt on success, else a
+// description of the expected values.
 template <typename S>
-using Apply = std::function<std::optional<std::string>(S&, const std::string&)>;
+using OptionParser =
+    std::function<std::optional<std::string>(S&, const std::string&)>;
 
-// One setting: its flag, its default as text, whether it must be given, and
-// how it is read.
+// One setting.
 template <typename S>
 struct Option {
   std::string flag;
   std::string default_text;
   bool required = false;
   std::string description;
-  Apply<S> apply;
+  OptionParser<S> parse;
 };
 
-// LYNXGLADE_LISTEN for "listen".
+// Returns "LYNXGLADE_LISTEN" for "listen".
 inline std::string EnvironmentName(const std::string& flag) {
   std::string name = "LYNXGLADE_";
   std::ranges::transform(flag, std::back_inserter(name), [](unsigned char c) {
@@ -62,10 +63,11 @@
   return text + " (" + EnvironmentName(option.flag) + ")";
 }
 
-// The flag's text, else the variable's, else the default.
+// Returns the text of the flag, else of the environment variable, else the
+// default.
 template <typename S>
-std::string TextOf(const Option<S>& option,
-                   const TCLAP::ValueArg<std::string>& arg) {
+std::string ResolveText(const Option<S>& option,
+                        const TCLAP::ValueArg<std::string>& arg) {
   if (arg.isSet()) {
     return arg.getValue();
   }
@@ -86,17 +88,17 @@
     }
     return;
   }
-  if (const auto allowed = option.apply(settings, text)) {
-    fault.lines.push_back(name + ": '" + text + "' is not allowed; give " +
-                          *allowed);
+  if (const auto expected = option.parse(settings, text)) {
+    fault.lines.push_back(name + ": invalid value '" + text + "'; expected " +
+                          *expected);
   }
 }
 
-// --- Readers that tables share ----------------------------------------------
+// --- Parsers shared by the tables -------------------------------------------
 
-// An IP number and a port, into an Endpoint or an optional one.
+// Parses an IP address and a port into an Endpoint or an optional one.
 template <typename S, typename T>
-Apply<S> ReadEndpoint(T S::* member) {
+OptionParser<S> EndpointParser(T S::* member) {
   return [member](S& settings,
                   const std::string& text) -> std::optional<std::string> {
     const auto endpoint = ParseEndpoint(text);
@@ -108,16 +110,19 @@
   };
 }
 
-// A whole number of `Unit`, into any member that can be made of it.
+// Parses an integer number of `Unit` into any member that converts from it.
 template <typename Unit, typename S, typename T>
-Apply<S> ReadWhole(T S::* member, std::int64_t low, std::int64_t high) {
+OptionParser<S> IntegerParser(T S::* member,
+                              std::int64_t min_value,
+                              std::int64_t max_value) {
   return
       [=](S& settings, const std::string& text) -> std::optional<std::string> {
-        const auto n = base::ParseWhole(text, low, high);
+        const auto n = base::ParseWhole(text, min_value, max_value);
         if (!n) {
           constexpr bool kSeconds = std::is_same_v<Unit, std::chrono::seconds>;
           return std::string(kSeconds ? "whole seconds" : "a whole number") +
-                 " from " + std::to_string(low) + " to " + std::to_string(high);
+                 " from " + std::to_string(min_value) + " to " +
+                 std::to_string(max_value);
         }
         settings.*member = static_cast<T>(Unit(*n));
         return std::nullopt;
@@ -125,7 +130,7 @@
 }
 
 template <typename S>
-Apply<S> ReadLogLevel(base::LogLevel S::* member) {
+OptionParser<S> LogLevelParser(base::LogLevel S::* member) {
   return [member](S& settings,
                   const std::string& text) -> std::optional<std::string> {
     if (!base::ParseLogLevel(text, &(settings.*member))) {
@@ -135,11 +140,11 @@
   };
 }
 
-// --- Reading a command line --------------------------------------------------
+// --- Command line -----------------------------------------------------------
 
-// "--flag=value" as the two words that the library takes.
-inline std::vector<std::string> SplitAtEquals(int argc,
-                                              const char* const* argv) {
+// Splits "--flag=value" into the two words that TCLAP expects.
+inline std::vector<std::string> SplitAssignments(int argc,
+                                                 const char* const* argv) {
   std::vector<std::string> words;
   for (const std::string_view word :
        std::vector<std::string_view>(argv, argv + argc)) {
@@ -154,36 +159,36 @@
   return words;
 }
 
-// Reads argv, then the environment, then the defaults. Each fault is one line;
-// nothing is returned if there is any.
+// Reads argv, then the environment, then the defaults. Invalid values are added
+// to `fault->lines`, which the caller must check. Returns nullopt if argv
+// cannot be parsed or --help or --version was handled.
 template <typename S>
 std::optional<S> ParseOptions(const std::string& title,
                               const std::vector<Option<S>>& options,
                               int argc,
                               const char* const* argv,
-                              SettingsFault* last_reason) {
+                              SettingsFault* fault) {
   TCLAP::CmdLine command(title, ' ', "0.1.0");
   command.setExceptionHandling(false);
-  // The library keeps pointers to the arguments and prints them in reverse.
+  // TCLAP keeps pointers to the arguments and prints them in reverse order.
   std::deque<TCLAP::ValueArg<std::string>> args;
   for (auto it = options.rbegin(); it != options.rend(); ++it) {
     args.emplace_front("", it->flag, HelpText(*it), false, "", "value",
                        command);
   }
   try {
-    std::vector<std::string> words = SplitAtEquals(argc, argv);
+    std::vector<std::string> words = SplitAssignments(argc, argv);
     command.parse(words);
   } catch (const TCLAP::ExitException&) {
-    last_reason->handled = true;
+    fault->handled = true;
     return std::nullopt;
   } catch (const TCLAP::ArgException& e) {
-    last_reason->lines.push_back(e.argId() + ": " + e.error());
+    fault->lines.push_back(e.argId() + ": " + e.error());
     return std::nullopt;
   }
   S settings;
   for (std::size_t i = 0; i < options.size(); ++i) {
-    ApplyOption(options[i], TextOf(options[i], args[i]), settings,
-                *last_reason);
+    ApplyOption(options[i], ResolveText(options[i], args[i]), settings, *fault);
   }
   return settings;
 }
--- a/src/process/order_coordinator.cc
+++ b/src/process/order_coordinator.cc
@@ -19,8 +19,9 @@
 constexpr const char* kDrainPrefix = "/lynxglade/drains/";
 constexpr base::Duration kDrainsInterval = std::chrono::seconds(2);
 constexpr base::Duration kPermitsInterval = std::chrono::seconds(10);
-// A permit whose engine nobody lists is freed after this.
-constexpr base::Duration kOrphanAge = std::chrono::minutes(1);
+// A permit is released after its engine has been missing from the list of
+// engines for this long.
+constexpr base::Duration kOrphanPermitTimeout = std::chrono::minutes(1);
 
 LeaseSettings MakeLeaseSettings(const base::InstanceId& instance,
                                 const base::ZoneId& zone,
@@ -30,7 +31,8 @@
   lease.key = LeaseKey(zone, shard);
   lease.holder = instance;
   lease.ttl = settings.lease_ttl;
-  // An order that passed its last check is dead before the lease lapses.
+  // An order that passed its last deadline check can't take effect after the
+  // lease has expired.
   lease.margin = settings.engine_connection_bound + settings.guard;
   return lease;
 }
@@ -70,40 +72,40 @@
   context_.run_store = std::move(dependencies.run_store);
   context_.run_engine = std::move(dependencies.run_engine);
   context_.lease = &lease_;
-  context_.pacer = &pacer_;
+  context_.load_limiter = &load_limiter_;
   context_.metrics = dependencies.metrics;
 }
 
 void OrderCoordinator::Tick() {
   const base::Time now = context_.clock();
-  if (stopping_ && !DriversBusy() && !permits_call_) {
+  if (stopping_ && !DriversBusy() && !permits_call_in_flight_) {
     lease_.Release();
   }
-  DriveLease();
-  if (stopping_ || !FollowAuthority()) {
+  AdvanceLease();
+  if (stopping_ || !UpdateAuthority()) {
     return;
   }
-  if (!lease_.MayOrder(now)) {
-    // Keeps what operators see up to date; takes no step.
+  if (!lease_.FenceForOrders(now)) {
+    // Updates the reported status only; no step is taken without authority.
     std::ranges::for_each(drivers_, [](auto& it) { it.second->Step(); });
     return;
   }
   RefreshRows();
   RefreshDrains(now);
   RefreshPermits(now);
-  if (!drains_loaded_ || !permits_loaded_ || context_.permits_unknown) {
+  if (!drains_loaded_ || !permits_loaded_ || context_.permits_stale) {
     return;
   }
   SetDesired();
   SetCapacity();
-  SetPace();
+  SetLoadRate();
   std::ranges::for_each(drivers_, [](auto& it) { it.second->Step(); });
   PublishChanges(now);
 }
 
 bool OrderCoordinator::stopped() const noexcept {
-  return stopping_ && lease_.released() && !lease_call_ && !drains_call_ &&
-         !permits_call_ && !DriversBusy();
+  return stopping_ && lease_.released() && !lease_call_in_flight_ &&
+         !drains_call_in_flight_ && !permits_call_in_flight_ && !DriversBusy();
 }
 
 ShardStatus OrderCoordinator::Status() const {
@@ -126,8 +128,8 @@
 
 // --- Authority --------------------------------------------------------------
 
-void OrderCoordinator::DriveLease() {
-  if (lease_call_) {
+void OrderCoordinator::AdvanceLease() {
+  if (lease_call_in_flight_) {
     return;
   }
   if (const auto call = lease_.Next(context_.clock())) {
@@ -136,51 +138,52 @@
 }
 
 void OrderCoordinator::MakeLeaseCall(const LeaseCall& call) {
-  lease_call_ = true;
+  lease_call_in_flight_ = true;
   context_.run_store([this, call, store = context_.store,
                       key = context_.lease_key,
                       ttl = context_.settings.lease_ttl]() -> Completion {
     KvError error = KvError::kNone;
-    Completion tell;
+    Completion apply_result;
     switch (call.kind) {
       case LeaseCallKind::kRead:
-        tell = [this, range = store->get(key, &error), error] {
+        apply_result = [this, range = store->get(key, &error), error] {
           lease_.OnRead(context_.clock(), range, error);
         };
         break;
       case LeaseCallKind::kGrant:
-        tell = [this, lease = store->grant_lease(ttl, &error), error] {
+        apply_result = [this, lease = store->grant_lease(ttl, &error), error] {
           lease_.OnGrant(context_.clock(), lease, error);
         };
         break;
       case LeaseCallKind::kCreate: {
         auto result = store->commit({{key, base::Revision(0)}},
                                     {{key, call.value, call.lease}}, &error);
-        tell = [this, result = std::move(result), error] {
+        apply_result = [this, result = std::move(result), error] {
           lease_.OnCreate(context_.clock(), result, error);
         };
         break;
       }
       case LeaseCallKind::kKeepAlive:
-        tell = [this, left = store->keep_alive(call.lease, &error), error] {
+        apply_result = [this, left = store->keep_alive(call.lease, &error),
+                        error] {
           lease_.OnKeepAlive(context_.clock(), left, error);
         };
         break;
       case LeaseCallKind::kRevoke:
-        tell = [this, done = store->revoke_lease(call.lease, &error)] {
+        apply_result = [this, done = store->revoke_lease(call.lease, &error)] {
           lease_.OnRevoke(context_.clock(), done);
         };
         break;
     }
-    return [this, tell = std::move(tell)] {
-      lease_call_ = false;
-      tell();
-      DriveLease();
+    return [this, apply_result = std::move(apply_result)] {
+      lease_call_in_flight_ = false;
+      apply_result();
+      AdvanceLease();
     };
   });
 }
 
-bool OrderCoordinator::FollowAuthority() {
+bool OrderCoordinator::UpdateAuthority() {
   const bool holding = lease_.state() == LeaseState::kHeld ||
                        (lease_.state() == LeaseState::kUncertain && authority_);
   const auto fence = holding && lease_.holder()
@@ -190,20 +193,21 @@
     return authority_.has_value();
   }
   std::ranges::for_each(drivers_, [](auto& it) { it.second->Retire(); });
-  if (DriversBusy() || permits_call_) {
+  if (DriversBusy() || permits_call_in_flight_) {
     return false;
   }
   drivers_.clear();
-  published_.clear();
+  last_published_.clear();
   orphans_.clear();
   authority_ = fence;
   permits_loaded_ = false;
-  context_.permits_unknown = true;
-  // Longer than an earlier holder can believe in its lease, even when the
-  // service let it lapse early, plus what its last order may take.
-  context_.quiet_until = lease_.held_since() + context_.settings.lease_ttl +
-                         context_.settings.engine_connection_bound +
-                         context_.settings.guard;
+  context_.permits_stale = true;
+  // An earlier holder can consider its lease valid for up to the TTL, even if
+  // the service expired it early, and its last order can be in flight for the
+  // connection bound.
+  context_.late_orders_until =
+      lease_.held_since() + context_.settings.lease_ttl +
+      context_.settings.engine_connection_bound + context_.settings.guard;
   base::Log(base::LogLevel::kInfo, fence ? "lease_taken" : "lease_gone",
             {{"zone", zone_.str()},
              {"shard", shard_},
@@ -215,7 +219,7 @@
   return authority_.has_value();
 }
 
-// --- What the world looks like ----------------------------------------------
+// --- Engines, drains and permits ---------------------------------------------
 
 void OrderCoordinator::RefreshRows() {
   rows_ = hooks_.engines();
@@ -236,8 +240,9 @@
       driver->SetRow(row);
     } else {
       driver = std::make_unique<EngineDriver>(context_, row);
-      // Its permit, if it has one from before, must be found first.
-      context_.permits_unknown = true;
+      // The engine may hold a permit from an earlier holder; list the permits
+      // before the first step.
+      context_.permits_stale = true;
     }
   }
   std::erase_if(rows_, [](const EngineRow& row) { return !row.engine; });
@@ -247,16 +252,16 @@
 }
 
 void OrderCoordinator::RefreshDrains(base::Time now) {
-  if (drains_call_ || now < drains_due_) {
+  if (drains_call_in_flight_ || now < drains_due_) {
     return;
   }
-  drains_call_ = true;
+  drains_call_in_flight_ = true;
   drains_due_ = now + kDrainsInterval;
   context_.run_store([this, store = context_.store]() -> Completion {
     KvError error = KvError::kNone;
     auto range = store->list(kDrainPrefix, &error);
     return [this, range = std::move(range)] {
-      drains_call_ = false;
+      drains_call_in_flight_ = false;
       if (!range) {
         return;
       }
@@ -271,29 +276,30 @@
 }
 
 void OrderCoordinator::RefreshPermits(base::Time now) {
-  if (permits_call_ || (now < permits_due_ && !context_.permits_unknown)) {
+  if (permits_call_in_flight_ ||
+      (now < permits_due_ && !context_.permits_stale)) {
     return;
   }
-  permits_call_ = true;
+  permits_call_in_flight_ = true;
   permits_due_ = now + kPermitsInterval;
   context_.run_store([this, store = context_.store,
                       calls = context_.permit_calls]() -> Completion {
     KvError error = KvError::kNone;
     auto permits = ListPermits(*store, &error);
     return [this, permits = std::move(permits), calls] {
-      permits_call_ = false;
+      permits_call_in_flight_ = false;
       if (permits && calls == context_.permit_calls) {
-        TakeOverPermits(*permits, context_.clock());
+        ApplyPermits(*permits, context_.clock());
       } else {
-        context_.permits_unknown = true;
+        context_.permits_stale = true;
       }
     };
   });
 }
 
-void OrderCoordinator::TakeOverPermits(const std::vector<Permit>& permits,
-                                       base::Time now) {
-  context_.permits_unknown = false;
+void OrderCoordinator::ApplyPermits(const std::vector<Permit>& permits,
+                                    base::Time now) {
+  context_.permits_stale = false;
   permits_loaded_ = true;
   for (auto& [id, driver] : drivers_) {
     const auto it = std::ranges::find(permits, id, &Permit::target);
@@ -309,39 +315,39 @@
     }
     const auto seen = orphans_.try_emplace(permit.key, now).first->second;
     orphans.emplace(permit.key, seen);
-    if (now - seen > kOrphanAge) {
-      FreeOrphan(permit);
+    if (now - seen > kOrphanPermitTimeout) {
+      ReleaseOrphan(permit);
     }
   }
   orphans_ = std::move(orphans);
 }
 
-void OrderCoordinator::FreeOrphan(const Permit& permit) {
-  if (!authority_ || permits_call_) {
+void OrderCoordinator::ReleaseOrphan(const Permit& permit) {
+  if (!authority_ || permits_call_in_flight_) {
     return;
   }
-  permits_call_ = true;
+  permits_call_in_flight_ = true;
   const LeaseGuard guard{context_.lease_key, *authority_};
   context_.run_store(
       [this, store = context_.store, guard, permit]() -> Completion {
         ReleasePermit(*store, guard, permit);
         return [this] {
-          permits_call_ = false;
-          context_.permits_unknown = true;
+          permits_call_in_flight_ = false;
+          context_.permits_stale = true;
         };
       });
 }
 
-// --- What is wanted ---------------------------------------------------------
+// --- Desired state -----------------------------------------------------------
 
 void OrderCoordinator::SetDesired() {
-  const bool examined = std::ranges::all_of(
-      drivers_, [](const auto& it) { return it.second->examined(); });
+  const bool state_known = std::ranges::all_of(
+      drivers_, [](const auto& it) { return it.second->state_known(); });
   const auto configuration = hooks_.configuration();
-  if (!examined || !configuration || configuration->revision.value() == 0) {
+  if (!state_known || !configuration || configuration->revision.value() == 0) {
     return;
   }
-  const auto wishes = hooks_.role_wishes();
+  const auto requested_roles = hooks_.requested_roles();
   std::vector<EngineContent> contents;
   for (const auto& [id, driver] : drivers_) {
     if (auto content = driver->Content()) {
@@ -351,7 +357,7 @@
   }
   DesiredInputs inputs;
   inputs.configuration = configuration.get();
-  inputs.role_wishes = &wishes;
+  inputs.requested_roles = &requested_roles;
   inputs.drains = &drains_;
   const auto desired = DesiredStates(contents, inputs);
   for (auto& [id, driver] : drivers_) {
@@ -374,7 +380,7 @@
   for (const EngineRow& row : rows_) {
     const auto own = drivers_.find(row.id);
     const bool serving =
-        own == drivers_.end() ? row.serving : own->second->Serving();
+        own == drivers_.end() ? row.serving : own->second->IsServing();
     Fleet& fleet = fleets[row.service];
     fleet.size += row.leaving ? 0 : 1;
     fleet.serving += serving && !row.leaving ? 1 : 0;
@@ -388,18 +394,18 @@
   }
 }
 
-void OrderCoordinator::SetPace() {
+void OrderCoordinator::SetLoadRate() {
   const double own = static_cast<double>(drivers_.size());
   const double all =
       static_cast<double>(std::max<std::size_t>(rows_.size(), 1));
-  pacer_.SetRate(hooks_.weight_loads_per_minute() * own / all);
+  load_limiter_.SetRate(hooks_.weight_loads_per_minute() * own / all);
 }
 
-// --- What others hear -------------------------------------------------------
+// --- Publication -------------------------------------------------------------
 
 void OrderCoordinator::PublishChanges(base::Time now) {
   for (const auto& [id, driver] : drivers_) {
-    if (driver->examined()) {
+    if (driver->state_known()) {
       Publish(driver->Status(), now);
     }
   }
@@ -422,15 +428,15 @@
 
 void OrderCoordinator::Publish(const EngineStatus& status, base::Time now) {
   nlohmann::json body = EncodeEngineStatus(status, now);
-  // Times and counts that move by themselves are no news.
-  nlohmann::json news = body;
-  news.erase("waiting_ms");
-  if (news.contains("observed")) {
-    news["observed"].erase("age_ms");
-    news["observed"].erase("in_flight");
+  // Members that change continuously don't trigger a publication.
+  nlohmann::json stable = body;
+  stable.erase("waiting_ms");
+  if (stable.contains("observed")) {
+    stable["observed"].erase("age_ms");
+    stable["observed"].erase("in_flight");
   }
-  std::string text = news.dump();
-  std::string& last = published_[status.id];
+  std::string text = stable.dump();
+  std::string& last = last_published_[status.id];
   if (text == last) {
     return;
   }
--- a/src/process/order_journal.cc
+++ b/src/process/order_journal.cc
@@ -42,7 +42,7 @@
         connection::DecodeTargetState(json.at("failed_target"));
   }
   record.failed_incarnation = json.at("failed_incarnation").get<std::string>();
-  record.mark = json.at("mark").get<std::string>();
+  record.write_id = json.at("mark").get<std::string>();
   return record;
 }
 
@@ -81,7 +81,7 @@
                {"attempts", record.attempts},
                {"failures", record.failures},
                {"failed_incarnation", record.failed_incarnation},
-               {"mark", record.mark}};
+               {"mark", record.write_id}};
   if (record.failed_target) {
     json["failed_target"] =
         connection::EncodeTargetState(*record.failed_target);
@@ -153,9 +153,9 @@
   const auto* const lease = Find(result->found, pending_lease_key_);
   const bool lease_held =
       lease && lease->mod_revision.value() == pending_fence_.value();
-  // Own record first: a write whose answer was lost may have been the last
-  // act under a lease that is gone by now.
-  const JournalWriteResult outcome = TakeOver(Find(result->found, key_));
+  // Load the record even if the lease is lost: an earlier copy of this write,
+  // whose answer was lost, may have stored it.
+  const JournalWriteResult outcome = LoadStored(Find(result->found, key_));
   return lease_held ? outcome : JournalWriteResult::kLeaseLost;
 }
 
@@ -167,18 +167,18 @@
   const auto* const entry = Find(range->entries, key_);
   const base::Revision found = entry ? entry->mod_revision : base::Revision(0);
   if (found == mod_revision_) {
-    // Not there, but it may still arrive. The same write may be repeated: its
-    // guard lets only one copy through.
+    // Not stored, but the write may still arrive. Repeating it is safe: the
+    // revision guard lets only one copy succeed.
     return JournalWriteResult::kRetry;
   }
-  return TakeOver(entry);
+  return LoadStored(entry);
 }
 
-JournalWriteResult OrderJournal::TakeOver(const connection::KvEntry* entry) {
-  const std::string mark = pending_ ? pending_->mark : std::string();
+JournalWriteResult OrderJournal::LoadStored(const connection::KvEntry* entry) {
+  const std::string write_id = pending_ ? pending_->write_id : std::string();
   const bool readable = Load(entry ? std::optional(*entry) : std::nullopt);
-  const bool own = readable && record_ && record_->mark == mark;
-  return own ? JournalWriteResult::kStored : JournalWriteResult::kOvertaken;
+  const bool own = readable && record_ && record_->write_id == write_id;
+  return own ? JournalWriteResult::kStored : JournalWriteResult::kConflict;
 }
 
 }  // namespace lynxglade::process
--- a/src/process/order_service.cc
+++ b/src/process/order_service.cc
@@ -12,7 +12,7 @@
 #include <nlohmann/json.hpp>
 
 #include "process/call_pool.h"
-#include "process/drain_marks.h"
+#include "process/operator_drains.h"
 #include "process/order_actor.h"
 
 namespace lynxglade::process {
@@ -30,7 +30,7 @@
 constexpr int kMethodNotAllowed = 405;
 constexpr int kConflict = 409;
 constexpr int kUnavailable = 503;
-// Two, so that a renewal of the lease need not wait for a slow list.
+// More than one, so that a slow list call doesn't delay a lease renewal.
 constexpr int kStoreThreads = 2;
 
 enum class DrainVerb { kDrain, kUndrain };
@@ -69,15 +69,18 @@
     }
     case DrainResult::kConflict:
       return ApiError(kConflict, "conflict",
-                      "another call changed the drain of this target");
+                      "a concurrent call changed the drain of this target; "
+                      "repeat the call");
     case DrainResult::kUnavailable:
-      return ApiError(kUnavailable, "key_value_unavailable",
-                      "nothing was changed");
+      return ApiError(
+          kUnavailable, "key_value_unavailable",
+          "the key-value service is unavailable; the drain was not changed");
     case DrainResult::kUnknown:
       break;
   }
   return ApiError(kUnavailable, "outcome_unknown",
-                  "the key-value service gave no answer; repeat the call");
+                  "the key-value service did not answer; the drain may or may "
+                  "not have changed; repeat the call");
 }
 
 }  // namespace
@@ -88,7 +91,7 @@
     caf::actor actor;
     std::future<void> stopped;
   };
-  struct Heard {
+  struct PublishedStatus {
     ViewVersion version;
     base::Time as_of{};
     std::string body;
@@ -105,8 +108,8 @@
   std::vector<std::unique_ptr<Shard>> shards;
   std::once_flag stop_once;
 
-  mutable std::mutex heard_mutex;
-  std::map<std::string, Heard> heard;
+  mutable std::mutex published_mutex;
+  std::map<std::string, PublishedStatus> published;
 
   void Start(ControlSystem& control,
              const OrderSettings& settings,
@@ -141,24 +144,25 @@
 ApiAnswer OrderService::Details::Drain(const DrainCall& call) const {
   const auto rows = hooks.engines();
   if (std::ranges::find(rows, call.target, &EngineRow::id) == rows.end()) {
-    return ApiError(kNotFound, "unknown_target", "no such target is listed");
+    return ApiError(kNotFound, "unknown_target",
+                    "the target is not in the instance list");
   }
   const DrainResult result =
       call.verb == DrainVerb::kDrain
           ? SetDrain(*store, call.target, base::RandomHexId(random))
-          : LiftDrain(*store, call.target);
+          : RemoveDrain(*store, call.target);
   return ToAnswer(call, result);
 }
 
-// Own shards first-hand, all others as heard.
+// Current status for own shards, last published status for others.
 Json OrderService::Details::EnginesJson(base::Time now) const {
   std::map<std::string, Json> engines;
   {
-    std::lock_guard lock(heard_mutex);
+    std::lock_guard lock(published_mutex);
     const auto rows = hooks.engines();
     for (const EngineRow& row : rows) {
-      const auto it = heard.find(row.id.str());
-      if (it == heard.end()) {
+      const auto it = published.find(row.id.str());
+      if (it == published.end()) {
         continue;
       }
       Json json = Json::parse(it->second.body, nullptr, false);
@@ -229,10 +233,10 @@
 }
 
 void OrderService::OnTargetView(const ViewItem& item) {
-  std::lock_guard lock(details_->heard_mutex);
-  Details::Heard& heard = details_->heard[item.key];
-  if (heard.version < item.version) {
-    heard = {item.version, item.as_of, item.body};
+  std::lock_guard lock(details_->published_mutex);
+  Details::PublishedStatus& published = details_->published[item.key];
+  if (published.version < item.version) {
+    published = {item.version, item.as_of, item.body};
   }
 }
 
@@ -244,7 +248,7 @@
   }
   const auto drain = ParseDrainPath(call.path);
   if (!drain) {
-    return ApiError(kNotFound, "not_found", "no such path");
+    return ApiError(kNotFound, "not_found", "unknown path");
   }
   return call.method == "POST"
              ? details_->Drain(*drain)
--- a/src/process/retry_loans.cc
+++ b/src/process/retry_loans.cc
@@ -14,14 +14,14 @@
 
 }  // namespace
 
-RetryLoans::RetryLoans(request::passthrough::RetryAllowance& allowance,
+RetryLoans::RetryLoans(request::passthrough::SharedRetryBudget& budget,
                        PeerDatagrams& datagrams,
                        RetryLoansHooks hooks,
                        RetryLoansOptions options,
                        base::Clock clock,
                        base::RandomSource random,
                        base::Metrics& metrics)
-    : allowance_(allowance),
+    : budget_(budget),
       datagrams_(datagrams),
       hooks_(std::move(hooks)),
       options_(options),
@@ -30,98 +30,104 @@
       metrics_(metrics) {}
 
 void RetryLoans::Start() {
-  datagrams_.Handle(DatagramKind::kLoanQuestion,
-                    [this](const InstancePeer& from, std::string_view body) {
-                      return TakeQuestion(from, body);
-                    });
-  datagrams_.Handle(DatagramKind::kLoan,
-                    [this](const InstancePeer& from, std::string_view body) {
-                      return TakeLoan(from, body);
-                    });
+  datagrams_.SetHandler(
+      DatagramKind::kLoanRequest,
+      [this](const InstancePeer& from, std::string_view body) {
+        return HandleRequest(from, body);
+      });
+  datagrams_.SetHandler(DatagramKind::kLoan, [this](const InstancePeer& from,
+                                                    std::string_view body) {
+    return HandleLoan(from, body);
+  });
 }
 
-void RetryLoans::Ask(const base::ServiceName& service, double wanted) {
+void RetryLoans::RequestLoan(const base::ServiceName& service,
+                             double arrivals) {
   const base::Time now = clock_();
-  Question& last = questions_[service];
-  if (last.asked_at != base::Time{} && now < last.asked_at + last.pause) {
+  PendingRequest& pending = requests_[service];
+  if (pending.sent_at != base::Time{} &&
+      now < pending.sent_at + pending.interval) {
     return;
   }
-  const auto peers = Choose();
-  const base::Duration longer =
-      std::min(2 * last.pause, options_.longest_pause);
-  last.pause =
-      last.answered ? options_.pause : std::max(longer, options_.pause);
-  last.answered = false;
-  last.asked_at = now;
-  // By chance, so that no loan for an earlier life of this process fits.
-  last.number = QuestionNumber(random_());
-  last.open.clear();
-  const std::string question =
-      EncodeLoanQuestion({last.number, service, wanted});
+  const auto peers = ChoosePeers();
+  const base::Duration doubled =
+      std::min(2 * pending.interval, options_.max_request_interval);
+  pending.interval = pending.answered
+                         ? options_.min_request_interval
+                         : std::max(doubled, options_.min_request_interval);
+  pending.answered = false;
+  pending.sent_at = now;
+  // Random, so that a loan for a request from before a restart does not match.
+  pending.request_id = LoanRequestId(random_());
+  pending.pending_lenders.clear();
+  const std::string request =
+      EncodeLoanRequest({pending.request_id, service, arrivals});
   for (const InstancePeer& peer : peers) {
-    last.open.insert(peer.instance);
-    datagrams_.Send(peer, DatagramKind::kLoanQuestion, question);
-    Count("asked");
+    pending.pending_lenders.insert(peer.instance);
+    datagrams_.Send(peer, DatagramKind::kLoanRequest, request);
+    CountOutcome("asked");
   }
 }
 
-std::vector<InstancePeer> RetryLoans::Choose() const {
+std::vector<InstancePeer> RetryLoans::ChoosePeers() const {
   std::vector<InstancePeer> peers = hooks_.peers();
-  const std::size_t n = std::min(options_.asked, peers.size());
+  const std::size_t n = std::min(options_.max_peers, peers.size());
   for (std::size_t i = 0; i < n; ++i) {
-    const auto other = i + base::UniformBelow(random_, peers.size() - i);
-    std::swap(peers[i], peers[other]);
+    const auto j = i + base::UniformBelow(random_, peers.size() - i);
+    std::swap(peers[i], peers[j]);
   }
   peers.resize(n);
   return peers;
 }
 
-bool RetryLoans::TakeQuestion(const InstancePeer& from, std::string_view body) {
-  const auto question = DecodeLoanQuestion(body);
-  if (!question) {
+bool RetryLoans::HandleRequest(const InstancePeer& from,
+                               std::string_view body) {
+  const auto request = DecodeLoanRequest(body);
+  if (!request) {
     return false;
   }
-  if (!hooks_.is_served(question->service)) {
-    Count("other_service");
+  if (!hooks_.is_served(request->service)) {
+    CountOutcome("other_service");
     return true;
   }
-  const double lent = allowance_.Lend(question->service, question->wanted,
-                                      hooks_.instances(), clock_());
-  if (lent > 0) {
+  const double granted = budget_.Lend(request->service, request->arrivals,
+                                      hooks_.instance_count(), clock_());
+  if (granted > 0) {
     datagrams_.Send(from, DatagramKind::kLoan,
-                    EncodeLoan({question->number, lent}));
+                    EncodeLoan({request->request_id, granted}));
   }
-  Count(lent > 0 ? "lent" : "none_to_spare");
+  CountOutcome(granted > 0 ? "lent" : "none_to_spare");
   return true;
 }
 
-bool RetryLoans::TakeLoan(const InstancePeer& from, std::string_view body) {
+bool RetryLoans::HandleLoan(const InstancePeer& from, std::string_view body) {
   const auto loan = DecodeLoan(body);
   if (!loan) {
     return false;
   }
-  const auto asked = std::ranges::find_if(questions_, [&loan](const auto& it) {
-    return it.second.number == loan->number;
+  const auto pending = std::ranges::find_if(requests_, [&loan](const auto& it) {
+    return it.second.request_id == loan->request_id;
   });
-  const bool fits = asked != questions_.end() &&
-                    clock_() <= asked->second.asked_at + options_.patience &&
-                    asked->second.open.erase(from.instance) > 0;
-  if (!fits) {
-    Count("late");
+  const bool is_expected =
+      pending != requests_.end() &&
+      clock_() <= pending->second.sent_at + options_.request_timeout &&
+      pending->second.pending_lenders.erase(from.instance) > 0;
+  if (!is_expected) {
+    CountOutcome("late");
     return true;
   }
-  asked->second.answered = true;
+  pending->second.answered = true;
   Log(LogLevel::kInfo, "retries_borrowed",
-      {{"service", asked->first.str()},
+      {{"service", pending->first.str()},
        {"lender", from.instance.str()},
        {"arrivals", loan->arrivals},
-       {"age_ms", base::ToMillis(clock_() - asked->second.asked_at)}});
-  allowance_.Borrow(asked->first, loan->arrivals, asked->second.asked_at);
-  Count("borrowed");
+       {"age_ms", base::ToMillis(clock_() - pending->second.sent_at)}});
+  budget_.Borrow(pending->first, loan->arrivals, pending->second.sent_at);
+  CountOutcome("borrowed");
   return true;
 }
 
-void RetryLoans::Count(const char* outcome) {
+void RetryLoans::CountOutcome(const char* outcome) {
   metrics_.GetCounter("lynxglade_retry_loans_total", {{"outcome", outcome}})
       .Add();
 }
--- a/src/process/retry_loans.h
+++ b/src/process/retry_loans.h
@@ -1,9 +1,9 @@
-// Asks other instances for retries when this one has few left, and lends them
-// this one's (retry_allowance says why that is safe).
+// Borrows retry budget from other instances when this instance runs short, and
+// lends its own. shared_retry_budget.h explains why the fleet's bound holds.
 //
-// A question goes to a few instances chosen by chance, of those that share
-// reports of reads; what comes back late counts for nothing. Nobody is waited
-// for: without an answer an instance has its own share.
+// A request goes to a few randomly chosen peers of those that exchange
+// prefill reports (prefill_sharing.h). Nothing blocks on the response: without
+// one an instance has its own share, and a late loan is ignored.
 #ifndef LYNXGLADE_PROCESS_RETRY_LOANS_H_
 #define LYNXGLADE_PROCESS_RETRY_LOANS_H_
 
@@ -21,36 +21,36 @@
 #include "process/instance_presence.h"
 #include "process/loan_messages.h"
 #include "process/peer_datagrams.h"
-#include "request/passthrough/retry_allowance.h"
+#include "request/passthrough/shared_retry_budget.h"
 
 namespace lynxglade::process {
 
 struct RetryLoansOptions {
-  // Instances asked at once, each for all that is missing.
-  std::size_t asked = 2;
-  // Between questions for a service: a few times the way to another instance
-  // and back. Twice as long after each that brought nothing, up to the longest,
-  // so that a fleet without any to spare does not ask itself busy.
-  base::Duration pause = std::chrono::milliseconds(20);
-  base::Duration longest_pause = std::chrono::milliseconds(160);
-  // A loan that comes later is left alone. Its lender does not get it back
-  // before its life is over.
-  base::Duration patience = std::chrono::milliseconds(1000);
+  // Peers that get one request, each for the whole missing amount.
+  std::size_t max_peers = 2;
+  // Minimum time between requests for a service: a few round trips. Doubled up
+  // to `max_request_interval` after each request without a loan, to limit the
+  // traffic while no instance has any to spare.
+  base::Duration min_request_interval = std::chrono::milliseconds(20);
+  base::Duration max_request_interval = std::chrono::milliseconds(160);
+  // A loan that arrives later is ignored. It stays charged to the lender until
+  // it expires.
+  base::Duration request_timeout = std::chrono::milliseconds(1000);
 };
 
 struct RetryLoansHooks {
-  // Instances that may be asked.
+  // Peers that a request may be sent to.
   std::function<std::vector<InstancePeer>()> peers;
-  // Instances that may be up, this one included.
-  std::function<int()> instances;
-  // Whether the configuration in force names the service.
+  // Number of instances that may be up, including this one.
+  std::function<int()> instance_count;
+  // Whether the current configuration contains the service.
   std::function<bool(const base::ServiceName& service)> is_served;
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: runs on the event loop.
 class RetryLoans {
  public:
-  RetryLoans(request::passthrough::RetryAllowance& allowance,
+  RetryLoans(request::passthrough::SharedRetryBudget& budget,
              PeerDatagrams& datagrams,
              RetryLoansHooks hooks,
              RetryLoansOptions options,
@@ -60,35 +60,36 @@
   RetryLoans(const RetryLoans&) = delete;
   RetryLoans& operator=(const RetryLoans&) = delete;
 
-  // Takes questions and loans from now on.
+  // Starts to handle requests and loans from peers.
   void Start();
-  // Asks for so many arrivals, unless it has just done so.
-  void Ask(const base::ServiceName& service, double wanted);
+  // Requests `arrivals` from peers, unless the last request for the service is
+  // too recent.
+  void RequestLoan(const base::ServiceName& service, double arrivals);
 
  private:
-  // The last question for a service.
-  struct Question {
-    QuestionNumber number;
-    base::Time asked_at{};
-    base::Duration pause{};
-    // Instances whose loan is still open.
-    std::set<base::InstanceId> open;
+  // The last request for a service.
+  struct PendingRequest {
+    LoanRequestId request_id;
+    base::Time sent_at{};
+    base::Duration interval{};
+    // Peers that have not lent for this request yet.
+    std::set<base::InstanceId> pending_lenders;
     bool answered = false;
   };
 
-  std::vector<InstancePeer> Choose() const;
-  bool TakeQuestion(const InstancePeer& from, std::string_view body);
-  bool TakeLoan(const InstancePeer& from, std::string_view body);
-  void Count(const char* outcome);
+  std::vector<InstancePeer> ChoosePeers() const;
+  bool HandleRequest(const InstancePeer& from, std::string_view body);
+  bool HandleLoan(const InstancePeer& from, std::string_view body);
+  void CountOutcome(const char* outcome);
 
-  request::passthrough::RetryAllowance& allowance_;
+  request::passthrough::SharedRetryBudget& budget_;
   PeerDatagrams& datagrams_;
   const RetryLoansHooks hooks_;
   const RetryLoansOptions options_;
   const base::Clock clock_;
   const base::RandomSource random_;
   base::Metrics& metrics_;
-  std::map<base::ServiceName, Question> questions_;
+  std::map<base::ServiceName, PendingRequest> requests_;
 };
 
 }  // namespace lynxglade::process
--- a/src/process/role_planner.cc
+++ b/src/process/role_planner.cc
@@ -19,10 +19,9 @@
 constexpr std::array kRoles = {EngineRole::kPrefill, EngineRole::kDecode,
                                EngineRole::kMixed};
 
-// Length of one entry of the history.
-constexpr base::Duration kPastStep = std::chrono::seconds(5);
+constexpr base::Duration kHistoryStep = std::chrono::seconds(5);
 
-// Points of the horizon at which a change is weighed.
+// Number of points of the horizon at which a change is valued.
 constexpr int kTimePoints = 8;
 
 // Gauss-Hermite quadrature of a normal distribution with three nodes: exact
@@ -61,8 +60,9 @@
   });
 }
 
-// The engine whose change disturbs least: one that checks fences, in the zone
-// with the most engines of the role, with the least under way.
+// The engine whose change disturbs least: preferably one that checks fencing
+// tokens, then in the zone with the most engines of the role, then with the
+// fewest requests in flight.
 base::TargetId PickEngine(const std::vector<PlannedEngine>& fleet,
                           EngineRole role) {
   const auto in_role = [&](const PlannedEngine& engine) {
@@ -88,14 +88,14 @@
   }
   if (options.fast_window <= base::Duration::zero() ||
       options.slow_window <= options.fast_window ||
-      options.trend_life <= base::Duration::zero()) {
+      options.trend_decay <= base::Duration::zero()) {
     return RolePlannerFault::kWindows;
   }
-  if (options.tail < base::Duration::zero() || options.history < kPastStep) {
+  if (options.tail < base::Duration::zero() || options.history < kHistoryStep) {
     return RolePlannerFault::kHistory;
   }
-  if (options.least_per_role < 1) {
-    return RolePlannerFault::kLeastPerRole;
+  if (options.min_per_role < 1) {
+    return RolePlannerFault::kMinPerRole;
   }
   if (!(options.confidence >= 0)) {
     return RolePlannerFault::kConfidence;
@@ -117,11 +117,11 @@
     case RolePlannerFault::kHorizon:
       return "horizon: longer than out_of_service";
     case RolePlannerFault::kWindows:
-      return "windows: 0 < fast_window < slow_window, 0 < trend_life";
+      return "windows: 0 < fast_window < slow_window, 0 < trend_decay";
     case RolePlannerFault::kHistory:
       return "history: 0 <= tail, 5 s <= history";
-    case RolePlannerFault::kLeastPerRole:
-      return "least_per_role: 1 or more";
+    case RolePlannerFault::kMinPerRole:
+      return "min_per_role: 1 or more";
     case RolePlannerFault::kConfidence:
       return "confidence: 0 or more";
     case RolePlannerFault::kUsable:
@@ -136,11 +136,11 @@
       return "change";
     case RoleReason::kTooFewSamples:
       return "too_few_samples";
-    case RoleReason::kChangeUnderWay:
+    case RoleReason::kChangeInProgress:
       return "change_under_way";
     case RoleReason::kCoolDown:
       return "cool_down";
-    case RoleReason::kGaveUp:
+    case RoleReason::kTimedOut:
       return "gave_up";
     case RoleReason::kNoMove:
       return "no_move";
@@ -159,7 +159,8 @@
                           const EngineRates& rates,
                           int engines) noexcept {
   const double seconds = Seconds(over);
-  // Engines that a contract would keep busy, and those it is entitled to.
+  // Number of engines that a contract's demand needs, and its part within the
+  // contract's share.
   const auto wanted = [&](const ContractDemand& it) {
     return (static_cast<double>(it.prefill.value()) /
                 rates.prefill_tokens_per_s +
@@ -195,9 +196,9 @@
 std::optional<RolePlanner> RolePlanner::Create(
     const RolePlannerOptions& options,
     base::Clock clock,
-    RolePlannerFault* last_fault) {
-  *last_fault = Check(options);
-  if (*last_fault != RolePlannerFault::kNone) {
+    RolePlannerFault* fault) {
+  *fault = Check(options);
+  if (*fault != RolePlannerFault::kNone) {
     return std::nullopt;
   }
   return RolePlanner(options, std::move(clock));
@@ -206,9 +207,9 @@
 RolePlanner::RolePlanner(const RolePlannerOptions& options, base::Clock clock)
     : options_(options),
       clock_(std::move(clock)),
-      prefill_(options.fast_window, options.slow_window, options.trend_life),
-      decode_(options.fast_window, options.slow_window, options.trend_life),
-      worth_(options.fast_window, options.slow_window, options.trend_life) {}
+      prefill_(options.fast_window, options.slow_window, options.trend_decay),
+      decode_(options.fast_window, options.slow_window, options.trend_decay),
+      worth_(options.fast_window, options.slow_window, options.trend_decay) {}
 
 void RolePlanner::Observe(const std::vector<ContractDemand>& contracts,
                           base::Duration over,
@@ -223,13 +224,13 @@
   prefill_.Add(demand.prefill, over);
   decode_.Add(demand.decode, over);
   worth_.Add(worth / Seconds(over), over);
-  Remember(demand, over);
+  AddToHistory(demand, over);
 }
 
 RoleDecision RolePlanner::Decide(const EngineRates& rates,
                                  const std::vector<PlannedEngine>& fleet) {
   RoleDecision decision;
-  if (const auto reason = Hold(fleet)) {
+  if (const auto reason = BlockingReason(fleet)) {
     decision.reason = *reason;
     return decision;
   }
@@ -240,7 +241,7 @@
 
   std::optional<Valuation> best;
   for (const EngineRole from : kRoles) {
-    if (counts.Of(from) <= options_.least_per_role || !CanSpare(fleet, from)) {
+    if (counts.Of(from) <= options_.min_per_role || !CanSpare(fleet, from)) {
       continue;
     }
     for (const EngineRole to : kRoles) {
@@ -269,15 +270,15 @@
     decision.reason = RoleReason::kUncertain;
   } else {
     decision.reason = RoleReason::kChange;
-    wishes_[decision.move->engine] = best->to;
+    requested_roles_[decision.move->engine] = best->to;
     pending_ = decision.move;
     pending_since_ = clock_();
   }
   return decision;
 }
 
-void RolePlanner::Remember(const TokenDemand& demand, base::Duration over) {
-  if (history_.empty() || history_.back().over >= kPastStep) {
+void RolePlanner::AddToHistory(const TokenDemand& demand, base::Duration over) {
+  if (history_.empty() || history_.back().over >= kHistoryStep) {
     history_.emplace_back();
   }
   PastDemand& last = history_.back();
@@ -285,7 +286,7 @@
   last.demand.prefill += weight * (demand.prefill - last.demand.prefill);
   last.demand.decode += weight * (demand.decode - last.demand.decode);
   last.over += over;
-  const auto most = static_cast<std::size_t>(options_.history / kPastStep);
+  const auto most = static_cast<std::size_t>(options_.history / kHistoryStep);
   if (history_.size() > most) {
     history_.pop_front();
   }
@@ -298,47 +299,47 @@
   HistoryValue value;
   const auto n = static_cast<double>(history_.size());
   std::ranges::for_each(history_, [&](const PastDemand& past) {
-    const double difference = ServedPart(rates, after, past.demand) -
-                              ServedPart(rates, before, past.demand);
+    const double difference = ServedFraction(rates, after, past.demand) -
+                              ServedFraction(rates, before, past.demand);
     value.mean_difference += difference / n;
-    value.worse_part += difference < 0 ? 1 / n : 0;
+    value.worse_fraction += difference < 0 ? 1 / n : 0;
   });
   return value;
 }
 
-void RolePlanner::ForgetWishes() noexcept {
-  wishes_.clear();
+void RolePlanner::ClearRequestedRoles() noexcept {
+  requested_roles_.clear();
   pending_.reset();
 }
 
-std::optional<RoleReason> RolePlanner::Hold(
+std::optional<RoleReason> RolePlanner::BlockingReason(
     const std::vector<PlannedEngine>& fleet) {
-  std::erase_if(wishes_, [&](const auto& wish) {
-    return std::ranges::find(fleet, wish.first, &PlannedEngine::id) ==
+  std::erase_if(requested_roles_, [&](const auto& requested) {
+    return std::ranges::find(fleet, requested.first, &PlannedEngine::id) ==
            fleet.end();
   });
-  if (Pending(fleet)) {
-    if (clock_() - pending_since_ < options_.give_up_after) {
-      return RoleReason::kChangeUnderWay;
+  if (UpdatePending(fleet)) {
+    if (clock_() - pending_since_ < options_.change_timeout) {
+      return RoleReason::kChangeInProgress;
     }
-    wishes_.erase(pending_->engine);
+    requested_roles_.erase(pending_->engine);
     pending_.reset();
     last_change_ = clock_();
-    return RoleReason::kGaveUp;
+    return RoleReason::kTimedOut;
   }
   if (std::ranges::any_of(fleet, IsOut)) {
-    return RoleReason::kChangeUnderWay;
+    return RoleReason::kChangeInProgress;
   }
   if (last_change_ && clock_() - *last_change_ < options_.cool_down) {
     return RoleReason::kCoolDown;
   }
-  if (prefill_.observed() < options_.least_observed) {
+  if (prefill_.observed() < options_.min_observed) {
     return RoleReason::kTooFewSamples;
   }
   return std::nullopt;
 }
 
-bool RolePlanner::Pending(const std::vector<PlannedEngine>& fleet) {
+bool RolePlanner::UpdatePending(const std::vector<PlannedEngine>& fleet) {
   if (!pending_) {
     return false;
   }
@@ -364,8 +365,8 @@
   Valuation value{from, to};
   double mean = 0;
   double square = 0;
-  double out_loss = 0;
-  double turn_back = 0;
+  double outage_loss = 0;
+  double revert_probability = 0;
   for (const Node& prefill : kNodes) {
     for (const Node& decode : kNodes) {
       const PointValue point =
@@ -373,8 +374,8 @@
       const double weight = prefill.weight * decode.weight;
       mean += weight * point.net;
       square += weight * point.net * point.net;
-      out_loss += weight * point.out_loss;
-      turn_back += point.last_difference < 0 ? weight : 0;
+      outage_loss += weight * point.outage_loss;
+      revert_probability += point.last_difference < 0 ? weight : 0;
     }
   }
   const HistoryValue past = ValueOverHistory(rates, counts, after);
@@ -382,9 +383,10 @@
       worth_.At(options_.horizon).mean * Seconds(options_.tail);
   value.gain = mean + past.mean_difference * tail_worth;
   value.deviation = std::sqrt(std::max(0.0, square - mean * mean));
-  // Changing back costs the same again.
-  value.cost = options_.price.value() + std::max(turn_back, past.worse_part) *
-                                            (options_.price.value() + out_loss);
+  // Reverting costs the price and the time out of service again.
+  value.cost = options_.price.value() +
+               std::max(revert_probability, past.worse_fraction) *
+                   (options_.price.value() + outage_loss);
   return value;
 }
 
@@ -404,14 +406,14 @@
     const base::Duration at = begin + step / 2;
     const TokenDemand demand = {rate(prefill_.At(at), prefill_offset),
                                 rate(decode_.At(at), decode_offset)};
-    const double now = ServedPart(rates, before, demand);
-    const double out = ServedPart(rates, during, demand);
-    const double then = ServedPart(rates, after, demand);
+    const double now = ServedFraction(rates, before, demand);
+    const double out = ServedFraction(rates, during, demand);
+    const double then = ServedFraction(rates, after, demand);
     const double out_part = std::clamp(
         Seconds(options_.out_of_service - begin) / Seconds(step), 0.0, 1.0);
     const double worth = rate(worth_.At(at), 0) * Seconds(step);
     value.net += (out_part * out + (1 - out_part) * then - now) * worth;
-    value.out_loss += out_part * (now - out) * worth;
+    value.outage_loss += out_part * (now - out) * worth;
     value.last_difference = then - now;
   }
   return value;
