--- a/src/process/serving_plane.cc
+++ b/src/process/serving_plane.cc
@@ -24,16 +24,16 @@
 using request::TargetRefusal;
 
 constexpr char kQuarantinePath[] = "/v1/admin/quarantine";
-// How often a waiting retry looks whether its caller has gone.
-constexpr base::Duration kSleepStep = std::chrono::milliseconds(50);
-// When to come back after a denial that names no time of its own.
-constexpr base::Duration kRetryAfter = std::chrono::seconds(1);
+// How often a retry that backs off checks whether its caller has disconnected.
+constexpr base::Duration kCancelPollInterval = std::chrono::milliseconds(50);
+// For denials that specify no retry time.
+constexpr base::Duration kDefaultRetryAfter = std::chrono::seconds(1);
 
 request::ContentHash ContentOf(const Request& request) {
   return request::ContentHash(request.content_hash);
 }
 
-// Sleeps in steps, so that a caller who leaves ends the wait.
+// Sleeps for `wait`; returns false early if `cancelled` becomes true.
 bool SleepUnlessCancelled(base::Duration wait,
                           const std::function<bool()>& cancelled) {
   const base::Time until = base::BootClock::now() + wait;
@@ -42,24 +42,24 @@
     if (left <= base::Duration::zero()) {
       return true;
     }
-    std::this_thread::sleep_for(std::min(left, kSleepStep));
+    std::this_thread::sleep_for(std::min(left, kCancelPollInterval));
   }
   return false;
 }
 
-request::RoleWanted RoleOf(request::AttemptKind kind) noexcept {
+request::RequestedRole RoleOf(request::AttemptKind kind) noexcept {
   switch (kind) {
     case request::AttemptKind::kPrefill:
-      return request::RoleWanted::kPrefill;
+      return request::RequestedRole::kPrefill;
     case request::AttemptKind::kDecode:
-      return request::RoleWanted::kDecode;
+      return request::RequestedRole::kDecode;
     case request::AttemptKind::kWhole:
       break;
   }
-  return request::RoleWanted::kAny;
+  return request::RequestedRole::kAny;
 }
 
-// Whether the end speaks against the target, for ejection.
+// Whether the end counts as a failure of the target for outlier ejection.
 bool IsTargetFault(AttemptEnd end) noexcept {
   switch (end) {
     case AttemptEnd::kConnectFailed:
@@ -92,7 +92,7 @@
   return RefusalReason::kRetryBudget;
 }
 
-bool IsLost(AttemptEnd end) noexcept {
+bool IsConnectionLost(AttemptEnd end) noexcept {
   return end == AttemptEnd::kReset || end == AttemptEnd::kTruncated ||
          end == AttemptEnd::kSendFailed;
 }
@@ -142,8 +142,8 @@
 request::RelayHooks ServingPlane::MakeRelayHooks(const ServingHooks& hooks) {
   request::RelayHooks out;
   out.pick = [this](const request::PickQuery& query) { return Pick(query); };
-  out.run = [this](const request::AttemptOrder& order,
-                   const request::TokenSink& sink) { return Run(order, sink); };
+  out.run = [this](const request::AttemptSpec& spec,
+                   const request::TokenSink& sink) { return Run(spec, sink); };
   out.now = hooks.clock;
   out.random = hooks.random;
   out.sleep = SleepUnlessCancelled;
@@ -154,20 +154,20 @@
     return costs_.Estimate(request);
   };
   out.admit = [this](const Request& request,
-                     const std::function<bool()>& gone) {
-    return Admit(request, gone);
+                     const std::function<bool()>& caller_gone) {
+    return Admit(request, caller_gone);
   };
   out.check_quarantine = [this](const Request& request) {
     return CheckQuarantine(request);
   };
   out.on_attempt_start = [this](const Target& target,
-                                const request::AttemptOrder& order) {
-    OnAttemptStart(target, order);
+                                const request::AttemptSpec& spec) {
+    OnAttemptStart(target, spec);
   };
   out.on_attempt_end = [this](const Target& target,
-                              const request::AttemptOrder& order,
+                              const request::AttemptSpec& spec,
                               const AttemptReport& report) {
-    OnAttemptEnd(target, order, report);
+    OnAttemptEnd(target, spec, report);
   };
   out.cancel = hooks.cancel;
   out.wants_split = [this](const Request& request) {
@@ -188,7 +188,7 @@
 std::optional<request::RouteChoice> ServingPlane::Route(
     const request::TargetIndex& index,
     const request::PickQuery& query,
-    request::RoleWanted role,
+    request::RequestedRole role,
     request::RouteError* error) {
   const Request& request = *query.request;
   request::RouteQuery route;
@@ -198,7 +198,7 @@
   route.role = role;
   route.prefix_hash = request.prefix_hash;
   route.cost = costs_.Estimate(request);
-  route.own_zone = options_.zone;
+  route.local_zone = options_.zone;
   route.excluded = query.avoid;
   route.now = clock_();
   return router_.Pick(index, route, error);
@@ -210,15 +210,15 @@
   request::RouteError error{};
   auto choice = Route(*index, query, RoleOf(query.kind), &error);
   if (!choice && error == request::RouteError::kAllExcluded) {
-    // Better one that failed before than none.
-    request::PickQuery any = query;
-    any.avoid.clear();
-    choice = Route(*index, any, RoleOf(query.kind), &error);
+    // Fall back to a target that was tried before.
+    request::PickQuery unrestricted = query;
+    unrestricted.avoid.clear();
+    choice = Route(*index, unrestricted, RoleOf(query.kind), &error);
   }
   request::PickResult result;
   if (!choice) {
     result.reason = request::ToRefusalReason(error);
-    result.retry_after = kRetryAfter;
+    result.retry_after = kDefaultRetryAfter;
     metrics_
         .GetCounter("lynxglade_route_failures_total",
                     {{"reason", std::string(request::ToString(error))}})
@@ -247,40 +247,41 @@
   const request::PickQuery query{
       &request, request::AttemptKind::kWhole, {}, std::nullopt};
   request::RouteError error{};
-  const auto choice = Route(*index, query, request::RoleWanted::kAny, &error);
+  const auto choice =
+      Route(*index, query, request::RequestedRole::kAny, &error);
   return choice && choice->decode != nullptr;
 }
 
-request::AdmissionVerdict ServingPlane::Admit(
+request::AdmissionDecision ServingPlane::Admit(
     const Request& request,
-    const std::function<bool()>& gone) {
+    const std::function<bool()>& caller_gone) {
   const request::Cost cost = costs_.Estimate(request);
-  AddDemand(request, cost);
-  request::AdmissionVerdict verdict;
+  RecordDemand(request, cost);
+  request::AdmissionDecision decision;
   Refusal refusal;
-  auto ticket = admission_.Admit(request, cost, &refusal, gone);
+  auto ticket = admission_.Admit(request, cost, &refusal, caller_gone);
   if (!ticket) {
-    verdict.refusal = refusal;
-    return verdict;
+    decision.refusal = refusal;
+    return decision;
   }
-  // std::function wants copies; the ticket itself cannot be copied.
+  // std::function requires a copyable callable, and the ticket is move-only.
   auto shared =
       std::make_shared<std::optional<request::Ticket>>(std::move(*ticket));
-  const bool counted = !request.model.empty();
-  verdict.release = [this, shared, counted,
-                     &request](const request::Usage& usage) {
+  const bool is_model_request = !request.model.empty();
+  decision.release = [this, shared, is_model_request,
+                      &request](const request::Usage& usage) {
     const request::Cost actual{usage.prompt, usage.completion};
-    if (counted && usage.completion.value() > 0) {
+    if (is_model_request && usage.completion.value() > 0) {
       (*shared)->SetActual(actual);
       costs_.Observe(request, actual);
     }
     shared->reset();
   };
-  return verdict;
+  return decision;
 }
 
-void ServingPlane::AddDemand(const Request& request,
-                             const request::Cost& cost) {
+void ServingPlane::RecordDemand(const Request& request,
+                                const request::Cost& cost) {
   std::lock_guard lock(demand_mutex_);
   Demand& demand = demand_[request.service];
   ++demand.requests;
@@ -300,37 +301,38 @@
 
 // --- Attempts ---------------------------------------------------------------
 
-AttemptReport ServingPlane::Run(const request::AttemptOrder& order,
+AttemptReport ServingPlane::Run(const request::AttemptSpec& spec,
                                 const request::TokenSink& sink) {
   request::QuarantineDenial denial{};
   const bool started = quarantine_.TryStart(
-      ContentOf(*order.request), order.target, order.id, clock_(), &denial);
+      ContentOf(*spec.request), spec.target, spec.id, clock_(), &denial);
   if (started) {
-    return run_(order, sink);
+    return run_(spec, sink);
   }
   metrics_
       .GetCounter("lynxglade_quarantine_denials_total",
                   {{"reason", std::string(request::ToString(denial))}})
       .Add();
-  // Nothing was sent; the relay looks for another target or time.
+  // Nothing was sent, so the relay can retry elsewhere or later.
   AttemptReport report;
   report.outcome = base::Outcome::kNotRun;
   report.end = AttemptEnd::kRefused;
-  report.refusal = request::IsTargetsFault(denial) ? TargetRefusal::kChanging
-                                                   : TargetRefusal::kHeldBack;
-  report.message = "held back: ";
+  report.refusal = request::CanTryOtherTarget(denial)
+                       ? TargetRefusal::kChanging
+                       : TargetRefusal::kHeldBack;
+  report.message = "attempt blocked by quarantine: ";
   report.message += request::ToString(denial);
-  report.retry_after = kRetryAfter;
+  report.retry_after = kDefaultRetryAfter;
   return report;
 }
 
 void ServingPlane::OnAttemptStart(const Target& target,
-                                  const request::AttemptOrder& order) {
+                                  const request::AttemptSpec& spec) {
   metrics_.GetCounter("lynxglade_attempts_total").Add();
 }
 
 void ServingPlane::OnAttemptEnd(const Target& target,
-                                const request::AttemptOrder& order,
+                                const request::AttemptSpec& spec,
                                 const AttemptReport& report) {
   const base::Time now = clock_();
   metrics_
@@ -338,24 +340,24 @@
                   {{"end", std::string(request::ToString(report.end))}})
       .Add();
   if (report.end == AttemptEnd::kWhole) {
-    quarantine_.OnDelivered(order.id, now);
-  } else if (IsLost(report.end)) {
-    quarantine_.OnLost(order.id, now);
+    quarantine_.OnDelivered(spec.id, now);
+  } else if (IsConnectionLost(report.end)) {
+    quarantine_.OnLost(spec.id, now);
   } else {
-    quarantine_.OnEnded(order.id, now);
+    quarantine_.OnEnded(spec.id, now);
   }
   if (!report.load_json.empty()) {
     if (const auto load = connection::ParseLoadReport(report.load_json, now)) {
       OnLoad(*load);
     }
   }
-  JudgeTarget(target, report);
-  NoteRefusal(target, report);
+  UpdateTargetHealth(target, report);
+  RecordRefusal(target, report);
   if (report.end != AttemptEnd::kWhole) {
     base::Log(base::LogLevel::kInfo, "attempt_failed",
-              {{"request", order.request->id.str()},
-               {"attempt", order.id.str()},
-               {"contract", order.request->contract.str()},
+              {{"request", spec.request->id.str()},
+               {"attempt", spec.id.str()},
+               {"contract", spec.request->contract.str()},
                {"target", target.id.str()},
                {"end", request::ToString(report.end)},
                {"refusal", request::ToString(report.refusal)},
@@ -364,8 +366,8 @@
   }
 }
 
-void ServingPlane::JudgeTarget(const Target& target,
-                               const AttemptReport& report) {
+void ServingPlane::UpdateTargetHealth(const Target& target,
+                                      const AttemptReport& report) {
   const base::Time now = clock_();
   if (report.end == AttemptEnd::kConnectFailed) {
     quarantine_.OnTargetCrashed(target.id, now);
@@ -389,8 +391,8 @@
   }
 }
 
-void ServingPlane::NoteRefusal(const Target& target,
-                               const AttemptReport& report) {
+void ServingPlane::RecordRefusal(const Target& target,
+                                 const AttemptReport& report) {
   if (report.end != AttemptEnd::kRefused) {
     return;
   }
@@ -399,45 +401,47 @@
                   {{"reason", std::string(request::ToString(report.refusal))}})
       .Add();
   if (report.refusal == TargetRefusal::kDraining) {
-    registry_.OnRefusedAs(target.id, request::TargetState::kDraining);
+    registry_.OnTargetRefusal(target.id, request::TargetState::kDraining);
   }
 }
 
-request::RetryVerdict ServingPlane::AllowRetry(
+request::RetryDecision ServingPlane::AllowRetry(
     const request::RetryQuery& query) {
   const base::Time now = clock_();
-  request::RetryVerdict verdict;
+  request::RetryDecision decision;
   request::RetryDenial denial{};
   const auto delay = retry_policy_.NextDelay(query.attempts, now,
                                              query.request->deadline, &denial);
-  const bool free = request::NothingWasSent(*query.report);
-  const bool paid = delay && (free || retry_budget_.TryTake(
-                                          request::ExtraAttempt::kRetry,
-                                          query.request->contract,
-                                          query.failed_target, now, &denial));
-  if (!paid) {
+  const bool exempt = request::NothingWasSent(*query.report);
+  const bool granted =
+      delay &&
+      (exempt || retry_budget_.TryTake(request::ExtraAttempt::kRetry,
+                                       query.request->contract,
+                                       query.failed_target, now, &denial));
+  if (!granted) {
     metrics_
         .GetCounter("lynxglade_retry_denials_total",
                     {{"reason", std::string(request::ToString(denial))}})
         .Add();
-    verdict.reason = ToRefusalReason(denial);
-    verdict.retry_after = query.report->retry_after.value_or(kRetryAfter);
-    return verdict;
+    decision.reason = ToRefusalReason(denial);
+    decision.retry_after =
+        query.report->retry_after.value_or(kDefaultRetryAfter);
+    return decision;
   }
   metrics_
       .GetCounter(
           "lynxglade_retries_total",
           {{"after", std::string(request::ToString(query.report->end))}})
       .Add();
-  verdict.allowed = true;
-  // A busy target's refusal costs it nothing: another may be asked at once.
-  verdict.backoff = query.report->refusal == TargetRefusal::kOverloaded
-                        ? base::Duration::zero()
-                        : *delay;
-  return verdict;
+  decision.allowed = true;
+  // An overloaded target rejects cheaply, so another one is tried at once.
+  decision.backoff = query.report->refusal == TargetRefusal::kOverloaded
+                         ? base::Duration::zero()
+                         : *delay;
+  return decision;
 }
 
-// --- What the process learns ------------------------------------------------
+// --- Updates ----------------------------------------------------------------
 
 void ServingPlane::OnConfiguration(
     const version::Configuration& configuration) {
@@ -482,7 +486,7 @@
   admission_.Stop();
 }
 
-// --- Operators --------------------------------------------------------------
+// --- Administration ---------------------------------------------------------
 
 connection::ApiAnswer ServingPlane::HandleQuarantine(
     const connection::ApiCall& call) {
@@ -499,7 +503,8 @@
     if (content && quarantine_.Lift(*content, now)) {
       return {200, R"({"lifted":true})"};
     }
-    return connection::ApiError(404, "not_found", "no such mark");
+    return connection::ApiError(404, "not_found",
+                                "no quarantine entry for this content");
   }
   return connection::ApiError(404, "not_found", "no such path");
 }
--- a/src/process/settings.cc
+++ b/src/process/settings.cc
@@ -16,23 +16,23 @@
 
 constexpr std::string_view kUrlScheme = "http://";
 constexpr std::size_t kMaxSeedPeers = 32;
-// What a lease must leave for giving orders.
-constexpr base::Duration kLeastOrderTime = std::chrono::seconds(5);
+// Minimum part of a lease in which orders can be sent.
+constexpr base::Duration kMinOrderTime = std::chrono::seconds(5);
 
-using Apply = process::Apply<Settings>;
+using OptionParser = process::OptionParser<Settings>;
 using Option = process::Option<Settings>;
 
 // --- Readers ----------------------------------------------------------------
 
-Apply ReadName(std::function<void(Settings&, std::string)> set) {
+OptionParser NameParser(std::function<void(Settings&, std::string)> set) {
   return [set](Settings& settings,
                const std::string& text) -> std::optional<std::string> {
-    const bool good =
+    const bool valid =
         !text.empty() && text.size() <= 64 &&
         std::ranges::all_of(text, [](unsigned char c) {
           return std::isalnum(c) || c == '-' || c == '_' || c == '.';
         });
-    if (!good) {
+    if (!valid) {
       return "1 to 64 letters, digits, '-', '_' or '.'";
     }
     set(settings, text);
@@ -40,7 +40,7 @@
   };
 }
 
-Apply ReadText(std::string Settings::* member) {
+OptionParser TextParser(std::string Settings::* member) {
   return [member](Settings& settings,
                   const std::string& text) -> std::optional<std::string> {
     settings.*member = text;
@@ -48,8 +48,8 @@
   };
 }
 
-std::optional<std::string> ReadSeedPeers(Settings& settings,
-                                         const std::string& text) {
+std::optional<std::string> ParseSeedPeers(Settings& settings,
+                                          const std::string& text) {
   std::istringstream parts(text);
   std::vector<Endpoint> peers;
   for (std::string part; std::getline(parts, part, ',');) {
@@ -65,7 +65,7 @@
   return std::nullopt;
 }
 
-Apply ReadUrl(std::string Settings::* member) {
+OptionParser UrlParser(std::string Settings::* member) {
   return [member](Settings& settings,
                   const std::string& text) -> std::optional<std::string> {
     if (!text.starts_with(kUrlScheme) ||
@@ -78,9 +78,9 @@
   };
 }
 
-std::optional<std::string> ReadRoutingPolicy(Settings& settings,
-                                             const std::string& text) {
-  // Names in the code have underscores, flags have hyphens.
+std::optional<std::string> ParseRoutingPolicy(Settings& settings,
+                                              const std::string& text) {
+  // Policy names use underscores, flag values hyphens.
   std::string name = text;
   std::ranges::replace(name, '-', '_');
   if (!request::ParseRoutePolicy(name, &settings.routing_policy)) {
@@ -94,69 +94,74 @@
 std::vector<Option> AllOptions() {
   return {
       {"instance-id", "", true, "name of this instance, new at each start",
-       ReadName([](Settings& s, std::string v) {
+       NameParser([](Settings& s, std::string v) {
          s.instance = base::InstanceId(std::move(v));
        })},
       {"region", "default", false, "region of this instance",
-       ReadName([](Settings& s, std::string v) {
+       NameParser([](Settings& s, std::string v) {
          s.region = base::RegionId(std::move(v));
        })},
       {"zone", "", true, "availability zone of this instance",
-       ReadName([](Settings& s, std::string v) {
+       NameParser([](Settings& s, std::string v) {
          s.zone = base::ZoneId(std::move(v));
        })},
       {"listen", "", true, "where callers connect",
-       ReadEndpoint(&Settings::listen)},
+       EndpointParser(&Settings::listen)},
       {"admin-listen", "", true, "where operators, health and metrics connect",
-       ReadEndpoint(&Settings::admin_listen)},
+       EndpointParser(&Settings::admin_listen)},
       {"peer-listen", "", true, "where other instances connect",
-       ReadEndpoint(&Settings::peer_listen)},
+       EndpointParser(&Settings::peer_listen)},
       {"seed-peers", "", false,
        "where other instances of the zone listen for peers; tried while the "
        "instance list names none",
-       ReadSeedPeers},
+       ParseSeedPeers},
       {"kv-url", "", true, "the platform's key-value service",
-       ReadUrl(&Settings::kv_url)},
+       UrlParser(&Settings::kv_url)},
       {"instance-list-url", "", true, "the platform's instance list",
-       ReadUrl(&Settings::instance_list_url)},
+       UrlParser(&Settings::instance_list_url)},
       {"weight-store-url", "", true, "the platform's weight store",
-       ReadUrl(&Settings::weight_store_url)},
+       UrlParser(&Settings::weight_store_url)},
       {"bootstrap-operator-key", "", false,
        "operator key accepted while the configuration names no operator",
-       ReadText(&Settings::bootstrap_operator_key)},
+       TextParser(&Settings::bootstrap_operator_key)},
       {"log-level", "info", false, "debug, info, warning or error",
-       ReadLogLevel(&Settings::log_level)},
+       LogLevelParser(&Settings::log_level)},
       {"routing-policy", "default", false,
        "default; the others (random, round-robin, least-reported, "
        "no-affinity) are for comparison",
-       ReadRoutingPolicy},
+       ParseRoutingPolicy},
       {"max-connections", "1200", false,
-       "caller connections served at a time; further ones are refused",
-       ReadWhole<std::int64_t>(&Settings::max_connections, 1, 20'000)},
+       "maximum number of concurrent caller connections; further ones are "
+       "rejected",
+       IntegerParser<std::int64_t>(&Settings::max_connections, 1, 20'000)},
       {"default-deadline", "60", false,
-       "seconds until an answer is late, when neither caller nor contract says",
-       ReadWhole<std::chrono::seconds>(&Settings::default_deadline, 1, 3600)},
+       "deadline of a request in seconds if neither caller nor contract sets "
+       "one",
+       IntegerParser<std::chrono::seconds>(&Settings::default_deadline, 1,
+                                           3600)},
       {"lease-ttl", "30", false,
-       "seconds for which authority over a zone's engines is held",
-       ReadWhole<std::chrono::seconds>(&Settings::lease_ttl, 2, 300)},
+       "lease duration, in seconds, of the authority over a zone's engines",
+       IntegerParser<std::chrono::seconds>(&Settings::lease_ttl, 2, 300)},
       {"engine-idle-timeout", "10", false,
        "seconds after which engines close an idle connection; bounds how long "
-       "an order of a paused process can stay under way",
-       ReadWhole<std::chrono::seconds>(&Settings::engine_idle_timeout, 1, 600)},
+       "an order of a paused process can stay in flight",
+       IntegerParser<std::chrono::seconds>(&Settings::engine_idle_timeout, 1,
+                                           600)},
       {"role-change-time", "5", false,
        "seconds for which a role change takes an engine out of service",
-       ReadWhole<std::chrono::seconds>(&Settings::role_change_time, 1, 600)},
+       IntegerParser<std::chrono::seconds>(&Settings::role_change_time, 1,
+                                           600)},
       {"tls-certificate", "", false, "PEM certificate chain; needs --tls-key",
-       ReadText(&Settings::tls_certificate)},
+       TextParser(&Settings::tls_certificate)},
       {"tls-key", "", false, "PEM private key; needs --tls-certificate",
-       ReadText(&Settings::tls_key)},
+       TextParser(&Settings::tls_key)},
       {"peer-ca", "", false,
        "PEM authority that signs peers' certificates; needs --tls-certificate",
-       ReadText(&Settings::peer_ca)},
+       TextParser(&Settings::peer_ca)},
   };
 }
 
-void CheckContradictions(const Settings& settings, SettingsFault& fault) {
+void CheckConsistency(const Settings& settings, SettingsFault& fault) {
   if (settings.tls_certificate.empty() != settings.tls_key.empty()) {
     fault.lines.emplace_back(
         "--tls-certificate and --tls-key must be given together");
@@ -164,11 +169,11 @@
   if (!settings.peer_ca.empty() && settings.tls_certificate.empty()) {
     fault.lines.emplace_back("--peer-ca needs --tls-certificate and --tls-key");
   }
-  if (settings.lease_ttl < settings.engine_idle_timeout + kLeastOrderTime) {
+  if (settings.lease_ttl < settings.engine_idle_timeout + kMinOrderTime) {
     fault.lines.emplace_back(
         "--lease-ttl must exceed --engine-idle-timeout by at least 5 seconds: "
-        "no order is given in the part of a lease in which an earlier one may "
-        "still be under way");
+        "no order is sent in the part of a lease in which an earlier one may "
+        "still be in flight");
   }
   const std::vector<const Endpoint*> endpoints = {
       &settings.listen, &settings.admin_listen, &settings.peer_listen};
@@ -190,16 +195,16 @@
 
 std::optional<Settings> ParseSettings(int argc,
                                       const char* const* argv,
-                                      SettingsFault* last_reason) {
+                                      SettingsFault* fault) {
   const auto settings = ParseOptions<Settings>(
       "One entry instance of lynxglade. Each flag can be given by the "
-      "environment variable named in parentheses; the flag goes first.",
-      AllOptions(), argc, argv, last_reason);
+      "environment variable named in parentheses; the flag takes precedence.",
+      AllOptions(), argc, argv, fault);
   if (!settings) {
     return std::nullopt;
   }
-  CheckContradictions(*settings, *last_reason);
-  if (!last_reason->lines.empty()) {
+  CheckConsistency(*settings, *fault);
+  if (!fault->lines.empty()) {
     return std::nullopt;
   }
   return settings;
--- a/src/process/lease_keeper.cc
+++ b/src/process/shard_lease.cc
@@ -1,4 +1,4 @@
-#include "process/lease_keeper.h"
+#include "process/shard_lease.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,16 +12,16 @@
 using Json = nlohmann::json;
 using connection::KvError;
 
-// Renewals a time to live; several may fail before the margin begins.
+// Renewals per TTL; several may fail before the order deadline.
 constexpr int kRenewalsPerTtl = 6;
-// Looks a time to live at a lease that another instance holds.
-constexpr int kLooksPerTtl = 6;
-// A lease of the service that cannot be given back lapses by itself.
+// Reads of the key per TTL while another instance holds it.
+constexpr int kReadsPerTtl = 6;
+// A lease that can't be revoked expires by its TTL.
 constexpr int kMaxRevokeAttempts = 2;
 
 std::string EncodeLease(const base::InstanceId& holder,
-                        const std::string& mark) {
-  const Json json = {{"holder", holder.str()}, {"mark", mark}};
+                        const std::string& acquire_id) {
+  const Json json = {{"holder", holder.str()}, {"mark", acquire_id}};
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -53,11 +53,11 @@
   return "lost";
 }
 
-LeaseKeeper::LeaseKeeper(LeaseSettings settings, base::RandomSource random)
+ShardLease::ShardLease(LeaseSettings settings, base::RandomSource random)
     : settings_(std::move(settings)), random_(std::move(random)) {}
 
-std::optional<LeaseCall> LeaseKeeper::Next(base::Time now) {
-  if (calling_) {
+std::optional<LeaseCall> ShardLease::Next(base::Time now) {
+  if (call_in_flight_) {
     return std::nullopt;
   }
   if (revoke_lease_ && lease_.value() != 0) {
@@ -66,18 +66,19 @@
     return call;
   }
   if (state_ == LeaseState::kHeld ||
-      (state_ == LeaseState::kUncertain && !claim_unknown_)) {
-    return NextRenewal(now);
+      (state_ == LeaseState::kUncertain && !create_unanswered_)) {
+    return NextRenewalCall(now);
   }
-  if (releasing_ && !claim_unknown_) {
+  if (releasing_ && !create_unanswered_) {
     return std::nullopt;
   }
-  return NextClaim(now);
+  return NextAcquireCall(now);
 }
 
-std::optional<LeaseCall> LeaseKeeper::NextRenewal(base::Time now) {
+std::optional<LeaseCall> ShardLease::NextRenewalCall(base::Time now) {
   if (now >= expiry_) {
-    // The service may still have it, but this process can't know: once more.
+    // The lease may still exist on the service, but that is unknown until a
+    // renewal is answered.
     state_ = LeaseState::kUncertain;
   }
   if (now < next_call_) {
@@ -88,15 +89,15 @@
   return call;
 }
 
-std::optional<LeaseCall> LeaseKeeper::NextClaim(base::Time now) {
+std::optional<LeaseCall> ShardLease::NextAcquireCall(base::Time now) {
   if (now < next_call_) {
     return std::nullopt;
   }
   if (state_ == LeaseState::kAcquiring && lease_.value() != 0) {
-    mark_ = base::RandomHexId(random_);
+    acquire_id_ = base::RandomHexId(random_);
     LeaseCall call = Start(LeaseCallKind::kCreate, now);
     call.lease = lease_;
-    call.value = EncodeLease(settings_.holder, mark_);
+    call.value = EncodeLease(settings_.holder, acquire_id_);
     return call;
   }
   if (state_ == LeaseState::kAcquiring) {
@@ -105,27 +106,28 @@
   return Start(LeaseCallKind::kRead, now);
 }
 
-LeaseCall LeaseKeeper::Start(LeaseCallKind kind, base::Time now) {
-  calling_ = true;
+LeaseCall ShardLease::Start(LeaseCallKind kind, base::Time now) {
+  call_in_flight_ = true;
   call_sent_ = now;
   LeaseCall call;
   call.kind = kind;
   return call;
 }
 
-void LeaseKeeper::OnRead(base::Time now,
-                         const std::optional<connection::KvRange>& range,
-                         KvError error) {
-  calling_ = false;
+void ShardLease::OnRead(base::Time now,
+                        const std::optional<connection::KvRange>& range,
+                        KvError error) {
+  call_in_flight_ = false;
   if (!range || error != KvError::kNone) {
-    next_call_ = now + Jittered(settings_.ttl / kLooksPerTtl);
+    next_call_ = now + Jittered(settings_.ttl / kReadsPerTtl);
     return;
   }
   if (range->entries.empty()) {
     holder_.reset();
-    if (claim_unknown_) {
-      // The create may yet arrive; without its lease it can't take effect.
-      Abandon(now, base::Duration::zero());
+    if (create_unanswered_) {
+      // The create may still arrive; revoking its lease keeps it from taking
+      // effect.
+      AbandonAcquire(now, base::Duration::zero());
     } else if (!releasing_) {
       state_ = LeaseState::kAcquiring;
     }
@@ -134,63 +136,65 @@
   const connection::KvEntry& entry = range->entries.front();
   holder_ = LeaseHolder{base::InstanceId(Member(entry.value, "holder")),
                         base::FencingToken(entry.create_revision.value())};
-  if (claim_unknown_ && Member(entry.value, "mark") == mark_) {
-    Adopt(now, entry.create_revision);
+  if (create_unanswered_ && Member(entry.value, "mark") == acquire_id_) {
+    SetHeld(now, entry.create_revision);
     return;
   }
-  Abandon(now, settings_.ttl / kLooksPerTtl);
+  AbandonAcquire(now, settings_.ttl / kReadsPerTtl);
 }
 
-void LeaseKeeper::OnGrant(base::Time now,
-                          const std::optional<connection::KvLeaseId>& lease,
-                          KvError error) {
-  calling_ = false;
+void ShardLease::OnGrant(base::Time now,
+                         const std::optional<connection::KvLeaseId>& lease,
+                         KvError error) {
+  call_in_flight_ = false;
   if (!lease || error != KvError::kNone) {
-    // A lease that was granted without our hearing of it lapses unused.
-    Abandon(now, settings_.ttl / kLooksPerTtl);
+    // If the grant took effect without an answer, that lease expires unused.
+    AbandonAcquire(now, settings_.ttl / kReadsPerTtl);
     return;
   }
   lease_ = *lease;
-  // The service counts from when it got the call, which is not before this.
+  // The service starts the TTL when it receives the call, which is never before
+  // the call was sent.
   granted_until_ = call_sent_ + settings_.ttl;
   next_call_ = now;
 }
 
-void LeaseKeeper::OnCreate(base::Time now,
-                           const std::optional<connection::KvTxnResult>& result,
-                           KvError error) {
-  calling_ = false;
+void ShardLease::OnCreate(base::Time now,
+                          const std::optional<connection::KvTxnResult>& result,
+                          KvError error) {
+  call_in_flight_ = false;
   if (result && result->committed) {
-    Adopt(now, result->revision);
+    SetHeld(now, result->revision);
     return;
   }
   if (result) {
-    Abandon(now, settings_.ttl / kLooksPerTtl);
+    AbandonAcquire(now, settings_.ttl / kReadsPerTtl);
     return;
   }
   if (error == KvError::kAmbiguous || error == KvError::kBadAnswer) {
-    claim_unknown_ = true;
+    create_unanswered_ = true;
     state_ = LeaseState::kUncertain;
     next_call_ = now;
     return;
   }
-  Abandon(now, settings_.ttl / kLooksPerTtl);
+  AbandonAcquire(now, settings_.ttl / kReadsPerTtl);
 }
 
-void LeaseKeeper::OnKeepAlive(base::Time now,
-                              const std::optional<base::Duration>& left,
-                              KvError error) {
-  calling_ = false;
+void ShardLease::OnKeepAlive(base::Time now,
+                             const std::optional<base::Duration>& left,
+                             KvError error) {
+  call_in_flight_ = false;
   if (left && *left <= base::Duration::zero()) {
-    // Nothing is left to give back.
+    // The lease has expired on the service, so there is nothing to revoke.
     lease_ = connection::KvLeaseId(0);
-    Lose(now);
+    SetLost(now);
     return;
   }
   if (left && error == KvError::kNone) {
     state_ = LeaseState::kHeld;
-    // The service counts from when it got the call, which is not before it
-    // was sent; a shorter time to live that it tells goes before ours.
+    // The TTL starts when the service receives the call, never before it was
+    // sent. A TTL from the service that is shorter than the configured one
+    // takes precedence.
     expiry_ = std::max(expiry_, call_sent_ + std::min(*left, settings_.ttl));
     next_call_ = call_sent_ + settings_.ttl / kRenewalsPerTtl;
     return;
@@ -199,8 +203,8 @@
   next_call_ = now + Jittered(settings_.ttl / (2 * kRenewalsPerTtl));
 }
 
-void LeaseKeeper::OnRevoke(base::Time now, bool done) {
-  calling_ = false;
+void ShardLease::OnRevoke(base::Time now, bool done) {
+  call_in_flight_ = false;
   ++revoke_attempts_;
   if (done || revoke_attempts_ >= kMaxRevokeAttempts) {
     revoke_lease_ = false;
@@ -208,19 +212,19 @@
   }
 }
 
-void LeaseKeeper::OnGuardFailed(base::Time now) {
+void ShardLease::OnGuardFailed(base::Time now) {
   if (state_ == LeaseState::kHeld || state_ == LeaseState::kUncertain) {
-    Lose(now);
+    SetLost(now);
   }
 }
 
-void LeaseKeeper::Release() {
+void ShardLease::Release() {
   if (releasing_) {
     return;
   }
   releasing_ = true;
   if (state_ == LeaseState::kHeld || state_ == LeaseState::kAcquiring ||
-      (state_ == LeaseState::kUncertain && !claim_unknown_)) {
+      (state_ == LeaseState::kUncertain && !create_unanswered_)) {
     state_ = LeaseState::kNone;
   }
   revoke_lease_ = lease_.value() != 0;
@@ -228,23 +232,24 @@
   holder_.reset();
 }
 
-std::optional<base::FencingToken> LeaseKeeper::MayOrder(base::Time now) const {
+std::optional<base::FencingToken> ShardLease::FenceForOrders(
+    base::Time now) const {
   if (state_ != LeaseState::kHeld || now >= OrderDeadline()) {
     return std::nullopt;
   }
   return fence_;
 }
 
-base::Time LeaseKeeper::OrderDeadline() const {
+base::Time ShardLease::OrderDeadline() const {
   return expiry_ - settings_.margin;
 }
 
-bool LeaseKeeper::released() const noexcept {
-  return releasing_ && !calling_ && !revoke_lease_;
+bool ShardLease::released() const noexcept {
+  return releasing_ && !call_in_flight_ && !revoke_lease_;
 }
 
-void LeaseKeeper::Adopt(base::Time now, base::Revision create_revision) {
-  claim_unknown_ = false;
+void ShardLease::SetHeld(base::Time now, base::Revision create_revision) {
+  create_unanswered_ = false;
   if (releasing_) {
     revoke_lease_ = true;
     state_ = LeaseState::kNone;
@@ -258,21 +263,21 @@
   holder_ = LeaseHolder{settings_.holder, fence_};
 }
 
-void LeaseKeeper::Abandon(base::Time now, base::Duration pause) {
-  claim_unknown_ = false;
+void ShardLease::AbandonAcquire(base::Time now, base::Duration pause) {
+  create_unanswered_ = false;
   state_ = LeaseState::kNone;
   revoke_lease_ = lease_.value() != 0;
   revoke_attempts_ = 0;
   next_call_ = now + Jittered(pause);
 }
 
-void LeaseKeeper::Lose(base::Time now) {
+void ShardLease::SetLost(base::Time now) {
   expiry_ = {};
-  Abandon(now, settings_.ttl / kLooksPerTtl);
+  AbandonAcquire(now, settings_.ttl / kReadsPerTtl);
   state_ = LeaseState::kLost;
 }
 
-base::Duration LeaseKeeper::Jittered(base::Duration d) const {
+base::Duration ShardLease::Jittered(base::Duration d) const {
   return std::chrono::duration_cast<base::Duration>(
       d * (0.5 + base::UniformReal(random_) * 0.5));
 }
--- a/src/process/stage_orders.cc
+++ b/src/process/stage_orders.cc
@@ -21,13 +21,13 @@
 
 std::string_view ToString(OrderResult result) noexcept {
   switch (result) {
-    case OrderResult::kTaken:
+    case OrderResult::kAccepted:
       return "taken";
     case OrderResult::kConflict:
       return "conflict";
     case OrderResult::kFenced:
       return "fenced";
-    case OrderResult::kRefused:
+    case OrderResult::kRejected:
       return "refused";
     case OrderResult::kUnknown:
       break;
@@ -39,12 +39,12 @@
     asio::io_context& loop,
     const request::passthrough::EngineTable& engines,
     OrderAuthority& authority,
-    OrderHooks hooks,
+    StageOrderHooks hooks,
     StageOrdersOptions options,
     std::function<std::vector<base::ServiceName>()> services,
     std::function<bool()> idle,
     std::function<base::Duration(const base::ServiceName&)> backlog,
-    request::passthrough::EngineRoom room,
+    request::passthrough::EngineCapacity capacity,
     base::Clock clock,
     base::Metrics& metrics)
     : loop_(loop),
@@ -55,106 +55,108 @@
       services_(std::move(services)),
       idle_(std::move(idle)),
       backlog_(std::move(backlog)),
-      room_(std::move(room)),
+      capacity_(std::move(capacity)),
       clock_(std::move(clock)),
       metrics_(metrics) {}
 
 Awaitable<void> StageOrders::Run() {
   while (!stopped_) {
-    co_await authority_.Claim();
-    // Whoever takes over knows the demand already.
-    ObserveDemand();
-    co_await Round();
+    co_await authority_.TryAcquire();
+    // Tracked without the authority too, so that a new holder can plan at once.
+    UpdateDemand();
+    co_await ReconcileOnce();
     co_await SleepFor(loop_, options_.period);
   }
 }
 
-Awaitable<void> StageOrders::Round() {
-  if (!authority_.Held()) {
+Awaitable<void> StageOrders::ReconcileOnce() {
+  if (!authority_.HeldToken()) {
     co_return;
   }
   const base::Time now = clock_();
-  std::erase_if(settling_, [now](const auto& it) { return it.second <= now; });
+  std::erase_if(settling_until_,
+                [now](const auto& it) { return it.second <= now; });
   for (const base::ServiceName& service : services_()) {
-    for (const StageChange& change : Due(service)) {
+    for (const StageChange& change : DueChanges(service)) {
       if (stopped_) {
         co_return;
       }
-      co_await Give(change);
+      co_await SendOrder(change);
     }
   }
 }
 
-GenerationDemand& StageOrders::Demand(const base::ServiceName& service) {
-  return demand_.try_emplace(service, GenerationDemandOptions(), room_)
+GenerationDemand& StageOrders::DemandOf(const base::ServiceName& service) {
+  return demand_.try_emplace(service, GenerationDemandOptions(), capacity_)
       .first->second;
 }
 
-void StageOrders::ObserveDemand() {
+void StageOrders::UpdateDemand() {
   for (const base::ServiceName& service : services_()) {
-    Demand(service).Observe(engines_.OfService(service), backlog_(service),
-                            clock_());
+    DemandOf(service).Observe(engines_.OfService(service), backlog_(service),
+                              clock_());
   }
 }
 
-// Engines that are changing count as what they will be, so that none is
-// ordered to make up for them.
-std::vector<StageChange> StageOrders::Due(const base::ServiceName& service) {
+// Under load no order is sent while any engine is settling, as the plan would
+// otherwise replace engines that are still changing.
+std::vector<StageChange> StageOrders::DueChanges(
+    const base::ServiceName& service) {
   const bool idle = idle_();
-  if (!idle && !settling_.empty()) {
+  if (!idle && !settling_until_.empty()) {
     return {};
   }
-  // Nothing is asked for while nothing is served.
-  const int wanted = idle ? 0 : Demand(service).Wanted();
+  // Without requests no answers are in flight that need decode engines.
+  const int demanded = idle ? 0 : DemandOf(service).DesiredEngines();
   std::vector<StageChange> changes =
-      PlanStages(engines_.OfService(service), idle, options_.plan, wanted);
+      PlanStages(engines_.OfService(service), idle, options_.plan, demanded);
   std::erase_if(changes, [this](const StageChange& it) {
-    return settling_.contains(it.engine->entry.id);
+    return settling_until_.contains(it.engine->entry.id);
   });
   return changes;
 }
 
-Awaitable<void> StageOrders::Give(StageChange change) {
+Awaitable<void> StageOrders::SendOrder(StageChange change) {
   const EngineHandle engine = change.engine;
   const auto report = co_await hooks_.report(engine);
   if (!report || report->changing || report->stage == change.to) {
     co_return;
   }
-  // The plan was made for another life of the engine.
-  if (report->born != engine->entry.born) {
+  // The engine has restarted since the plan was made.
+  if (report->start_time != engine->entry.start_time) {
     Log(LogLevel::kInfo, "stage_order_withheld",
         {{"target", engine->entry.id.str()},
-         {"reason", "target was born again"}});
+         {"reason", "target restarted after the order was planned"}});
     co_return;
   }
   base::Time until{};
-  const auto token = co_await authority_.Confirm(&until);
+  const auto token = co_await authority_.ConfirmHeld(&until);
   if (!token || clock_() >= until) {
     co_return;
   }
-  settling_[engine->entry.id] = clock_() + options_.settle_unknown;
-  // A named object: this compiler destroys an aggregate that is made within a
-  // co_await expression twice.
+  settling_until_[engine->entry.id] = clock_() + options_.settle_time_unknown;
+  // A named object, as GCC 12 destroys an aggregate temporary in a co_await
+  // expression twice.
   StageOrder order;
   order.stage = change.to;
   order.holder = options_.instance.str();
   order.token = *token;
-  order.if_orders = report->orders;
+  order.expected_orders = report->accepted_orders;
   const OrderResult result = co_await hooks_.order(engine, std::move(order));
   if (result != OrderResult::kUnknown) {
-    settling_[engine->entry.id] = clock_() + options_.settle;
+    settling_until_[engine->entry.id] = clock_() + options_.settle_time;
   }
   metrics_
       .GetCounter("lynxglade_stage_orders_total",
                   {{"result", std::string(ToString(result))}})
       .Add();
-  // Its entry may have been written anew meanwhile, for any service.
-  const GenerationDemand& demand = Demand(engine->entry.service);
+  // Looked up again: the engine's service may have changed during the co_await.
+  const GenerationDemand& demand = DemandOf(engine->entry.service);
   Log(LogLevel::kInfo, "stage_order",
       {{"target", engine->entry.id.str()},
        {"stage", ToString(change.to)},
        {"token", token->value()},
-       {"if_orders", report->orders},
+       {"if_orders", report->accepted_orders},
        {"answers", demand.answers()},
        {"backlog_ms", base::ToMillis(demand.backlog())},
        {"result", ToString(result)}});
--- a/src/process/stage_orders.h
+++ b/src/process/stage_orders.h
@@ -1,9 +1,10 @@
-// Gives the engines the orders that bring about the stage plan.
+// Orders engines to change stage (prefill or decode) as the stage plan says.
 //
-// One order at a time and engine, each tied to the engine's life and to the
-// count of orders it has accepted, so that a copy that arrives late does
-// nothing. An order whose answer was lost is not repeated before the engine
-// would have carried out the lost one.
+// Each engine has at most one order in flight. An order carries the number of
+// orders that the engine had accepted, so that a delayed duplicate has no
+// effect. It is withheld if the engine has restarted since the plan was made.
+// After an order without a response the engine gets no other one until the
+// first can no longer take effect.
 #ifndef LYNXGLADE_PROCESS_STAGE_ORDERS_H_
 #define LYNXGLADE_PROCESS_STAGE_ORDERS_H_
 
@@ -26,16 +27,16 @@
 
 namespace lynxglade::process {
 
-// An engine as it reports itself, some hundred milliseconds old.
+// The state that an engine reports; may be a few hundred milliseconds old.
 struct EngineReport {
   request::passthrough::EngineStage stage =
       request::passthrough::EngineStage::kDecode;
-  // An order is being carried out.
+  // A stage change is in progress.
   bool changing = false;
-  // Orders accepted since the engine's start.
-  std::int64_t orders = 0;
-  // As in the engine's entry.
-  std::optional<base::BornMillis> born;
+  // Number of orders accepted since the engine started.
+  std::int64_t accepted_orders = 0;
+  // Start time of the engine process, as in its table entry.
+  std::optional<base::StartMillis> start_time;
 };
 
 struct StageOrder {
@@ -43,26 +44,27 @@
       request::passthrough::EngineStage::kDecode;
   std::string holder;
   base::FencingToken token;
-  // The order is void once the engine has accepted another.
-  std::int64_t if_orders = 0;
+  // The engine accepts the order only if it has accepted this many so far.
+  std::int64_t expected_orders = 0;
 };
 
 enum class OrderResult {
-  // Being carried out, or already so.
-  kTaken,
-  // Another order came first, or is under way.
+  // In progress, or the engine is in that stage already.
+  kAccepted,
+  // Another order was accepted first, or is in progress.
   kConflict,
-  // The engine has seen a higher token: this holder is no longer it.
+  // The engine has seen a higher fencing token: another instance now holds the
+  // authority.
   kFenced,
-  // Not that engine, or not an order it knows.
-  kRefused,
-  // No answer; it may have been taken, or be taken later.
+  // The engine is another one, or does not support the order.
+  kRejected,
+  // No response; the engine may have accepted the order or may do so later.
   kUnknown,
 };
 std::string_view ToString(OrderResult result) noexcept;
 
-// Calls to one engine, spelled by the platform's adapter.
-struct OrderHooks {
+// Calls to one engine, implemented by the platform adapter.
+struct StageOrderHooks {
   std::function<connection::event::Awaitable<std::optional<EngineReport>>(
       request::passthrough::EngineHandle)>
       report;
@@ -75,61 +77,61 @@
 struct StageOrdersOptions {
   base::InstanceId instance;
   base::Duration period = std::chrono::milliseconds(500);
-  // After an order, before the engine is judged again: a change takes about
-  // three seconds once running requests have ended.
-  base::Duration settle = std::chrono::seconds(6);
-  // After an order without an answer: engines have been seen to carry one out
-  // twelve seconds late.
-  base::Duration settle_unknown = std::chrono::seconds(15);
+  // Time after an order in which the engine gets no other. A change takes about
+  // three seconds once the running requests have ended.
+  base::Duration settle_time = std::chrono::seconds(6);
+  // The same after an order without a response, which an engine may carry out
+  // up to twelve seconds late.
+  base::Duration settle_time_unknown = std::chrono::seconds(15);
   StagePlanOptions plan;
 };
 
-// Not thread-safe: lives on the event loop.
+// Not thread-safe: runs on the event loop.
 class StageOrders {
  public:
   StageOrders(connection::event::asio::io_context& loop,
               const request::passthrough::EngineTable& engines,
               OrderAuthority& authority,
-              OrderHooks hooks,
+              StageOrderHooks hooks,
               StageOrdersOptions options,
-              // Language model services in force, and whether this instance
-              // has seen no request for a while.
+              // The configured services whose engines have stages.
               std::function<std::vector<base::ServiceName>()> services,
+              // Whether this instance has received no request for a while.
               std::function<bool()> idle,
-              // How long a prompt would wait to be read now, on average.
+              // The current average wait of a prompt for prefill.
               std::function<base::Duration(const base::ServiceName&)> backlog,
-              request::passthrough::EngineRoom room,
+              request::passthrough::EngineCapacity capacity,
               base::Clock clock,
               base::Metrics& metrics);
   StageOrders(const StageOrders&) = delete;
   StageOrders& operator=(const StageOrders&) = delete;
 
-  // Until Stop().
+  // Runs until Stop().
   connection::event::Awaitable<void> Run();
   void Stop() noexcept { stopped_ = true; }
 
  private:
-  connection::event::Awaitable<void> Round();
-  connection::event::Awaitable<void> Give(StageChange change);
-  std::vector<StageChange> Due(const base::ServiceName& service);
-  void ObserveDemand();
-  GenerationDemand& Demand(const base::ServiceName& service);
+  connection::event::Awaitable<void> ReconcileOnce();
+  connection::event::Awaitable<void> SendOrder(StageChange change);
+  std::vector<StageChange> DueChanges(const base::ServiceName& service);
+  void UpdateDemand();
+  GenerationDemand& DemandOf(const base::ServiceName& service);
 
   connection::event::asio::io_context& loop_;
   const request::passthrough::EngineTable& engines_;
   OrderAuthority& authority_;
-  const OrderHooks hooks_;
+  const StageOrderHooks hooks_;
   const StageOrdersOptions options_;
   const std::function<std::vector<base::ServiceName>()> services_;
   const std::function<bool()> idle_;
   const std::function<base::Duration(const base::ServiceName&)> backlog_;
-  const request::passthrough::EngineRoom room_;
+  const request::passthrough::EngineCapacity capacity_;
   const base::Clock clock_;
   base::Metrics& metrics_;
   bool stopped_ = false;
   std::map<base::ServiceName, GenerationDemand> demand_;
-  // Engines that are left alone until then.
-  std::map<base::TargetId, base::Time> settling_;
+  // Engines that get no order before the given time.
+  std::map<base::TargetId, base::Time> settling_until_;
 };
 
 }  // namespace lynxglade::process
--- a/src/process/stage_plan.cc
+++ b/src/process/stage_plan.cc
@@ -12,7 +12,7 @@
 using request::passthrough::EngineHandle;
 using request::passthrough::EngineStage;
 
-// The engines of one zone that serve, by stage.
+// The staged engines of one zone that are not draining.
 struct ZoneEngines {
   std::vector<EngineHandle> decode;
   std::vector<EngineHandle> prefill;
@@ -22,7 +22,7 @@
   }
 };
 
-std::map<base::ZoneId, ZoneEngines> ByZone(
+std::map<base::ZoneId, ZoneEngines> GroupByZone(
     const std::vector<EngineHandle>& engines) {
   std::map<base::ZoneId, ZoneEngines> zones;
   for (const EngineHandle& engine : engines) {
@@ -36,81 +36,82 @@
   return zones;
 }
 
-// Each zone's engines that should generate. A zone gets its part of the
-// service's, rounded up or down; of the ways to round, one that changes few
-// engines.
-std::map<base::ZoneId, int> DecodeByZone(
+// The number of decode engines per zone. Each zone gets its proportional part
+// of the service's total, rounded up or down so that few engines change.
+std::map<base::ZoneId, int> DecodeCountByZone(
     const std::map<base::ZoneId, ZoneEngines>& zones,
     const StagePlanOptions& options,
-    int asked_for) {
+    int demanded) {
   int engines = 0;
   for (const auto& [name, zone] : zones) {
     engines += zone.size();
   }
-  std::map<base::ZoneId, int> wanted;
+  std::map<base::ZoneId, int> by_zone;
   if (engines == 0) {
-    return wanted;
+    return by_zone;
   }
-  const int total = std::max(DecodeEngines(engines, options),
-                             std::min(asked_for, engines - 1));
-  int given = 0;
-  const auto low = [&](const ZoneEngines& zone) {
+  const int total = std::max(DecodeEngineCount(engines, options),
+                             std::min(demanded, engines - 1));
+  int assigned = 0;
+  const auto min_count = [&](const ZoneEngines& zone) {
     return total * zone.size() / engines;
   };
-  const auto high = [&](const ZoneEngines& zone) {
+  const auto max_count = [&](const ZoneEngines& zone) {
     return (total * zone.size() + engines - 1) / engines;
   };
   for (const auto& [name, zone] : zones) {
-    const int now = static_cast<int>(zone.decode.size());
-    wanted[name] = std::clamp(now, low(zone), high(zone));
-    given += wanted[name];
+    const int current = static_cast<int>(zone.decode.size());
+    by_zone[name] = std::clamp(current, min_count(zone), max_count(zone));
+    assigned += by_zone[name];
   }
   for (const auto& [name, zone] : zones) {
-    int& n = wanted[name];
-    const int step = std::clamp(total - given, low(zone) - n, high(zone) - n);
+    int& n = by_zone[name];
+    const int step =
+        std::clamp(total - assigned, min_count(zone) - n, max_count(zone) - n);
     n += step;
-    given += step;
+    assigned += step;
   }
-  return wanted;
+  return by_zone;
 }
 
-// Engines whose speeds are not known keep their order.
-std::vector<EngineHandle> SlowestFirst(std::vector<EngineHandle> generating) {
+// Both sorts are stable: engines of unknown speed keep their order.
+std::vector<EngineHandle> SortSlowestFirst(std::vector<EngineHandle> decode) {
   std::ranges::stable_sort(
-      generating, std::ranges::greater(),
+      decode, std::ranges::greater(),
       [](const EngineHandle& it) { return it->generation_slowness; });
-  return generating;
+  return decode;
 }
 
-std::vector<EngineHandle> FastestFirst(std::vector<EngineHandle> reading) {
-  std::ranges::stable_sort(reading, {},
+std::vector<EngineHandle> SortFastestFirst(std::vector<EngineHandle> prefill) {
+  std::ranges::stable_sort(prefill, {},
                            [](const EngineHandle& it) { return it->slowness; });
-  return reading;
+  return prefill;
 }
 
 }  // namespace
 
-int DecodeEngines(int engines, const StagePlanOptions& options) noexcept {
+int DecodeEngineCount(int engines, const StagePlanOptions& options) noexcept {
   if (engines <= 1) {
     return engines;
   }
-  const int wanted =
+  const int by_share =
       static_cast<int>(std::lround(options.decode_share * engines));
-  return std::min(std::max(wanted, options.least_decode), engines - 1);
+  return std::min(std::max(by_share, options.min_decode_engines), engines - 1);
 }
 
 std::vector<StageChange> PlanStages(const std::vector<EngineHandle>& engines,
                                     bool idle,
                                     const StagePlanOptions& options,
-                                    int wanted) {
+                                    int demanded) {
   std::vector<StageChange> changes;
-  const auto zones = ByZone(engines);
-  const auto by_zone = DecodeByZone(zones, options, wanted);
+  const auto zones = GroupByZone(engines);
+  const auto by_zone = DecodeCountByZone(zones, options, demanded);
   for (const auto& [name, zone] : zones) {
     const int surplus = static_cast<int>(zone.decode.size()) - by_zone.at(name);
     const bool to_prefill = surplus > 0;
-    const std::vector<EngineHandle> from =
-        to_prefill ? SlowestFirst(zone.decode) : FastestFirst(zone.prefill);
+    const std::vector<EngineHandle> from = to_prefill
+                                               ? SortSlowestFirst(zone.decode)
+                                               : SortFastestFirst(zone.prefill);
     std::ranges::transform(
         from.begin(), from.begin() + std::abs(surplus),
         std::back_inserter(changes), [to_prefill](const EngineHandle& it) {
@@ -118,8 +119,8 @@
               it, to_prefill ? EngineStage::kPrefill : EngineStage::kDecode};
         });
   }
-  if (!idle && changes.size() > options.most_at_once) {
-    changes.resize(options.most_at_once);
+  if (!idle && changes.size() > options.max_concurrent_changes) {
+    changes.resize(options.max_concurrent_changes);
   }
   return changes;
 }
--- a/src/process/watch_sharing.cc
+++ b/src/process/watch_sharing.cc
@@ -36,25 +36,26 @@
   return "malformed";
 }
 
-std::vector<base::InstanceId> RelaysOf(const std::vector<InstancePeer>& peers,
-                                       const base::InstanceId& self,
-                                       const WatchSharingOptions& options) {
+std::vector<base::InstanceId> SelectRelays(
+    const std::vector<InstancePeer>& peers,
+    const base::InstanceId& self,
+    const WatchSharingOptions& options) {
   std::vector<base::InstanceId> zone{self};
   for (const InstancePeer& peer : peers) {
     if (peer.zone == options.zone && peer.instance != self) {
       zone.push_back(peer.instance);
     }
   }
-  if (zone.size() < options.least_instances) {
+  if (zone.size() < options.min_instances) {
     return {};
   }
   const auto rank = [](const base::InstanceId& it) {
     return std::pair(base::Hash64(it.str()), it);
   };
   std::ranges::partial_sort(
-      zone, zone.begin() + static_cast<std::ptrdiff_t>(options.relays), {},
+      zone, zone.begin() + static_cast<std::ptrdiff_t>(options.relay_count), {},
       rank);
-  zone.resize(options.relays);
+  zone.resize(options.relay_count);
   return zone;
 }
 
@@ -63,20 +64,21 @@
     ChangeSource& store,
     WatchSharingOptions options,
     std::function<const std::vector<InstancePeer>&()> peers,
-    AskRelay ask,
+    QueryRelay query_relay,
     base::Clock clock,
     base::Metrics& metrics)
     : loop_(loop),
       store_(store),
       options_(std::move(options)),
       peers_(std::move(peers)),
-      ask_(std::move(ask)),
+      query_relay_(std::move(query_relay)),
       clock_(std::move(clock)),
       metrics_(metrics) {}
 
-Awaitable<std::optional<StoreItems>> WatchSharing::Answer(base::Revision after,
-                                                          base::Duration wait,
-                                                          RelayFault* fault) {
+Awaitable<std::optional<StoreItems>> WatchSharing::ServeChanges(
+    base::Revision after,
+    base::Duration wait,
+    RelayFault* fault) {
   const base::Time end = clock_() + wait;
   while (true) {
     const base::Time now = clock_();
@@ -93,30 +95,30 @@
       co_return changes;
     }
     asio::steady_timer timer(loop_, std::min(end, FreshUntil()) - now);
-    waiting_.insert(&timer);
+    waiting_timers_.insert(&timer);
     ErrorCode ec;
     co_await timer.async_wait(Into(ec));
-    waiting_.erase(&timer);
+    waiting_timers_.erase(&timer);
   }
 }
 
-bool WatchSharing::Shares() const {
+bool WatchSharing::IsSharing() const {
   return !Relays().empty();
 }
 
 std::vector<base::InstanceId> WatchSharing::Relays() const {
-  return RelaysOf(peers_(), options_.instance, options_);
+  return SelectRelays(peers_(), options_.instance, options_);
 }
 
-std::vector<InstancePeer> WatchSharing::RelaysToAsk(
+std::vector<InstancePeer> WatchSharing::RelaysToQuery(
     const std::vector<base::InstanceId>& relays) const {
   const base::Time now = clock_();
   std::vector<InstancePeer> peers;
   std::ranges::copy_if(
       peers_(), std::back_inserter(peers), [&](const InstancePeer& it) {
-        const auto avoided = avoided_until_.find(it.instance);
+        const auto backoff = backoff_until_.find(it.instance);
         return std::ranges::find(relays, it.instance) != relays.end() &&
-               (avoided == avoided_until_.end() || avoided->second <= now);
+               (backoff == backoff_until_.end() || backoff->second <= now);
       });
   std::ranges::sort(peers, {}, [this](const InstancePeer& it) {
     return base::HashPair(options_.instance.str(), it.instance.str());
@@ -132,32 +134,33 @@
   if (!prefix.empty() || relays.empty()) {
     co_return co_await store_.Watch(std::move(prefix), after, wait, fault);
   }
-  const bool relays_itself =
+  const bool is_relay =
       std::ranges::find(relays, options_.instance) != relays.end();
-  if (!relays_itself) {
-    const auto asked = RelaysToAsk(relays);
-    auto changes = co_await AskRelays(asked, after);
+  if (!is_relay) {
+    const auto candidates = RelaysToQuery(relays);
+    auto changes = co_await QueryRelays(candidates, after);
     if (changes) {
-      Count("relay");
+      CountWatch("relay");
       co_return changes;
     }
   }
-  Count("store");
+  CountWatch("store");
   co_return co_await WatchStore(after, fault);
 }
 
-// After a time-out the store is asked at once: another relay's would follow
-// it, and changes are to be in force within a bound.
-Awaitable<std::optional<StoreItems>> WatchSharing::AskRelays(
+// After a timeout the store is queried at once: a second relay's timeout would
+// delay changes beyond the bound within which they must take effect.
+Awaitable<std::optional<StoreItems>> WatchSharing::QueryRelays(
     const std::vector<InstancePeer>& relays,
     base::Revision after) {
   for (const InstancePeer& relay : relays) {
     RelayFault fault{};
-    auto changes = co_await ask_(relay, after, options_.wait, &fault);
+    auto changes =
+        co_await query_relay_(relay, after, options_.watch_timeout, &fault);
     if (changes) {
       co_return changes;
     }
-    NoteFailed(relay, fault);
+    BackOffFromRelay(relay, fault);
     if (fault == RelayFault::kTimeout || fault == RelayFault::kAskStore) {
       break;
     }
@@ -167,21 +170,23 @@
 
 WatchSharing::Result<StoreItems> WatchSharing::WatchStore(base::Revision after,
                                                           StoreFault* fault) {
-  auto changes =
-      co_await store_.Watch(std::string(), after, options_.wait, fault);
+  auto changes = co_await store_.Watch(std::string(), after,
+                                       options_.watch_timeout, fault);
   if (changes) {
-    Hear(after, *changes);
+    RecordChanges(after, *changes);
   }
   co_return changes;
 }
 
-void WatchSharing::Hear(base::Revision after, const StoreItems& changes) {
-  heard_ = clock_();
+void WatchSharing::RecordChanges(base::Revision after,
+                                 const StoreItems& changes) {
+  last_store_read_ = clock_();
   history_.Add(after, changes);
-  std::ranges::for_each(waiting_, [](auto* it) { it->cancel(); });
+  std::ranges::for_each(waiting_timers_, [](auto* it) { it->cancel(); });
 }
 
-void WatchSharing::NoteFailed(const InstancePeer& relay, RelayFault fault) {
+void WatchSharing::BackOffFromRelay(const InstancePeer& relay,
+                                    RelayFault fault) {
   metrics_
       .GetCounter("lynxglade_relay_faults_total",
                   {{"fault", std::string(ToString(fault))}})
@@ -190,20 +195,21 @@
     return;
   }
   const base::Time now = clock_();
-  std::erase_if(avoided_until_,
+  std::erase_if(backoff_until_,
                 [now](const auto& it) { return it.second <= now; });
-  avoided_until_[relay.instance] = now + options_.avoid;
+  backoff_until_[relay.instance] = now + options_.relay_backoff;
   Log(LogLevel::kInfo, "relay_avoided",
       {{"relay", relay.instance.str()},
        {"fault", ToString(fault)},
-       {"ms", base::ToMillis(options_.avoid)}});
+       {"ms", base::ToMillis(options_.relay_backoff)}});
 }
 
 base::Time WatchSharing::FreshUntil() const {
-  return heard_ ? *heard_ + options_.most_age : base::Time::min();
+  return last_store_read_ ? *last_store_read_ + options_.max_staleness
+                          : base::Time::min();
 }
 
-void WatchSharing::Count(const char* source) {
+void WatchSharing::CountWatch(const char* source) {
   metrics_.GetCounter("lynxglade_watches_total", {{"source", source}}).Add();
 }
 
@@ -214,8 +220,8 @@
   auto listed = co_await store_.List(std::move(prefix), freshness, fault);
   if (listed && all) {
     StoreItems none;
-    none.at = listed->at;
-    Hear(listed->at, none);
+    none.revision = listed->revision;
+    RecordChanges(listed->revision, none);
   }
   co_return listed;
 }
--- a/src/request/claims.cc
+++ b/src/request/claims.cc
@@ -13,16 +13,16 @@
 using base::Outcome;
 using Status = ClaimWriteResult::Status;
 
-ClaimVerdict Refused(RefusalReason reason,
-                     Outcome outcome,
-                     std::string message,
-                     std::optional<base::Duration> retry_after) {
-  ClaimVerdict verdict;
-  verdict.refusal = Refusal{.reason = reason,
-                            .outcome = outcome,
-                            .message = std::move(message),
-                            .retry_after = retry_after};
-  return verdict;
+ClaimDecision RefusedDecision(RefusalReason reason,
+                              Outcome outcome,
+                              std::string message,
+                              std::optional<base::Duration> retry_after) {
+  ClaimDecision decision;
+  decision.refusal = Refusal{.reason = reason,
+                             .outcome = outcome,
+                             .message = std::move(message),
+                             .retry_after = retry_after};
+  return decision;
 }
 
 }  // namespace
@@ -44,79 +44,83 @@
               metrics,
               options.writer) {}
 
-ClaimVerdict Claims::Begin(const Request& request) {
+ClaimDecision Claims::Begin(const Request& request) {
   if (request.idempotency_key.empty()) {
-    return Refused(RefusalReason::kBadHeader, Outcome::kNotRun,
-                   "a non-idempotent request needs an Idempotency-Key",
-                   std::nullopt);
+    return RefusedDecision(
+        RefusalReason::kBadHeader, Outcome::kNotRun,
+        "a non-idempotent request requires an Idempotency-Key", std::nullopt);
   }
   ClaimRecord record;
-  record.mark = base::RandomHexId(random_);
+  record.write_id = base::RandomHexId(random_);
   record.instance = self_;
   record.request = request.id;
   record.content_hash = request.content_hash;
   Claim claim{.key = ClaimKey(request.contract, request.idempotency_key),
-              .mark = record.mark,
+              .write_id = record.write_id,
               .mod_revision = 0,
               .record = EncodeClaimRecord(record)};
-  const ClaimWriteResult written =
-      writer_.Write({.kind = ClaimOp::Kind::kCreate,
-                     .key = claim.key,
-                     .value = claim.record,
-                     .guard = base::Revision(0)},
-                    std::min(options_.begin_wait, request.deadline - clock_()));
+  const ClaimWriteResult written = writer_.Write(
+      {.kind = ClaimOp::Kind::kCreate,
+       .key = claim.key,
+       .value = claim.record,
+       .guard = base::Revision(0)},
+      std::min(options_.begin_timeout, request.deadline - clock_()));
   if (written.status == Status::kWritten) {
     Count("claimed");
     claim.mod_revision = written.revision.value();
-    ClaimVerdict verdict;
-    verdict.claim = std::move(claim);
-    return verdict;
+    ClaimDecision decision;
+    decision.claim = std::move(claim);
+    return decision;
   }
   if (written.status == Status::kConflict && written.found) {
     Count("repeat");
-    return JudgeEarlier(request, *written.found);
+    return DecideFromExisting(request, *written.found);
   }
-  // Nothing goes to a target under this mark, whatever becomes of the write.
+  // The outcome is not-run even if the write takes effect later: the request is
+  // not sent under this claim.
   Count("unavailable");
-  return Refused(RefusalReason::kClaimUnavailable, Outcome::kNotRun,
-                 "the claim could not be written", options_.retry_after);
+  return RefusedDecision(RefusalReason::kClaimUnavailable, Outcome::kNotRun,
+                         "the claim could not be written",
+                         options_.retry_after);
 }
 
-ClaimVerdict Claims::JudgeEarlier(const Request& request,
-                                  const connection::KvEntry& entry) const {
-  std::optional<ClaimRecord> earlier = DecodeClaimRecord(entry.value);
-  if (!earlier) {
-    return Refused(RefusalReason::kAlreadyClaimed, Outcome::kUnknown,
-                   "the key is claimed, by whom cannot be read", std::nullopt);
+ClaimDecision Claims::DecideFromExisting(
+    const Request& request,
+    const connection::KvEntry& entry) const {
+  std::optional<ClaimRecord> existing = DecodeClaimRecord(entry.value);
+  if (!existing) {
+    return RefusedDecision(
+        RefusalReason::kAlreadyClaimed, Outcome::kUnknown,
+        "the key is claimed, but its record cannot be decoded", std::nullopt);
   }
-  if (earlier->content_hash != request.content_hash) {
-    return Refused(RefusalReason::kAlreadyClaimed, Outcome::kNotRun,
-                   "the Idempotency-Key was used for another request",
-                   std::nullopt);
+  if (existing->content_hash != request.content_hash) {
+    return RefusedDecision(
+        RefusalReason::kAlreadyClaimed, Outcome::kNotRun,
+        "the Idempotency-Key was used for a different request", std::nullopt);
   }
-  if (!earlier->done) {
-    return Refused(RefusalReason::kAlreadyClaimed, Outcome::kUnknown,
-                   "the request is under way, or its instance was lost",
-                   options_.retry_after);
+  if (!existing->done) {
+    return RefusedDecision(RefusalReason::kAlreadyClaimed, Outcome::kUnknown,
+                           "the request is in flight, or its instance failed",
+                           options_.retry_after);
   }
-  if (earlier->answer) {
-    ClaimVerdict verdict;
-    verdict.recorded = std::move(earlier->answer);
-    return verdict;
+  if (existing->answer) {
+    ClaimDecision decision;
+    decision.recorded = std::move(existing->answer);
+    return decision;
   }
-  return Refused(RefusalReason::kAlreadyClaimed, earlier->outcome,
-                 "the request was run before; its answer is not kept",
-                 std::nullopt);
+  return RefusedDecision(
+      RefusalReason::kAlreadyClaimed, existing->outcome,
+      "the request was already run; its answer was not recorded", std::nullopt);
 }
 
 void Claims::Finish(const Claim& claim, Outcome outcome, const Answer* answer) {
   if (outcome == Outcome::kNotRun) {
-    // The refusal's "come back" holds as soon as the key is gone.
+    // Wait for the deletion, so that the caller can retry right away.
     writer_.Write({.kind = ClaimOp::Kind::kRelease,
                    .key = claim.key,
                    .value = claim.record,
                    .guard = base::Revision(claim.mod_revision)},
-                  options_.record_wait);
+                  options_.record_timeout);
     return;
   }
   std::optional<ClaimRecord> record = DecodeClaimRecord(claim.record);
@@ -133,7 +137,7 @@
                      .key = claim.key,
                      .value = EncodeClaimRecord(*record),
                      .guard = base::Revision(claim.mod_revision)},
-                    options_.record_wait);
+                    options_.record_timeout);
   Count(written.status == Status::kWritten ? "recorded" : "record_pending");
 }
 
--- a/src/request/passthrough/answer_admission.cc
+++ b/src/request/passthrough/answer_admission.cc
@@ -8,15 +8,15 @@
 
 namespace {
 
-// Bounds what is kept where routes come and go.
-constexpr base::Duration kForgottenAfter = std::chrono::minutes(5);
+// Bounds memory where routes come and go.
+constexpr base::Duration kSizesTtl = std::chrono::minutes(5);
 
 double Slots(const Engine& engine) noexcept {
   return std::max(engine.entry.slots, 1);
 }
 
-double LogTokens(const AskedAnswer& asked) noexcept {
-  return std::log(static_cast<double>(asked.expected_tokens));
+double LogTokens(const RequestedAnswer& answer) noexcept {
+  return std::log(static_cast<double>(answer.expected_tokens));
 }
 
 }  // namespace
@@ -27,104 +27,114 @@
 
 bool AnswerAdmission::Admit(const Engine& engine,
                             const std::string& route,
-                            const AskedAnswer& asked,
+                            const RequestedAnswer& answer,
                             base::Time now) {
-  if (asked.expected_tokens <= 0 && asked.most_tokens <= 0) {
+  if (answer.expected_tokens <= 0 && answer.max_tokens <= 0) {
     return true;
   }
-  Sizes& sizes = Learn(engine.entry.service, route, asked, now);
-  const double room = RoomFor(engine, sizes);
-  const bool large = IsLarge(sizes, asked);
-  const double limit =
-      Favours(sizes, large) ? room : options_.shared_room * room;
-  // A full engine says so itself.
-  const bool admitted = room >= Slots(engine) || KnownLoad(engine, now) < limit;
-  Share& share = large ? sizes.large : sizes.small;
-  share.seen = options_.share_memory * share.seen + 1;
-  share.admitted = options_.share_memory * share.admitted + (admitted ? 1 : 0);
+  RouteSizes& sizes = RecordRequest(engine.entry.service, route, answer, now);
+  const double capacity = CapacityFor(engine, sizes);
+  const bool larger = IsLarger(sizes, answer);
+  const double limit = MayUseFullCapacity(sizes, larger)
+                           ? capacity
+                           : options_.shared_capacity_fraction * capacity;
+  // A full engine rejects requests itself.
+  const bool admitted =
+      capacity >= Slots(engine) || KnownLoad(engine, now) < limit;
+  Share& share = larger ? sizes.larger : sizes.smaller;
+  share.seen = options_.share_decay * share.seen + 1;
+  share.admitted = options_.share_decay * share.admitted + (admitted ? 1 : 0);
   return admitted;
 }
 
-AnswerAdmission::Sizes& AnswerAdmission::Learn(const base::ServiceName& service,
-                                               const std::string& route,
-                                               const AskedAnswer& asked,
-                                               base::Time now) {
+AnswerAdmission::RouteSizes& AnswerAdmission::RecordRequest(
+    const base::ServiceName& service,
+    const std::string& route,
+    const RequestedAnswer& answer,
+    base::Time now) {
   auto& routes = routes_[service];
   if (!routes.contains(route)) {
     std::erase_if(routes, [&](const auto& it) {
-      return now - it.second.last_at > kForgottenAfter;
+      return now - it.second.last_at > kSizesTtl;
     });
   }
-  Sizes& sizes = routes[route];
-  sizes.most_tokens = asked.most_tokens;
-  sizes.timeout = asked.timeout;
+  RouteSizes& sizes = routes[route];
+  sizes.max_tokens = answer.max_tokens;
+  sizes.timeout = answer.timeout;
   sizes.last_at = now;
-  if (asked.expected_tokens > 0) {
+  if (answer.expected_tokens > 0) {
     sizes.requests += 1;
-    const double step = std::max(options_.size_step, 1 / sizes.requests);
-    const double off = LogTokens(asked) - sizes.mean_log;
-    sizes.mean_log += step * off;
-    sizes.variance_log = (1 - step) * (sizes.variance_log + step * off * off);
+    const double step =
+        std::max(options_.size_learning_rate, 1 / sizes.requests);
+    const double deviation = LogTokens(answer) - sizes.mean_log;
+    sizes.mean_log += step * deviation;
+    sizes.variance_log =
+        (1 - step) * (sizes.variance_log + step * deviation * deviation);
   }
   return sizes;
 }
 
-bool AnswerAdmission::IsLarge(const Sizes& sizes,
-                              const AskedAnswer& asked) const noexcept {
-  return asked.expected_tokens > 0 &&
-         LogTokens(asked) > sizes.mean_log + options_.larger_deviations *
-                                                 std::sqrt(sizes.variance_log);
+bool AnswerAdmission::IsLarger(const RouteSizes& sizes,
+                               const RequestedAnswer& answer) const noexcept {
+  return answer.expected_tokens > 0 &&
+         LogTokens(answer) > sizes.mean_log + options_.larger_deviations *
+                                                  std::sqrt(sizes.variance_log);
 }
 
-bool AnswerAdmission::Favours(const Sizes& sizes, bool large) const noexcept {
-  const bool large_behind =
-      sizes.large.Part() < options_.large_share * sizes.small.Part();
-  return large == large_behind;
+bool AnswerAdmission::MayUseFullCapacity(const RouteSizes& sizes,
+                                         bool larger) const noexcept {
+  const bool larger_behind =
+      sizes.larger.Rate() <
+      options_.larger_admission_ratio * sizes.smaller.Rate();
+  return larger == larger_behind;
 }
 
-double AnswerAdmission::Room(const Engine& engine, base::Time now) const {
-  double room = Slots(engine);
+double AnswerAdmission::Capacity(const Engine& engine, base::Time now) const {
+  double capacity = Slots(engine);
   const auto service = routes_.find(engine.entry.service);
   if (service == routes_.end()) {
-    return room;
+    return capacity;
   }
   for (const auto& [route, sizes] : service->second) {
-    if (now - sizes.last_at <= options_.route_memory) {
-      room = std::min(room, RoomFor(engine, sizes));
+    if (now - sizes.last_at <= options_.route_ttl) {
+      capacity = std::min(capacity, CapacityFor(engine, sizes));
     }
   }
-  return room;
+  return capacity;
 }
 
-std::int64_t AnswerAdmission::LargeTokens(const Sizes& sizes) const noexcept {
-  if (sizes.requests < options_.least_requests && sizes.most_tokens > 0) {
-    return sizes.most_tokens;
+std::int64_t AnswerAdmission::LargeTokens(
+    const RouteSizes& sizes) const noexcept {
+  if (sizes.requests < options_.min_requests && sizes.max_tokens > 0) {
+    return sizes.max_tokens;
   }
   const double log_tokens = sizes.mean_log + options_.large_deviations *
                                                  std::sqrt(sizes.variance_log);
   const std::int64_t large = std::llround(std::exp(log_tokens));
-  return sizes.most_tokens > 0 ? std::min(large, sizes.most_tokens) : large;
+  return sizes.max_tokens > 0 ? std::min(large, sizes.max_tokens) : large;
 }
 
-double AnswerAdmission::RoomFor(const Engine& engine,
-                                const Sizes& sizes) const {
+double AnswerAdmission::CapacityFor(const Engine& engine,
+                                    const RouteSizes& sizes) const {
   if (sizes.timeout <= base::Duration::zero()) {
     return Slots(engine);
   }
-  const auto within = std::chrono::duration_cast<base::Duration>(
-      options_.part_of_timeout * sizes.timeout);
+  const auto time_limit = std::chrono::duration_cast<base::Duration>(
+      options_.timeout_fraction * sizes.timeout);
   const std::int64_t large = LargeTokens(sizes);
-  const auto most = times_.MostRequests(engine, large, within);
-  return most ? *most : PriorRoom(engine, large, within);
+  const auto max_requests = times_.MaxRequests(engine, large, time_limit);
+  return max_requests ? *max_requests
+                      : DefaultCapacity(engine, large, time_limit);
 }
 
-double AnswerAdmission::PriorRoom(const Engine& engine,
-                                  std::int64_t tokens,
-                                  base::Duration within) const noexcept {
+double AnswerAdmission::DefaultCapacity(
+    const Engine& engine,
+    std::int64_t tokens,
+    base::Duration time_limit) const noexcept {
   const double answer_ms =
-      options_.prior_ms_per_token * static_cast<double>(tokens);
-  const bool in_time = answer_ms <= base::ToFineMillis(within);
-  return (in_time ? 1 : options_.prior_room) * Slots(engine);
+      options_.default_ms_per_token * static_cast<double>(tokens);
+  const bool in_time = answer_ms <= base::ToFineMillis(time_limit);
+  return (in_time ? 1 : options_.default_capacity_fraction) * Slots(engine);
 }
 
 }  // namespace lynxglade::request::passthrough
--- a/src/request/passthrough/engine_table.cc
+++ b/src/request/passthrough/engine_table.cc
@@ -17,20 +17,20 @@
   return "plain";
 }
 
-void NoteMisdirected(Engine& engine,
+void MarkMisdirected(Engine& engine,
                      int entry_changes,
                      base::Time now) noexcept {
-  // Longer than an instance is cut off from the store as a rule; one request in
-  // that time is no harm.
-  constexpr base::Duration kLeftAlone = std::chrono::seconds(10);
+  // Longer than most outages of the store; one stray request per period is
+  // acceptable.
+  constexpr base::Duration kMisdirectedBackoff = std::chrono::seconds(10);
   if (engine.entry_changes == entry_changes) {
-    engine.misdirected_until = now + kLeftAlone;
+    engine.misdirected_until = now + kMisdirectedBackoff;
   }
 }
 
 bool HasFreshReport(const Engine& engine, base::Time now) noexcept {
-  constexpr base::Duration kReportLifetime = std::chrono::seconds(1);
-  return now - engine.reported_at <= kReportLifetime;
+  constexpr base::Duration kReportTtl = std::chrono::seconds(1);
+  return now - engine.reported_at <= kReportTtl;
 }
 
 int KnownLoad(const Engine& engine, base::Time now) noexcept {
@@ -43,19 +43,19 @@
 EngineTable::EngineTable(base::Duration grace) : grace_(grace) {}
 
 void EngineTable::Put(const EngineEntry& entry, base::Time now) {
-  Keep(entry, now);
-  Index();
+  Upsert(entry, now);
+  RebuildIndex();
 }
 
 void EngineTable::Remove(const base::TargetId& id, base::Time now) {
-  Lose(id, now);
-  Index();
+  MarkMissing(id, now);
+  RebuildIndex();
 }
 
-void EngineTable::Refuse(const base::TargetId& id) {
+void EngineTable::RemoveInvalid(const base::TargetId& id) {
   missing_.erase(id);
   Drop(id);
-  Index();
+  RebuildIndex();
 }
 
 void EngineTable::Replace(const std::vector<EngineEntry>& entries,
@@ -64,7 +64,7 @@
   std::set<base::TargetId> listed;
   for (const EngineEntry& entry : entries) {
     listed.insert(entry.id);
-    Keep(entry, joined);
+    Upsert(entry, joined);
   }
   std::vector<base::TargetId> gone;
   for (const auto& [id, engine] : engines_) {
@@ -72,22 +72,23 @@
       gone.push_back(id);
     }
   }
-  std::ranges::for_each(gone, [&](const base::TargetId& id) { Lose(id, now); });
-  Index();
+  std::ranges::for_each(
+      gone, [&](const base::TargetId& id) { MarkMissing(id, now); });
+  RebuildIndex();
 }
 
-void EngineTable::Keep(const EngineEntry& entry, base::Time joined) {
+void EngineTable::Upsert(const EngineEntry& entry, base::Time joined) {
   missing_.erase(entry.id);
   EngineHandle& engine = engines_[entry.id];
-  if (engine && engine->entry.born != entry.born) {
+  if (engine && engine->entry.start_time != entry.start_time) {
     engine->entry.draining = true;
     engine = nullptr;
   }
   if (!engine) {
     engine = std::make_shared<Engine>();
-    engine->staged_at = joined;
+    engine->stage_since = joined;
   } else if (engine->entry.stage != entry.stage) {
-    engine->staged_at = joined;
+    engine->stage_since = joined;
   }
   if (engine->entry != entry) {
     engine->entry = entry;
@@ -96,20 +97,20 @@
   }
 }
 
-void EngineTable::Lose(const base::TargetId& id, base::Time now) {
+void EngineTable::MarkMissing(const base::TargetId& id, base::Time now) {
   if (!engines_.contains(id)) {
     return;
   }
-  const base::Time grace_end = returned_at_ + grace_;
-  if (returned_at_ != base::Time{} && now < grace_end) {
+  const base::Time grace_end = store_recovered_at_ + grace_;
+  if (store_recovered_at_ != base::Time{} && now < grace_end) {
     missing_.emplace(id, grace_end);
     return;
   }
   Drop(id);
 }
 
-void EngineTable::OnStoreReturned(base::Time now) noexcept {
-  returned_at_ = now;
+void EngineTable::OnStoreRecovered(base::Time now) noexcept {
+  store_recovered_at_ = now;
 }
 
 void EngineTable::Expire(base::Time now) {
@@ -122,7 +123,7 @@
     return true;
   });
   if (engines_.size() != before) {
-    Index();
+    RebuildIndex();
   }
 }
 
@@ -145,7 +146,7 @@
   }
 }
 
-// Requests in flight hold the engine itself; it must not look serving there.
+// Requests in flight keep the engine object, which is marked as draining.
 void EngineTable::Drop(const base::TargetId& id) {
   const auto it = engines_.find(id);
   if (it == engines_.end()) {
@@ -155,7 +156,7 @@
   engines_.erase(it);
 }
 
-void EngineTable::Index() {
+void EngineTable::RebuildIndex() {
   by_service_.clear();
   for (const auto& [id, engine] : engines_) {
     by_service_[engine->entry.service].push_back(engine);
--- a/src/request/passthrough/relay_attempt.cc
+++ b/src/request/passthrough/relay_attempt.cc
@@ -1,4 +1,4 @@
-// A request at its targets: how it is sent, and how their answers are taken.
+// Attempts at targets: sending a request and handling the answer.
 #include <algorithm>
 #include <chrono>
 #include <memory>
@@ -9,7 +9,7 @@
 #include "connection/event/call.h"
 #include "connection/event/hop_headers.h"
 #include "request/passthrough/engine_address.h"
-#include "request/passthrough/engine_use.h"
+#include "request/passthrough/in_flight_request.h"
 #include "request/passthrough/relay_run.h"
 
 namespace lynxglade::request::passthrough {
@@ -29,9 +29,9 @@
 constexpr unsigned kHttp11 = 11;
 constexpr unsigned kFirstFailure = 400;
 constexpr unsigned kFirstServerFailure = 500;
-// An answer of a target to a call that frees KV cache, or to a read-only call.
-constexpr std::size_t kMaxSideAnswerBytes = std::size_t{64} * 1024;
-constexpr base::Duration kFreePatience = std::chrono::milliseconds(500);
+// Limit for answers that are not forwarded.
+constexpr std::size_t kMaxInternalAnswerBytes = std::size_t{64} * 1024;
+constexpr base::Duration kReleaseTimeout = std::chrono::milliseconds(500);
 
 AnswerHead HeadForCaller(const ResponseHead& head) {
   AnswerHead answer;
@@ -42,7 +42,7 @@
   return answer;
 }
 
-// By its last report.
+// According to its last load report.
 bool IsFull(const Engine& engine) noexcept {
   return engine.reported.running + engine.reported.waiting >=
          engine.entry.slots;
@@ -50,141 +50,145 @@
 
 }  // namespace
 
-// An engine with free slots that runs other requests cannot have the cache.
-Awaitable<void> RelayRun::NoteRejectedFetch(const Engine& runner) {
+// The runner has free slots and accepts other requests, so the KV cache is
+// probably not available.
+Awaitable<void> RelayRun::HandleRejectedFetch(const Engine& runner) {
   if (IsFull(runner) || runner.health.RejectsAll()) {
     co_return;
   }
-  ++failed_reads_;
+  ++failed_prefills_;
   tried_.push_back(source_->engine->entry.id);
-  source_->engine->health.OnFailure(parts_.clock());
-  parts_.metrics.GetCounter("lynxglade_kv_fetches_rejected_total").Add();
-  co_await FreeSource();
+  source_->engine->health.OnFailure(deps_.clock());
+  deps_.metrics.GetCounter("lynxglade_kv_fetches_rejected_total").Add();
+  co_await ReleaseKvSource();
 }
 
-// The first reading that an engine accepts is no arrival beyond the request's
-// first, one that is rejected or unanswered is: its price is set aside before
-// it is sent. Later ones are paid for as attempts.
-Awaitable<bool> RelayRun::ReadPrompt(const EnginePick& pick) {
+// The first prefill that an engine accepts does not count against the budget;
+// one that is rejected or not answered does, so its cost is reserved before it
+// is sent. Later prefills are paid for by ReserveRetry().
+Awaitable<bool> RelayRun::PrefillPrompt(const EnginePick& pick) {
   bool may_count = false;
-  if (accepted_reads_ > 0) {
-    co_return co_await SendRead(pick, &may_count);
-  }
-  const auto held = std::make_shared<std::optional<HeldArrivals>>();
-  const std::function<bool(base::Time)> hold = [&](base::Time now) {
-    *held = parts_.allowance.TryHold(service_, 1, ArrivalUse::kFirstReading,
-                                     parts_.instances(), now);
-    return held->has_value();
+  if (accepted_prefills_ > 0) {
+    co_return co_await SendPrefill(pick, &may_count);
+  }
+  const auto reserved = std::make_shared<std::optional<ReservedArrivals>>();
+  const std::function<bool(base::Time)> reserve = [&](base::Time now) {
+    *reserved = deps_.retry_budget.TryReserve(
+        service_, 1, ArrivalPurpose::kFirstPrefill, deps_.instances(), now);
+    return reserved->has_value();
   };
-  const bool paid = co_await PayOrWait(hold);
+  const bool paid = co_await WaitForBudget(reserve);
   if (!paid) {
-    reads_denied_ = true;
-    parts_.metrics
+    prefill_denied_ = true;
+    deps_.metrics
         .GetCounter("lynxglade_retry_denials_total",
                     {{"reason", "first_reading"}})
         .Add();
     co_return false;
   }
-  connection::event::asio::steady_timer timer(parts_.loop,
-                                              options_.rejected_within);
-  timer.async_wait([this, held, alive = alive_](const ErrorCode& ec) {
-    if (!ec && *alive && *held) {
-      parts_.allowance.Release(service_, **held, parts_.clock());
-      held->reset();
+  connection::event::asio::steady_timer timer(deps_.loop,
+                                              options_.rejection_window);
+  timer.async_wait([this, reserved, alive = alive_](const ErrorCode& ec) {
+    if (!ec && *alive && *reserved) {
+      deps_.retry_budget.Release(service_, **reserved, deps_.clock());
+      reserved->reset();
     }
   });
-  const bool read = co_await SendRead(pick, &may_count);
-  if (*held && may_count) {
-    parts_.allowance.Charge(service_, **held);
-  } else if (*held) {
-    parts_.allowance.Release(service_, **held, parts_.clock());
+  const bool prefilled = co_await SendPrefill(pick, &may_count);
+  if (*reserved && may_count) {
+    deps_.retry_budget.Charge(service_, **reserved);
+  } else if (*reserved) {
+    deps_.retry_budget.Release(service_, **reserved, deps_.clock());
   } else if (may_count) {
-    parts_.allowance.ChargeLate(service_, parts_.clock());
+    deps_.retry_budget.ChargeLate(service_, deps_.clock());
   }
-  held->reset();
-  co_return read;
+  reserved->reset();
+  co_return prefilled;
 }
 
-Awaitable<bool> RelayRun::SendRead(const EnginePick& pick, bool* may_count) {
-  const auto endpoint = EndpointOf(*pick.reader);
+Awaitable<bool> RelayRun::SendPrefill(const EnginePick& pick, bool* may_count) {
+  const auto endpoint = EndpointOf(*pick.prefill_engine);
   if (!endpoint) {
-    ++failed_reads_;
+    ++failed_prefills_;
     co_return false;
   }
-  const base::Time begun = parts_.clock();
-  EngineUse use(pick.reader, Priority(), pick.unread_tokens, pick.read_time,
-                begun);
+  const base::Time started_at = deps_.clock();
+  InFlightRequest in_flight(pick.prefill_engine, Priority(),
+                            pick.prefill_tokens, pick.prefill_time, started_at);
   SendTerms terms;
-  terms.target = pick.reader;
+  terms.target = pick.prefill_engine;
   terms.time_left = TimeLeft();
   terms.priority = Priority();
-  terms.read_only = true;
+  terms.prefill_only = true;
   terms.fetch_from = pick.fetch_from;
-  NoteTry(*pick.reader);
-  const int entry_changes = pick.reader->entry_changes;
-  Exchange exchange(parts_.channels);
+  RecordAttempt(*pick.prefill_engine);
+  const int entry_changes = pick.prefill_engine->entry_changes;
+  Exchange exchange(deps_.channels);
   current_ = &exchange;
   const ExchangeState state = co_await exchange.Start(
-      *endpoint, Message(terms), AnswerFilter(), /*careful=*/false);
-  NoteReach(*pick.reader, exchange);
+      *endpoint, Message(terms), AnswerFilter(), /*recent_only=*/false);
+  RecordReach(*pick.prefill_engine, exchange);
   bool rejected = false;
   if (state == ExchangeState::kHead || state == ExchangeState::kWhole) {
-    const AnswerFacts facts = parts_.protocol.read_answer(exchange.head());
-    NoteLoad(*pick.reader, facts);
-    if (facts.other_target) {
-      NoteMisdirected(*pick.reader, entry_changes, parts_.clock());
+    const AnswerInfo info = deps_.protocol.parse_answer(exchange.head());
+    RecordLoad(*pick.prefill_engine, info);
+    if (info.misdirected) {
+      MarkMisdirected(*pick.prefill_engine, entry_changes, deps_.clock());
     }
-    const std::string body = co_await exchange.Rest(kMaxSideAnswerBytes);
+    const std::string body =
+        co_await exchange.ReadRest(kMaxInternalAnswerBytes);
     const bool good = exchange.state() == ExchangeState::kWhole &&
                       exchange.head().result() == http::status::ok;
-    const auto handle = good ? parts_.protocol.read_handle(body) : std::nullopt;
+    const auto handle = good ? deps_.protocol.parse_handle(body) : std::nullopt;
     if (handle) {
-      source_ = KvSource{pick.reader, *handle};
+      source_ = KvSource{pick.prefill_engine, *handle};
     }
     rejected = !handle;
   }
   current_ = nullptr;
   if (source_) {
-    use.PromptRead(parts_.clock());
-    LearnRead(pick, parts_.clock() - begun);
-    pick.reader->health.OnAccepted();
-    ++accepted_reads_;
-    prompt_read_at_ = Elapsed();
+    in_flight.OnPrefillDone(deps_.clock());
+    RecordPrefill(pick, deps_.clock() - started_at);
+    pick.prefill_engine->health.OnAccepted();
+    ++accepted_prefills_;
+    prefilled_at_ = Elapsed();
     co_return true;
   }
-  // An engine that could not be reached has read nothing in vain.
-  failed_reads_ += state == ExchangeState::kNotSent ? 0 : 1;
-  if (!Stopped()) {
-    pick.reader->health.OnFailure(parts_.clock());
-    parts_.metrics.GetCounter("lynxglade_prompt_reads_failed_total").Add();
+  // An unreachable engine did no work and counts in unreachable_ instead.
+  failed_prefills_ += state == ExchangeState::kNotSent ? 0 : 1;
+  if (!IsStopped()) {
+    pick.prefill_engine->health.OnFailure(deps_.clock());
+    deps_.metrics.GetCounter("lynxglade_prompt_reads_failed_total").Add();
   }
   *may_count = rejected || (exchange.sent() && !exchange.unacknowledged());
   base::Log(base::LogLevel::kInfo, "reading_failed",
             {{"request", terms_.request_id},
-             {"reader", pick.reader->entry.id.str()},
+             {"reader", pick.prefill_engine->entry.id.str()},
              {"rejected", rejected},
              {"status",
               rejected ? static_cast<std::int64_t>(exchange.head().result_int())
                        : std::int64_t{0}},
              {"counts", *may_count},
-             {"stopped", Stopped()},
-             {"ms", base::ToMillis(parts_.clock() - begun)}});
+             {"stopped", IsStopped()},
+             {"ms", base::ToMillis(deps_.clock() - started_at)}});
   co_return false;
 }
 
-void RelayRun::LearnRead(const EnginePick& pick, base::Duration took) {
-  if (!pick.alone) {
+void RelayRun::RecordPrefill(const EnginePick& pick, base::Duration took) {
+  if (!pick.no_other_prefills) {
     return;
   }
   if (pick.fetch_from) {
-    parts_.read_times.LearnFetchedRead(*pick.reader, pick.unread_tokens, took);
+    deps_.prefill_times.RecordPrefillAfterFetch(*pick.prefill_engine,
+                                                pick.prefill_tokens, took);
   } else {
-    parts_.read_times.LearnRead(*pick.reader, pick.unread_tokens, took);
+    deps_.prefill_times.RecordPrefill(*pick.prefill_engine, pick.prefill_tokens,
+                                      took);
   }
 }
 
-// The cache would hold memory until its time runs out.
-Awaitable<void> RelayRun::FreeSource() {
+// Otherwise the cache would use memory until it expires.
+Awaitable<void> RelayRun::ReleaseKvSource() {
   if (!source_) {
     co_return;
   }
@@ -193,88 +197,89 @@
   if (!endpoint) {
     co_return;
   }
-  // What cannot be freed is given up by its engine when its time runs out.
-  co_await Call(parts_.loop, parts_.channels, *endpoint,
-                parts_.protocol.free_handle(source), {.timeout = kFreePatience},
-                nullptr);
+  // If this fails, the cache expires at its engine.
+  co_await Call(deps_.loop, deps_.channels, *endpoint,
+                deps_.protocol.free_handle(source),
+                {.timeout = kReleaseTimeout}, nullptr);
 }
 
-Awaitable<AttemptEnd> RelayRun::RunAt(const EnginePick& pick) {
+Awaitable<AttemptEnd> RelayRun::SendRequest(const EnginePick& pick) {
   const EngineHandle target = pick.runner;
   const auto endpoint = EndpointOf(*target);
   tried_.push_back(target->entry.id);
   if (!endpoint) {
     co_return AttemptEnd::kNotRun;
   }
-  const bool reads = !source_;
-  EngineUse use(target, Priority(), reads ? pick.unread_tokens : 0,
-                pick.read_time, parts_.clock());
+  const bool prefills = !source_;
+  InFlightRequest in_flight(target, Priority(),
+                            prefills ? pick.prefill_tokens : 0,
+                            pick.prefill_time, deps_.clock());
   SendTerms terms;
   terms.target = target;
   terms.time_left = TimeLeft();
   terms.priority = Priority();
   terms.source = source_;
-  terms.fetch_from = reads ? pick.fetch_from : nullptr;
+  terms.fetch_from = prefills ? pick.fetch_from : nullptr;
   terms.last_event_id =
       events_.last_id().empty() ? terms_.last_event_id : events_.last_id();
-  NoteTry(*target);
+  RecordAttempt(*target);
   const int entry_changes = target->entry_changes;
-  Exchange exchange(parts_.channels);
+  Exchange exchange(deps_.channels);
   current_ = &exchange;
   const ExchangeState state = co_await exchange.Start(
-      *endpoint, Message(terms), AnswerFilter(), !route_->MayRepeat());
-  NoteReach(*target, exchange);
-  use.PromptRead(parts_.clock());
+      *endpoint, Message(terms), AnswerFilter(), !route_->CanRetry());
+  RecordReach(*target, exchange);
+  in_flight.OnPrefillDone(deps_.clock());
   AttemptEnd end = AttemptEnd::kNotRun;
   if (state == ExchangeState::kHead || state == ExchangeState::kWhole) {
-    end = co_await TakeAnswer(exchange, target, entry_changes);
+    end = co_await HandleAnswer(exchange, target, entry_changes);
   } else {
     runs_ += exchange.sent() ? 1 : 0;
-    end = EndOfBroken(exchange, target);
+    end = EndAfterFailure(exchange, target);
   }
   current_ = nullptr;
   co_return end;
 }
 
-Awaitable<AttemptEnd> RelayRun::TakeAnswer(Exchange& exchange,
-                                           const EngineHandle& target,
-                                           int entry_changes) {
-  const AnswerFacts facts = parts_.protocol.read_answer(exchange.head());
-  NoteLoad(*target, facts);
-  if (facts.other_target) {
-    NoteMisdirected(*target, entry_changes, parts_.clock());
+Awaitable<AttemptEnd> RelayRun::HandleAnswer(Exchange& exchange,
+                                             const EngineHandle& target,
+                                             int entry_changes) {
+  const AnswerInfo info = deps_.protocol.parse_answer(exchange.head());
+  RecordLoad(*target, info);
+  if (info.misdirected) {
+    MarkMisdirected(*target, entry_changes, deps_.clock());
   }
   const unsigned status = exchange.head().result_int();
-  if (facts.outcome == base::Outcome::kNotRun) {
-    NoteRejection(*target, facts);
-    co_await exchange.Rest(kMaxSideAnswerBytes);
-    co_return Stopped() ? AttemptEnd::kStopped : AttemptEnd::kNotRun;
+  if (info.outcome == base::Outcome::kNotRun) {
+    RecordRejection(*target, info);
+    co_await exchange.ReadRest(kMaxInternalAnswerBytes);
+    co_return IsStopped() ? AttemptEnd::kStopped : AttemptEnd::kNotRun;
   }
   ++runs_;
-  if (facts.proved) {
+  if (info.authenticated) {
     target->health.OnAccepted();
   }
-  if (status < kFirstFailure && !facts.proved) {
+  if (status < kFirstFailure && !info.authenticated) {
     exchange.Cancel();
-    co_return EndOfBroken(exchange, target);
+    co_return EndAfterFailure(exchange, target);
   }
   const bool stream =
       route_->kind == RouteKind::kStream && status < kFirstFailure;
   if (stream) {
-    co_return co_await PassStream(exchange, target);
+    co_return co_await ForwardStream(exchange, target);
   }
   if (reply_.begun()) {
-    co_return AttemptEnd::kTorn;
+    co_return AttemptEnd::kBroken;
   }
-  co_return co_await TakeHeld(exchange, target);
+  co_return co_await ForwardBuffered(exchange, target);
 }
 
-Awaitable<AttemptEnd> RelayRun::TakeHeld(Exchange& exchange,
-                                         const EngineHandle& target) {
+Awaitable<AttemptEnd> RelayRun::ForwardBuffered(Exchange& exchange,
+                                                const EngineHandle& target) {
   std::string body;
   while (exchange.state() == ExchangeState::kHead &&
-         body.size() <= options_.max_held_bytes) {
-    body.append(co_await exchange.Next());
+         body.size() <= options_.max_buffered_bytes) {
+    body.append(co_await exchange.ReadSome());
   }
   if (exchange.state() == ExchangeState::kHead) {
     reply_.Begin(HeadForCaller(exchange.head()));
@@ -282,14 +287,14 @@
     if (!sent) {
       co_return AttemptEnd::kFinished;
     }
-    co_return co_await PassStream(exchange, target);
+    co_return co_await ForwardStream(exchange, target);
   }
   if (exchange.state() != ExchangeState::kWhole) {
-    co_return EndOfBroken(exchange, target);
+    co_return EndAfterFailure(exchange, target);
   }
   AnswerHead head = HeadForCaller(exchange.head());
   if (head.status >= kFirstServerFailure) {
-    kept_ = KeptAnswer{std::move(head), std::move(body)};
+    saved_answer_ = SavedAnswer{std::move(head), std::move(body)};
     co_return AttemptEnd::kFailed;
   }
   status_ = head.status;
@@ -297,17 +302,17 @@
   co_return AttemptEnd::kFinished;
 }
 
-Awaitable<AttemptEnd> RelayRun::PassStream(Exchange& exchange,
-                                           const EngineHandle& target) {
+Awaitable<AttemptEnd> RelayRun::ForwardStream(Exchange& exchange,
+                                              const EngineHandle& target) {
   const bool events = route_->kind == RouteKind::kStream;
   bool sent = true;
   while (sent && exchange.state() == ExchangeState::kHead) {
-    const std::string_view bytes = co_await exchange.Next();
+    const std::string_view bytes = co_await exchange.ReadSome();
     const int events_before = events_.events();
     const std::string piece = events ? events_.Feed(bytes) : std::string(bytes);
     if (!piece.empty()) {
-      sent = co_await PassPiece(exchange, *target,
-                                events_.events() - events_before, piece);
+      sent = co_await ForwardPiece(exchange, *target,
+                                   events_.events() - events_before, piece);
     }
   }
   if (!sent) {
@@ -315,80 +320,81 @@
     co_return AttemptEnd::kFinished;
   }
   if (exchange.state() != ExchangeState::kWhole) {
-    events_.DropTail();
-    co_return EndOfBroken(exchange, target);
+    events_.DiscardPartial();
+    co_return EndAfterFailure(exchange, target);
   }
-  if (events && !events_.tail().empty()) {
-    co_await PassPiece(exchange, *target, 0, events_.tail());
+  if (events && !events_.partial().empty()) {
+    co_await ForwardPiece(exchange, *target, 0, events_.partial());
   }
   if (!reply_.begun()) {
     reply_.Begin(HeadForCaller(exchange.head()));
   }
   status_ = exchange.head().result_int();
   if (runs_ == 1 && terms_.last_event_id.empty()) {
-    parts_.generation_times.LearnSize(service_, terms_.expected_tokens,
-                                      events_.events());
+    deps_.generation_times.RecordAnswerSize(service_, terms_.expected_tokens,
+                                            events_.events());
   }
   co_await reply_.End();
   co_return AttemptEnd::kFinished;
 }
 
-Awaitable<bool> RelayRun::PassPiece(Exchange& exchange,
-                                    Engine& target,
-                                    int events,
-                                    std::string_view bytes) {
+Awaitable<bool> RelayRun::ForwardPiece(Exchange& exchange,
+                                       Engine& target,
+                                       int events,
+                                       std::string_view bytes) {
   const base::Duration now = Elapsed();
   if (!reply_.begun()) {
     first_bytes_at_ = now;
-    if (prompt_read_at_) {
-      parts_.read_times.LearnHandover(service_, now - *prompt_read_at_);
+    if (prefilled_at_) {
+      deps_.prefill_times.RecordHandover(service_, now - *prefilled_at_);
     }
     reply_.Begin(HeadForCaller(exchange.head()));
   } else {
     longest_pause_ = std::max(longest_pause_, now - last_bytes_at_);
-    LearnPace(target, events, now - last_bytes_at_);
+    RecordPace(target, events, now - last_bytes_at_);
   }
   last_bytes_at_ = now;
   co_return co_await reply_.SendPiece(bytes);
 }
 
-// Without a report of late nothing is known of what others have there.
-void RelayRun::LearnPace(Engine& target, int events, base::Duration took) {
-  const base::Time now = parts_.clock();
+// Without a fresh load report the number of requests of other instances is
+// unknown.
+void RelayRun::RecordPace(Engine& target, int events, base::Duration took) {
+  const base::Time now = deps_.clock();
   if (events > 0 && HasFreshReport(target, now)) {
-    parts_.generation_times.LearnEvent(target, KnownLoad(target, now),
+    deps_.generation_times.RecordEvent(target, KnownLoad(target, now),
                                        took / events);
   }
 }
 
-AttemptEnd RelayRun::EndOfBroken(Exchange& exchange,
-                                 const EngineHandle& target) {
+AttemptEnd RelayRun::EndAfterFailure(Exchange& exchange,
+                                     const EngineHandle& target) {
   const bool sent = exchange.sent();
   if (sent) {
     outcome_unknown_ = true;
   }
-  if (Stopped()) {
+  if (IsStopped()) {
     return AttemptEnd::kStopped;
   }
-  target->health.OnFailure(parts_.clock());
+  target->health.OnFailure(deps_.clock());
   if (!sent) {
     return AttemptEnd::kNotRun;
   }
-  return reply_.begun() ? AttemptEnd::kTorn : AttemptEnd::kUnknown;
+  return reply_.begun() ? AttemptEnd::kBroken : AttemptEnd::kUnknown;
 }
 
-void RelayRun::NoteTry(Engine& engine) {
-  engine.health.OnTry(parts_.clock());
-  parts_.zones.OnTry(engine.entry.zone, parts_.clock());
+void RelayRun::RecordAttempt(Engine& engine) {
+  engine.health.OnTry(deps_.clock());
+  deps_.zones.OnTry(engine.entry.zone, deps_.clock());
 }
 
-void RelayRun::NoteReach(const Engine& engine, const Exchange& exchange) {
+void RelayRun::RecordReach(const Engine& engine, const Exchange& exchange) {
   const ExchangeState state = exchange.state();
   if (state == ExchangeState::kHead || state == ExchangeState::kWhole) {
-    parts_.zones.OnReached(engine.entry.zone);
+    deps_.zones.OnReached(engine.entry.zone);
   } else if (state == ExchangeState::kNotSent) {
-    parts_.zones.OnUnreachable(engine.entry.zone, engine.entry.id,
-                               parts_.clock());
+    deps_.zones.OnUnreachable(engine.entry.zone, engine.entry.id,
+                              deps_.clock());
     ++unreachable_;
   }
   if (exchange.sent() && !exchange.unacknowledged()) {
@@ -396,26 +402,26 @@
   }
 }
 
-void RelayRun::NoteRejection(Engine& runner, const AnswerFacts& facts) {
+void RelayRun::RecordRejection(Engine& runner, const AnswerInfo& info) {
   ++rejections_;
-  if (facts.other_target) {
-    runner.health.OnFailure(parts_.clock());
+  if (info.misdirected) {
+    runner.health.OnFailure(deps_.clock());
   } else if (!IsFull(runner)) {
-    runner.health.OnRejection(source_.has_value(), parts_.clock());
+    runner.health.OnRejection(source_.has_value(), deps_.clock());
   }
 }
 
-void RelayRun::NoteLoad(Engine& engine, const AnswerFacts& facts) {
-  if (facts.load) {
-    engine.reported = *facts.load;
-    engine.reported_at = parts_.clock();
+void RelayRun::RecordLoad(Engine& engine, const AnswerInfo& info) {
+  if (info.load) {
+    engine.reported = *info.load;
+    engine.reported_at = deps_.clock();
   }
 }
 
 OutgoingRequest RelayRun::Message(const SendTerms& terms) const {
   connection::event::RequestHead head = request_->head;
   connection::event::EraseHopHeaders(head);
-  parts_.protocol.address(head, terms);
+  deps_.protocol.rewrite_head(head, terms);
   OutgoingRequest message(std::move(head), request_->body);
   message.version(kHttp11);
   message.keep_alive(true);
@@ -427,7 +433,7 @@
 
 connection::event::AnswerFilter RelayRun::AnswerFilter() const {
   return [this](const ResponseHead& head, bool fresh) {
-    return parts_.protocol.is_answer_to(head, terms_.request_id, fresh);
+    return deps_.protocol.is_answer_to(head, terms_.request_id, fresh);
   };
 }
 
--- a/src/request/passthrough/relay_report.cc
+++ b/src/request/passthrough/relay_report.cc
@@ -1,4 +1,4 @@
-// What a request's end looks like to its caller and in the logs.
+// How a request's end is reported to its caller, in logs and in metrics.
 #include <algorithm>
 #include <array>
 #include <chrono>
@@ -18,8 +18,8 @@
 using connection::event::Awaitable;
 namespace http = connection::event::http;
 
-// What an end without a target's answer looks like to the caller. Those that
-// promise that the request has not run and never will tell when to come back.
+// Reply to the caller if there is no target's answer. Those that promise that
+// the request has not run and will not run carry Retry-After.
 struct Refusal {
   EndReason reason;
   unsigned status;
@@ -34,22 +34,22 @@
     Refusal{EndReason::kMalformedTerms, 400, "Bad Request", false},
     Refusal{EndReason::kNoService, 503, "Service Unavailable", true},
     Refusal{EndReason::kNoTarget, 503, "Service Unavailable", true},
-    Refusal{EndReason::kHopeless, 503, "Service Unavailable", true},
-    Refusal{EndReason::kFilled, 503, "Service Unavailable", true},
-    Refusal{EndReason::kAllowance, 503, "Service Unavailable", true},
+    Refusal{EndReason::kWaitTooLong, 503, "Service Unavailable", true},
+    Refusal{EndReason::kNoCapacity, 503, "Service Unavailable", true},
+    Refusal{EndReason::kRetryBudget, 503, "Service Unavailable", true},
     Refusal{EndReason::kRejected, 503, "Service Unavailable", true},
     Refusal{EndReason::kUnknownOutcome, 502, "Bad Gateway", false},
     Refusal{EndReason::kTimeout, 504, "Gateway Timeout", false},
 };
 
-// Seconds with a fraction, as Retry-After.
+// Seconds with two decimals, for Retry-After.
 std::string SecondsText(double seconds) {
   std::array<char, 32> buf{};
   const int n = std::snprintf(buf.data(), buf.size(), "%.2f", seconds);
   return std::string(buf.data(), static_cast<std::size_t>(std::max(n, 0)));
 }
 
-// -1 for what has not happened, in log lines.
+// -1 if unset, for log lines.
 std::int64_t MillisOrNone(const std::optional<base::Duration>& d) {
   return d ? base::ToMillis(*d) : -1;
 }
@@ -70,11 +70,11 @@
       return "no_service";
     case EndReason::kNoTarget:
       return "no_target";
-    case EndReason::kHopeless:
+    case EndReason::kWaitTooLong:
       return "hopeless";
-    case EndReason::kFilled:
+    case EndReason::kNoCapacity:
       return "filled";
-    case EndReason::kAllowance:
+    case EndReason::kRetryBudget:
       return "allowance";
     case EndReason::kRejected:
       return "rejected";
@@ -96,7 +96,7 @@
       return "failed";
     case AttemptEnd::kUnknown:
       return "unknown";
-    case AttemptEnd::kTorn:
+    case AttemptEnd::kBroken:
       return "torn";
     case AttemptEnd::kStopped:
       break;
@@ -104,9 +104,10 @@
   return "stopped";
 }
 
-Awaitable<void> RelayRun::SendKept() {
-  status_ = kept_->head.status;
-  co_await reply_.SendWhole(std::move(kept_->head), kept_->body);
+Awaitable<void> RelayRun::SendSavedAnswer() {
+  status_ = saved_answer_->head.status;
+  co_await reply_.SendWhole(std::move(saved_answer_->head),
+                            saved_answer_->body);
 }
 
 Awaitable<void> RelayRun::Refuse(EndReason reason) {
@@ -114,7 +115,7 @@
       *std::ranges::find(kRefusals, reason, &Refusal::reason);
   ended_by_ = ToString(reason);
   status_ = refusal.status;
-  parts_.metrics
+  deps_.metrics
       .GetCounter("lynxglade_refusals_total",
                   {{"reason", std::string(ToString(reason))}})
       .Add();
@@ -124,19 +125,19 @@
   if (refusal.promises_not_run) {
     const base::Duration part = std::chrono::duration_cast<base::Duration>(
         options_.retry_after_of_time_left * TimeLeft());
-    const double least =
+    const double min_seconds =
         std::chrono::duration<double>(std::max(options_.retry_after, part))
             .count();
     head.fields.set(
         http::field::retry_after,
-        SecondsText(least * (1 + base::UniformReal(parts_.random))));
+        SecondsText(min_seconds * (1 + base::UniformReal(deps_.random))));
   }
   co_await reply_.SendWhole(std::move(head), {});
 }
 
-void RelayRun::LogUnwanted(const EnginePick& pick, EndReason reason) const {
+void RelayRun::LogNotAttempted(const EnginePick& pick, EndReason reason) const {
   const Engine& runner = *pick.runner;
-  const base::Time now = parts_.clock();
+  const base::Time now = deps_.clock();
   Log(LogLevel::kInfo, "not_attempted",
       {{"request", terms_.request_id},
        {"reason", ToString(reason)},
@@ -144,7 +145,7 @@
        {"load", KnownLoad(runner, now)},
        {"load_age_ms", base::ToMillis(now - runner.reported_at)},
        {"slots", runner.entry.slots},
-       {"room", static_cast<std::int64_t>(parts_.answers.Room(runner, now))},
+       {"room", static_cast<std::int64_t>(deps_.answers.Capacity(runner, now))},
        {"wait_ms", base::ToMillis(pick.wait)},
        {"expected_ms", base::ToMillis(pick.expected)},
        {"expected_tokens", terms_.expected_tokens},
@@ -152,7 +153,7 @@
 }
 
 void RelayRun::LogAttempt(const EnginePick& pick, AttemptEnd end) const {
-  parts_.metrics
+  deps_.metrics
       .GetCounter("lynxglade_attempt_ends_total",
                   {{"end", std::string(ToString(end))}})
       .Add();
@@ -161,30 +162,31 @@
       {{"request", terms_.request_id},
        {"route", route_->name},
        {"target", tried_.empty() ? runner.entry.id.str() : tried_.back().str()},
-       {"reader", pick.reader ? pick.reader->entry.id.str() : std::string()},
+       {"reader", pick.prefill_engine ? pick.prefill_engine->entry.id.str()
+                                      : std::string()},
        {"fetch_from",
         pick.fetch_from ? pick.fetch_from->entry.id.str() : std::string()},
        {"shared_part",
         terms_.prompt.Shared() ? terms_.prompt.Shared()->id : std::string()},
-       {"unread_tokens", pick.unread_tokens},
+       {"unread_tokens", pick.prefill_tokens},
        {"late", late_},
        {"wait_ms", base::ToMillis(pick.wait)},
-       {"read_ms", base::ToMillis(pick.read_time)},
+       {"read_ms", base::ToMillis(pick.prefill_time)},
        {"expected_ms", base::ToMillis(pick.expected)},
        {"in_flight", runner.in_flight},
-       {"targets_age_ms", base::ToMillis(parts_.view_age())},
+       {"targets_age_ms", base::ToMillis(deps_.view_age())},
        {"configuration", table_->version()},
        {"end", ToString(end)},
-       {"prompt_read_ms", MillisOrNone(prompt_read_at_)},
+       {"prompt_read_ms", MillisOrNone(prefilled_at_)},
        {"first_bytes_ms", MillisOrNone(first_bytes_at_)},
        {"longest_pause_ms", base::ToMillis(longest_pause_)},
        {"ms", base::ToMillis(Elapsed())}});
 }
 
 void RelayRun::LogEnd() const {
-  parts_.metrics.GetLatency("lynxglade_answer_seconds").Record(Elapsed());
+  deps_.metrics.GetLatency("lynxglade_answer_seconds").Record(Elapsed());
   if (first_bytes_at_) {
-    parts_.metrics.GetLatency("lynxglade_first_bytes_seconds")
+    deps_.metrics.GetLatency("lynxglade_first_bytes_seconds")
         .Record(*first_bytes_at_);
   }
   Log(LogLevel::kInfo, "request_end",
@@ -195,7 +197,7 @@
        {"by", ended_by_},
        {"prompt_tokens", terms_.prompt.TotalTokens()},
        {"expected_tokens", terms_.expected_tokens},
-       {"most_tokens", terms_.most_tokens},
+       {"most_tokens", terms_.max_tokens},
        {"events", events_.events()},
        {"first_bytes_ms", MillisOrNone(first_bytes_at_)},
        {"status", status_},
--- a/src/request/passthrough/relay_run.cc
+++ b/src/request/passthrough/relay_run.cc
@@ -21,8 +21,8 @@
 using connection::event::View;
 namespace http = connection::event::http;
 
-// Times a prompt's separate reading may fail before the run goes without.
-constexpr int kMaxFailedReads = 1;
+// Failed separate prefills after which the runner prefills the prompt itself.
+constexpr int kMaxFailedPrefills = 1;
 
 std::string_view PathOf(std::string_view target) {
   return target.substr(0, target.find('?'));
@@ -30,19 +30,19 @@
 
 }  // namespace
 
-RelayRun::RelayRun(RelayParts& parts,
+RelayRun::RelayRun(RelayDependencies& deps,
                    const RelayOptions& options,
                    std::shared_ptr<connection::event::CallerRequest> request,
                    connection::event::CallerReply& reply)
-    : parts_(parts),
+    : deps_(deps),
       options_(options),
       request_(std::move(request)),
       reply_(reply),
-      timer_(parts.loop) {}
+      timer_(deps.loop) {}
 
 RelayRun::~RelayRun() {
   *alive_ = false;
-  reply_.OnGone({});
+  reply_.OnDisconnect({});
 }
 
 Awaitable<void> RelayRun::Run() {
@@ -51,9 +51,9 @@
     LogEnd();
     co_return;
   }
-  parts_.allowance.OnRequest(service_, parts_.clock());
+  deps_.retry_budget.OnRequest(service_, deps_.clock());
   StartTimer();
-  reply_.OnGone([this] {
+  reply_.OnDisconnect([this] {
     if (current_) {
       current_->Cancel();
     }
@@ -63,10 +63,10 @@
 }
 
 std::optional<EndReason> RelayRun::Admit() {
-  if (!parts_.accepts()) {
+  if (!deps_.accepts()) {
     return EndReason::kStopping;
   }
-  table_ = parts_.routes();
+  table_ = deps_.routes();
   if (!table_) {
     return EndReason::kNoConfiguration;
   }
@@ -77,13 +77,13 @@
     return EndReason::kNoRoute;
   }
   std::string reason;
-  auto terms = parts_.protocol.read_terms(head, &reason);
+  auto terms = deps_.protocol.parse_terms(head, &reason);
   if (!terms) {
     Log(LogLevel::kWarning, "request_malformed", {{"reason", reason}});
     return EndReason::kMalformedTerms;
   }
   terms_ = std::move(*terms);
-  SetDeadline(terms_.patience);
+  SetDeadline(terms_.timeout);
   const base::ServiceName* service =
       RouteTable::PickService(*route_, base::Hash64(terms_.request_id));
   if (!service) {
@@ -93,8 +93,8 @@
   return std::nullopt;
 }
 
-void RelayRun::SetDeadline(std::optional<base::Duration> patience) {
-  base::Duration wait = patience.value_or(options_.default_patience);
+void RelayRun::SetDeadline(std::optional<base::Duration> timeout) {
+  base::Duration wait = timeout.value_or(options_.default_timeout);
   if (route_->timeout > base::Duration::zero()) {
     wait = std::min(wait, route_->timeout);
   }
@@ -122,122 +122,127 @@
     if (!pick.runner) {
       break;
     }
-    if (reads_denied_ && runs_ == 0 && parts_.choice.Disturbs(pick)) {
-      // Read by the engine that runs it, it would make streams of others fail.
-      co_await Refuse(EndReason::kAllowance);
+    if (prefill_denied_ && runs_ == 0 &&
+        deps_.picker.PrefillStallsDecode(pick)) {
+      // Prefilled by its runner, the prompt would stall other requests'
+      // streams.
+      co_await Refuse(EndReason::kRetryBudget);
       co_return;
     }
-    if (const auto reason = first ? Unwanted(pick) : std::nullopt) {
-      LogUnwanted(pick, *reason);
+    if (const auto reason = first ? CheckFirstAttempt(pick) : std::nullopt) {
+      LogNotAttempted(pick, *reason);
       co_await Refuse(*reason);
       co_return;
     }
-    const auto paid = co_await Pay(pick, end);
+    const auto paid = co_await ReserveRetry(pick, end);
     if (!paid) {
       break;
     }
     const int arrivals_before = arrivals_;
     end = co_await Attempt(pick);
     if (arrivals_ > arrivals_before) {
-      parts_.allowance.Charge(service_, *paid);
+      deps_.retry_budget.Charge(service_, *paid);
     } else {
-      parts_.allowance.Release(service_, *paid, parts_.clock());
+      deps_.retry_budget.Release(service_, *paid, deps_.clock());
     }
     LogAttempt(pick, end);
-    if (end == AttemptEnd::kFinished || !MayGoOn(end)) {
+    if (end == AttemptEnd::kFinished || !MayRetry(end)) {
       break;
     }
   }
   if (end != AttemptEnd::kFinished) {
     co_await Finish(end);
   }
-  co_await FreeSource();
+  co_await ReleaseKvSource();
 }
 
 EnginePick RelayRun::PickFirst() {
   EnginePick pick = Pick();
-  if (late_ || !MissesGoal({pick.wait, pick.expected}, route_->target_latency,
+  if (late_ ||
+      !MissesLatencyTarget({pick.wait, pick.expected}, route_->target_latency,
                            options_.admission)) {
     return pick;
   }
   late_ = true;
-  parts_.metrics.GetCounter("lynxglade_late_requests_total").Add();
+  deps_.metrics.GetCounter("lynxglade_late_requests_total").Add();
   return Pick();
 }
 
-std::optional<EndReason> RelayRun::Unwanted(const EnginePick& pick) const {
-  if (IsHopeless({pick.wait, pick.expected}, TimeToBegin(),
-                 options_.admission)) {
-    return EndReason::kHopeless;
+std::optional<EndReason> RelayRun::CheckFirstAttempt(
+    const EnginePick& pick) const {
+  if (ExceedsCallerTimeout({pick.wait, pick.expected}, FirstByteTimeout(),
+                           options_.admission)) {
+    return EndReason::kWaitTooLong;
   }
-  const AskedAnswer asked{.expected_tokens = terms_.expected_tokens,
-                          .most_tokens = terms_.most_tokens,
-                          .timeout = route_->timeout};
-  if (!parts_.answers.Admit(*pick.runner, route_->name, asked,
-                            parts_.clock())) {
-    return EndReason::kFilled;
+  const RequestedAnswer answer{.expected_tokens = terms_.expected_tokens,
+                               .max_tokens = terms_.max_tokens,
+                               .timeout = route_->timeout};
+  if (!deps_.answers.Admit(*pick.runner, route_->name, answer, deps_.clock())) {
+    return EndReason::kNoCapacity;
   }
   return std::nullopt;
 }
 
-base::Duration RelayRun::TimeToBegin() const {
+base::Duration RelayRun::FirstByteTimeout() const {
   if (route_->kind != RouteKind::kStream) {
     return TimeLeft();
   }
-  return std::min(TimeLeft(), route_->PausePatience() - Elapsed());
+  return std::min(TimeLeft(), route_->EventTimeout() - Elapsed());
 }
 
 int RelayRun::Priority() const noexcept {
-  return route_->priority + (late_ ? kLateRank : 0);
+  return route_->priority + (late_ ? kLatePriorityOffset : 0);
 }
 
-// KV cache that waits goes with the request to another engine.
+// A KV cache that is already held by an engine is kept for the next runner.
 EnginePick RelayRun::Pick() {
-  const auto& engines = parts_.engines.OfService(service_);
-  const ChoiceQuery query{
+  const auto& engines = deps_.engines.OfService(service_);
+  const EnginePickQuery query{
       .prompt = terms_.prompt,
       .priority = Priority(),
       .tried = tried_,
-      .most_in_flight = MostInFlight(),
-      .pairs = failed_reads_ <= kMaxFailedReads && runs_ == 0 && !reads_denied_,
-      .now = parts_.clock()};
+      .max_in_flight = MaxInFlight(),
+      .allow_separate_prefill = failed_prefills_ <= kMaxFailedPrefills &&
+                                runs_ == 0 && !prefill_denied_,
+      .now = deps_.clock()};
   if (!source_) {
-    return parts_.choice.Pick(engines, query);
+    return deps_.picker.Pick(engines, query);
   }
   EnginePick pick;
-  pick.runner = parts_.choice.PickDecoder(engines, *source_->engine, query);
-  pick.reader = source_->engine;
+  pick.runner = deps_.picker.PickDecodeEngine(engines, *source_->engine, query);
+  pick.prefill_engine = source_->engine;
   return pick;
 }
 
-int RelayRun::MostInFlight() const {
-  // Idle connections count at the target, too, and counts of instances lag.
-  constexpr int kLeast = 4;
+int RelayRun::MaxInFlight() const {
+  // Idle connections count at the target too, and instance counts lag behind.
+  constexpr int kMinInFlight = 4;
   const ServiceTerms* service = table_->FindService(service_);
   if (!service || service->max_connections == 0) {
     return std::numeric_limits<int>::max();
   }
-  return std::max(service->max_connections / std::max(parts_.instances(), 1),
-                  kLeast);
+  return std::max(service->max_connections / std::max(deps_.instances(), 1),
+                  kMinInFlight);
 }
 
-Awaitable<std::optional<HeldArrivals>> RelayRun::Pay(const EnginePick& pick,
-                                                     AttemptEnd after) {
-  const bool reads = pick.reader && !source_;
+Awaitable<std::optional<ReservedArrivals>> RelayRun::ReserveRetry(
+    const EnginePick& pick,
+    AttemptEnd after) {
+  const bool prefills = pick.prefill_engine && !source_;
   const int arrivals = (runs_ + rejections_ > 0 ? 1 : 0) +
-                       (reads && accepted_reads_ > 0 ? 1 : 0);
+                       (prefills && accepted_prefills_ > 0 ? 1 : 0);
   if (arrivals == 0) {
-    co_return parts_.allowance.TryHold(service_, 0, ArrivalUse::kRetry,
-                                       parts_.instances(), parts_.clock());
+    co_return deps_.retry_budget.TryReserve(service_, 0, ArrivalPurpose::kRetry,
+                                            deps_.instances(), deps_.clock());
   }
-  std::optional<HeldArrivals> held;
-  const std::function<bool(base::Time)> hold = [&](base::Time now) {
-    held = parts_.allowance.TryHold(service_, arrivals, ArrivalUse::kRetry,
-                                    parts_.instances(), now);
-    return held.has_value();
+  std::optional<ReservedArrivals> reserved;
+  const std::function<bool(base::Time)> reserve = [&](base::Time now) {
+    reserved = deps_.retry_budget.TryReserve(
+        service_, arrivals, ArrivalPurpose::kRetry, deps_.instances(), now);
+    return reserved.has_value();
   };
-  const bool paid = co_await PayOrWait(hold);
-  parts_.metrics
+  const bool paid = co_await WaitForBudget(reserve);
+  deps_.metrics
       .GetCounter(
           paid ? "lynxglade_retries_total" : "lynxglade_retry_denials_total",
           {{paid ? "after" : "reason",
@@ -248,45 +253,45 @@
        {"service", service_.str()},
        {"after", ToString(after)},
        {"arrivals", arrivals},
-       {"instances", parts_.instances()}});
-  co_return held;
+       {"instances", deps_.instances()}});
+  co_return reserved;
 }
 
-Awaitable<bool> RelayRun::PayOrWait(
-    const std::function<bool(base::Time now)>& pay) {
-  const base::Time last = parts_.clock() + options_.loan_patience;
-  while (!Stopped()) {
-    const base::Time now = parts_.clock();
-    if (pay(now)) {
+Awaitable<bool> RelayRun::WaitForBudget(
+    const std::function<bool(base::Time now)>& reserve) {
+  const base::Time wait_until = deps_.clock() + options_.budget_timeout;
+  while (!IsStopped()) {
+    const base::Time now = deps_.clock();
+    if (reserve(now)) {
       co_return true;
     }
-    if (now >= last) {
+    if (now >= wait_until) {
       break;
     }
-    co_await SleepFor(parts_.loop, options_.loan_retry);
+    co_await SleepFor(deps_.loop, options_.budget_poll_interval);
   }
   co_return false;
 }
 
 Awaitable<AttemptEnd> RelayRun::Attempt(EnginePick pick) {
-  if (pick.reader && !source_) {
-    const bool read = co_await ReadPrompt(pick);
-    if (Stopped()) {
+  if (pick.prefill_engine && !source_) {
+    const bool prefilled = co_await PrefillPrompt(pick);
+    if (IsStopped()) {
       co_return AttemptEnd::kStopped;
     }
-    if (!read) {
+    if (!prefilled) {
       co_return AttemptEnd::kNotRun;
     }
-    // Loads have changed while the prompt was read.
+    // Loads have changed during the prefill.
     pick = Pick();
     if (!pick.runner) {
       co_return AttemptEnd::kNotRun;
     }
   }
   const int rejections_before = rejections_;
-  const AttemptEnd end = co_await RunAt(pick);
+  const AttemptEnd end = co_await SendRequest(pick);
   if (source_ && rejections_ > rejections_before) {
-    co_await NoteRejectedFetch(*pick.runner);
+    co_await HandleRejectedFetch(*pick.runner);
   }
   if (end != AttemptEnd::kNotRun) {
     // Fetched, or bound to a run of unknown outcome.
@@ -295,24 +300,24 @@
   co_return end;
 }
 
-bool RelayRun::MayGoOn(AttemptEnd end) const {
-  if (end == AttemptEnd::kStopped || Stopped() ||
-      TimeLeft() < options_.least_time_left) {
+bool RelayRun::MayRetry(AttemptEnd end) const {
+  if (end == AttemptEnd::kStopped || IsStopped() ||
+      TimeLeft() < options_.min_time_left) {
     return false;
   }
   if (end == AttemptEnd::kNotRun) {
     return rejections_ <= options_.max_rejections &&
-           failed_reads_ <= kMaxFailedReads + 1 &&
+           failed_prefills_ <= kMaxFailedPrefills + 1 &&
            unreachable_ <= options_.max_unreachable;
   }
-  if (end == AttemptEnd::kTorn && !route_->resumable) {
+  if (end == AttemptEnd::kBroken && !route_->resumable) {
     return false;
   }
-  return route_->MayRepeat() && runs_ < route_->max_attempts;
+  return route_->CanRetry() && runs_ < route_->max_attempts;
 }
 
 Awaitable<void> RelayRun::Finish(AttemptEnd end) {
-  if (reply_.gone()) {
+  if (reply_.disconnected()) {
     ended_by_ = "caller_left";
     co_return;
   }
@@ -321,8 +326,8 @@
     reply_.Abort();
     co_return;
   }
-  if (kept_) {
-    co_await SendKept();
+  if (saved_answer_) {
+    co_await SendSavedAnswer();
     co_return;
   }
   if (outcome_unknown_) {
@@ -334,15 +339,15 @@
 }
 
 base::Duration RelayRun::Elapsed() const {
-  return parts_.clock() - request_->arrived;
+  return deps_.clock() - request_->arrived;
 }
 
 base::Duration RelayRun::TimeLeft() const {
-  return deadline_ - parts_.clock();
+  return deadline_ - deps_.clock();
 }
 
-bool RelayRun::Stopped() const noexcept {
-  return expired_ || reply_.gone();
+bool RelayRun::IsStopped() const noexcept {
+  return expired_ || reply_.disconnected();
 }
 
 }  // namespace lynxglade::request::passthrough
--- /dev/null
+++ b/src/request/passthrough/shared_retry_budget.cc
@@ -0,0 +1,146 @@
+#include "request/passthrough/shared_retry_budget.h"
+
+#include <algorithm>
+#include <numeric>
+#include <utility>
+
+namespace lynxglade::request::passthrough {
+
+SharedRetryBudget::SharedRetryBudget(SharedRetryBudgetOptions options,
+                                     OnShortfall on_shortfall)
+    : options_(options), on_shortfall_(std::move(on_shortfall)) {}
+
+void SharedRetryBudget::OnRequest(const base::ServiceName& service,
+                                  base::Time now) {
+  Find(service).requests.Add(1, now);
+}
+
+// Spends loans first, as they expire and the own share does not.
+std::optional<ReservedArrivals> SharedRetryBudget::TryReserve(
+    const base::ServiceName& service,
+    int arrivals,
+    ArrivalPurpose use,
+    int instances,
+    base::Time now) {
+  Account& account = Find(service);
+  const double borrowed = Borrowed(account, now);
+  const double own =
+      std::max(OwnRemaining(account, FractionFor(use), instances, now), 0.0);
+  if (borrowed + own < arrivals) {
+    if (on_shortfall_) {
+      on_shortfall_(service, arrivals - borrowed - own);
+    }
+    return std::nullopt;
+  }
+  ReservedArrivals reserved;
+  reserved.reserved_at = now;
+  if (!account.loans.empty()) {
+    reserved.borrowed_until = account.loans.front().until;
+  }
+  reserved.borrowed = std::min<double>(borrowed, arrivals);
+  reserved.own = arrivals - reserved.borrowed;
+  SpendLoans(account, reserved.borrowed);
+  account.reserved += reserved.own;
+  ++account.reservations;
+  return reserved;
+}
+
+void SharedRetryBudget::SpendLoans(Account& account, double arrivals) {
+  for (Loan& loan : account.loans) {
+    const double used = std::min(loan.arrivals, arrivals);
+    loan.arrivals -= used;
+    arrivals -= used;
+  }
+  std::erase_if(account.loans, [](const Loan& it) { return it.arrivals <= 0; });
+}
+
+void SharedRetryBudget::Release(const base::ServiceName& service,
+                                const ReservedArrivals& reserved,
+                                base::Time now) {
+  Account& account = Find(service);
+  DropReservation(account, reserved);
+  if (reserved.borrowed > 0 && reserved.borrowed_until > now) {
+    AddLoan(account, {reserved.borrowed_until, reserved.borrowed});
+  }
+}
+
+void SharedRetryBudget::Charge(const base::ServiceName& service,
+                               const ReservedArrivals& reserved) {
+  Account& account = Find(service);
+  DropReservation(account, reserved);
+  if (reserved.own > 0) {
+    account.spent.Add(reserved.own, reserved.reserved_at);
+  }
+}
+
+void SharedRetryBudget::ChargeLate(const base::ServiceName& service,
+                                   base::Time now) {
+  Find(service).spent.Add(1, now);
+}
+
+double SharedRetryBudget::Lend(const base::ServiceName& service,
+                               double wanted,
+                               int instances,
+                               base::Time now) {
+  Account& account = Find(service);
+  const double lent = std::min(
+      std::max(wanted, options_.min_loan),
+      OwnRemaining(account, options_.max_retry_fraction, instances, now));
+  if (lent < options_.min_loan) {
+    return 0;
+  }
+  account.lent.Add(lent, now);
+  return lent;
+}
+
+void SharedRetryBudget::Borrow(const base::ServiceName& service,
+                               double arrivals,
+                               base::Time requested_at) {
+  AddLoan(Find(service), {requested_at + options_.loan_ttl, arrivals});
+}
+
+void SharedRetryBudget::DropReservation(Account& account,
+                                        const ReservedArrivals& reserved) {
+  account.reserved -= reserved.own;
+  --account.reservations;
+  if (account.reservations == 0) {
+    // Clears rounding errors.
+    account.reserved = 0;
+  }
+}
+
+SharedRetryBudget::Account& SharedRetryBudget::Find(
+    const base::ServiceName& service) {
+  return accounts_.try_emplace(service, options_).first->second;
+}
+
+double SharedRetryBudget::FractionFor(ArrivalPurpose use) const noexcept {
+  return use == ArrivalPurpose::kFirstPrefill ? options_.max_fraction
+                                              : options_.max_retry_fraction;
+}
+
+double SharedRetryBudget::OwnRemaining(Account& account,
+                                       double fraction,
+                                       int instances,
+                                       base::Time now) const {
+  const double earned = options_.ratio * account.requests.Total(now);
+  const double granted = options_.allowance / std::max(instances, 1);
+  return fraction * (earned + granted) - account.spent.Total(now) -
+         account.lent.Total(now) - account.reserved;
+}
+
+double SharedRetryBudget::Borrowed(Account& account, base::Time now) {
+  std::erase_if(account.loans,
+                [now](const Loan& it) { return it.until <= now; });
+  return std::accumulate(
+      account.loans.begin(), account.loans.end(), 0.0,
+      [](double sum, const Loan& it) { return sum + it.arrivals; });
+}
+
+void SharedRetryBudget::AddLoan(Account& account, const Loan& loan) {
+  const auto later =
+      std::ranges::upper_bound(account.loans, loan.until, {}, &Loan::until);
+  account.loans.insert(later, loan);
+}
+
+}  // namespace lynxglade::request::passthrough
--- a/src/request/passthrough/aging_sum.h
+++ b/src/request/passthrough/sliding_window_sum.h
@@ -1,6 +1,6 @@
-// A sum of amounts that each count for a fixed time.
-#ifndef LYNXGLADE_REQUEST_PASSTHROUGH_AGING_SUM_H_
-#define LYNXGLADE_REQUEST_PASSTHROUGH_AGING_SUM_H_
+// Sum of the amounts added within a time window.
+#ifndef LYNXGLADE_REQUEST_PASSTHROUGH_SLIDING_WINDOW_SUM_H_
+#define LYNXGLADE_REQUEST_PASSTHROUGH_SLIDING_WINDOW_SUM_H_
 
 #include <algorithm>
 #include <deque>
@@ -10,10 +10,10 @@
 namespace lynxglade::request::passthrough {
 
 // Not thread-safe.
-class AgingSum {
+class SlidingWindowSum {
  public:
-  // An amount of t counts up to and including t + `life`.
-  explicit AgingSum(base::Duration life) noexcept : life_(life) {}
+  // An amount added at t counts up to and including t + `life`.
+  explicit SlidingWindowSum(base::Duration life) noexcept : life_(life) {}
 
   void Add(double amount, base::Time at) {
     const auto later = std::ranges::upper_bound(amounts_, at, {}, &Amount::at);
@@ -21,14 +21,14 @@
     total_ += amount;
   }
 
-  // `now` never goes back.
+  // `now` must not decrease.
   double Total(base::Time now) {
     while (!amounts_.empty() && amounts_.front().at < now - life_) {
       total_ -= amounts_.front().amount;
       amounts_.pop_front();
     }
     if (amounts_.empty()) {
-      // What rounding has left.
+      // Clears rounding errors.
       total_ = 0;
     }
     return total_;
@@ -47,4 +47,4 @@
 
 }  // namespace lynxglade::request::passthrough
 
-#endif  // LYNXGLADE_REQUEST_PASSTHROUGH_AGING_SUM_H_
+#endif  // LYNXGLADE_REQUEST_PASSTHROUGH_SLIDING_WINDOW_SUM_H_
--- a/src/version/stated_change.cc
+++ b/src/version/change_request.cc
@@ -1,4 +1,4 @@
-#include "version/stated_change.h"
+#include "version/change_request.h"
 
 #include <algorithm>
 #include <utility>
@@ -9,21 +9,21 @@
 namespace lynxglade::version {
 namespace {
 
-using details::Below;
+using details::AppendToPointer;
 using details::Fail;
 using details::json;
 using details::JsonReader;
 
 // Reads the argument of one kind of change.
-using ReadChange = bool (*)(const json& value,
-                            const std::string& where,
-                            StatedChange* out,
-                            CodecFault* fault);
+using ChangeReader = bool (*)(const json& value,
+                              const std::string& where,
+                              RequestedChange* out,
+                              CodecFault* fault);
 
 template <typename Change, auto kMember>
 bool ReadPart(const json& value,
               const std::string& where,
-              StatedChange* out,
+              RequestedChange* out,
               CodecFault* fault) {
   Change change;
   if (!details::FromJson(value, where, &(change.*kMember), fault)) {
@@ -36,7 +36,7 @@
 template <typename Change, auto kMember>
 bool ReadName(const json& value,
               const std::string& where,
-              StatedChange* out,
+              RequestedChange* out,
               CodecFault* fault) {
   if (!value.is_string() ||
       !details::IsId(value.get_ref<const std::string&>())) {
@@ -51,7 +51,7 @@
 
 bool ReadUpsertIntent(const json& value,
                       const std::string& where,
-                      StatedChange* out,
+                      RequestedChange* out,
                       CodecFault* fault) {
   if (!value.is_object()) {
     return Fail(fault, CodecError::kWrongType, where, "must be an object");
@@ -74,7 +74,7 @@
 
 bool ReadRemoveIntent(const json& value,
                       const std::string& where,
-                      StatedChange* out,
+                      RequestedChange* out,
                       CodecFault* fault) {
   JsonReader reader(value, where, fault);
   std::string contract;
@@ -91,7 +91,7 @@
 
 bool ReadSetPlanner(const json& value,
                     const std::string& where,
-                    StatedChange* out,
+                    RequestedChange* out,
                     CodecFault* fault) {
   JsonReader reader(value, where, fault);
   std::string service;
@@ -109,12 +109,12 @@
   return reader.Done();
 }
 
-struct Verb {
+struct ChangeKind {
   std::string_view name;
-  ReadChange read;
+  ChangeReader read;
 };
 
-constexpr Verb kVerbs[] = {
+constexpr ChangeKind kChangeKinds[] = {
     {"upsert_contract", &ReadPart<UpsertContract, &UpsertContract::contract>},
     {"remove_contract", &ReadName<RemoveContract, &RemoveContract::contract>},
     {"upsert_intent", &ReadUpsertIntent},
@@ -128,24 +128,26 @@
 
 bool ReadOneChange(const json& value,
                    const std::string& where,
-                   StatedChange* out,
+                   RequestedChange* out,
                    CodecFault* fault) {
   if (!value.is_object() || value.size() != 1) {
     return Fail(fault, CodecError::kWrongType, where,
                 "must be an object with one member, the kind of change");
   }
   const std::string& name = value.begin().key();
-  const auto* const verb = std::ranges::find(kVerbs, name, &Verb::name);
-  if (verb == std::end(kVerbs)) {
-    return Fail(fault, CodecError::kUnknownMember, Below(where, name),
-                "no such kind of change");
+  const auto* const kind =
+      std::ranges::find(kChangeKinds, name, &ChangeKind::name);
+  if (kind == std::end(kChangeKinds)) {
+    return Fail(fault, CodecError::kUnknownMember, AppendToPointer(where, name),
+                "unknown kind of change");
   }
-  return verb->read(value.begin().value(), Below(where, name), out, fault);
+  return kind->read(value.begin().value(), AppendToPointer(where, name), out,
+                    fault);
 }
 
-// Makes one change; each overload returns an empty text or what stands in
-// the way.
-struct Apply {
+// Applies one change. Each overload returns an empty string on success or an
+// error message.
+struct ApplyChange {
   Configuration& configuration;
 
   std::string operator()(const UpsertContract& it) const {
@@ -155,21 +157,22 @@
   std::string operator()(const RemoveContract& it) const {
     return configuration.contracts.erase(it.contract) > 0
                ? ""
-               : "there is no contract " + it.contract.str();
+               : "unknown contract " + it.contract.str();
   }
   std::string operator()(const UpsertIntent& it) const {
     const auto contract = configuration.contracts.find(it.contract);
     if (contract == configuration.contracts.end()) {
-      return "there is no contract " + it.contract.str();
+      return "unknown contract " + it.contract.str();
     }
     std::vector<Intent>& intents = contract->second.intents;
-    const auto same = Find(intents, it.intent.service, it.intent.model);
-    if (same != intents.end()) {
-      *same = it.intent;
+    const auto existing = Find(intents, it.intent.service, it.intent.model);
+    if (existing != intents.end()) {
+      *existing = it.intent;
       return {};
     }
     if (intents.size() >= kMaxIntentsPerContract) {
-      return "the contract has the most intents that it may have";
+      return "the contract already has the maximum of " +
+             std::to_string(kMaxIntentsPerContract) + " intents";
     }
     intents.push_back(it.intent);
     return {};
@@ -177,14 +180,15 @@
   std::string operator()(const RemoveIntent& it) const {
     const auto contract = configuration.contracts.find(it.contract);
     if (contract == configuration.contracts.end()) {
-      return "there is no contract " + it.contract.str();
+      return "unknown contract " + it.contract.str();
     }
     std::vector<Intent>& intents = contract->second.intents;
-    const auto same = Find(intents, it.service, it.model);
-    if (same == intents.end()) {
-      return "the contract has no such intent";
+    const auto existing = Find(intents, it.service, it.model);
+    if (existing == intents.end()) {
+      return "the contract has no intent for service " + it.service.str() +
+             ", model '" + it.model.str() + "'";
     }
-    intents.erase(same);
+    intents.erase(existing);
     return {};
   }
   std::string operator()(const UpsertService& it) const {
@@ -194,12 +198,12 @@
   std::string operator()(const RemoveService& it) const {
     return configuration.services.erase(it.service) > 0
                ? ""
-               : "there is no service " + it.service.str();
+               : "unknown service " + it.service.str();
   }
   std::string operator()(const SetPlanner& it) const {
     const auto service = configuration.services.find(it.service);
     if (service == configuration.services.end()) {
-      return "there is no service " + it.service.str();
+      return "unknown service " + it.service.str();
     }
     ServiceSpec& spec = service->second;
     spec.role_change_price =
@@ -214,7 +218,7 @@
   std::string operator()(const RemoveOperator& it) const {
     return configuration.operators.erase(it.op) > 0
                ? ""
-               : "there is no operator " + it.op.str();
+               : "unknown operator " + it.op.str();
   }
 
  private:
@@ -229,47 +233,48 @@
 
 }  // namespace
 
-std::optional<Statement> ParseStatement(std::string_view text,
-                                        CodecFault* fault) {
+std::optional<ChangeRequest> ParseChangeRequest(std::string_view text,
+                                                CodecFault* fault) {
   json value;
-  if (!details::ParseObject(text, kMaxStatementBytes, &value, fault)) {
+  if (!details::ParseObject(text, kMaxChangeRequestBytes, &value, fault)) {
     return std::nullopt;
   }
-  Statement statement;
+  ChangeRequest request;
   JsonReader reader(value, "", fault);
-  reader.OptionalText("note", kMaxNoteBytes, &statement.note);
+  reader.OptionalText("note", kMaxNoteBytes, &request.note);
   reader.Each(
-      "changes", json::value_t::array, kMaxStatedChanges,
+      "changes", json::value_t::array, kMaxRequestedChanges,
       [&](const std::string&, const json& it, const std::string& where) {
-        return ReadOneChange(it, where, &statement.changes.emplace_back(),
-                             fault);
+        return ReadOneChange(it, where, &request.changes.emplace_back(), fault);
       });
   if (reader.Any("rollback_to") != nullptr) {
     std::int64_t revision = 0;
     reader.Integer("rollback_to", 0, INT64_MAX, &revision);
-    statement.rollback_to = base::Revision(revision);
+    request.rollback_to = base::Revision(revision);
   }
   if (!reader.Done()) {
     return std::nullopt;
   }
-  if (statement.changes.empty() == !statement.rollback_to) {
+  if (request.changes.empty() == !request.rollback_to) {
     Fail(fault, CodecError::kMissing, "/changes",
-         "either changes or rollback_to");
+         "exactly one of changes and rollback_to is required");
     return std::nullopt;
   }
-  return statement;
+  return request;
 }
 
-bool ApplyStatement(const Statement& statement,
-                    Configuration* configuration,
-                    CodecFault* fault) {
+bool ApplyChangeRequest(const ChangeRequest& request,
+                        Configuration* configuration,
+                        CodecFault* fault) {
   std::size_t n = 0;
   return std::ranges::all_of(
-      statement.changes, [&](const StatedChange& change) {
-        const std::string obstacle = std::visit(Apply{*configuration}, change);
-        const std::string where = Below("/changes", std::to_string(n++));
-        return obstacle.empty() ||
-               Fail(fault, CodecError::kBadReference, where, obstacle);
+      request.changes, [&](const RequestedChange& change) {
+        const std::string error =
+            std::visit(ApplyChange{*configuration}, change);
+        const std::string where =
+            AppendToPointer("/changes", std::to_string(n++));
+        return error.empty() ||
+               Fail(fault, CodecError::kBadReference, where, error);
       });
 }
 
--- a/src/version/config_gossip.cc
+++ b/src/version/config_gossip.cc
@@ -14,15 +14,16 @@
 using process::ViewKind;
 
 constexpr std::string_view kHeadKey = "head";
-constexpr std::string_view kWholePrefix = "whole/";
-// Bounds what a peer can make this instance hold.
+constexpr std::string_view kSnapshotPrefix = "whole/";
+// Bounds the memory that a peer can make this instance use.
 constexpr std::size_t kMaxParts = kMaxConfigurationBytes / kPublishedPartBytes;
 constexpr std::size_t kMaxBodyBytes = 4 * kPublishedPartBytes;
-// Facts of what an instance holds expire; said again in time.
-constexpr base::Duration kTellAgain = std::chrono::minutes(5);
-// Each member tells of itself at most this often, times the members there
-// are: at 340 members once in 68 s, five such facts a second for all.
-constexpr base::Duration kTellPeriodPerMember = std::chrono::milliseconds(200);
+// Refreshes this instance's revision fact before it expires.
+constexpr base::Duration kRepublishInterval = std::chrono::minutes(5);
+// Minimum interval between revision facts of an instance, per known member; it
+// limits all instances together to five facts per second.
+constexpr base::Duration kPublishIntervalPerMember =
+    std::chrono::milliseconds(200);
 
 std::string HeadBody(base::Revision revision, const std::string& digest) {
   return details::Canonical(
@@ -74,9 +75,9 @@
   hooks_.publish(std::move(item));
 }
 
-void ConfigGossip::TellDelta(base::Revision revision,
-                             const ChainedDelta& delta) {
-  std::string body = EncodeChained(delta);
+void ConfigGossip::PublishDelta(base::Revision revision,
+                                const ChainedDelta& delta) {
+  std::string body = EncodeChainedDelta(delta);
   if (body.size() <= kPublishedDeltaBytes) {
     Publish(ViewKind::kConfigDelta,
             std::to_string(revision.value() % kPublishedDeltas),
@@ -85,44 +86,44 @@
             HeadBody(revision, delta.digest));
     return;
   }
-  // Too large for one fact: peers take the whole instead.
+  // Too large for one fact: publish a snapshot instead.
   metrics_.GetCounter("lynxglade_config_large_deltas_total").Add();
-  TellWhole(tracker_.Held());
+  PublishSnapshot(tracker_.GetSnapshot());
 }
 
-void ConfigGossip::TellWhole(const HeldConfiguration& whole) {
-  const std::string bytes = EncodeHeld(whole);
+void ConfigGossip::PublishSnapshot(const ConfigSnapshot& snapshot) {
+  const std::string bytes = EncodeSnapshot(snapshot);
   const std::size_t count =
       (bytes.size() + kPublishedPartBytes - 1) / kPublishedPartBytes;
   for (std::size_t i = 0; i < count; ++i) {
     Publish(ViewKind::kConfigHead,
-            std::string(kWholePrefix) + std::to_string(i),
-            VersionOf(whole.revision()),
+            std::string(kSnapshotPrefix) + std::to_string(i),
+            VersionOf(snapshot.revision()),
             details::Canonical({{"count", count},
                                 {"index", i},
                                 {"text", bytes.substr(i * kPublishedPartBytes,
                                                       kPublishedPartBytes)}}));
   }
   Publish(ViewKind::kConfigHead, std::string(kHeadKey),
-          VersionOf(whole.revision()),
-          HeadBody(whole.revision(), whole.digest));
+          VersionOf(snapshot.revision()),
+          HeadBody(snapshot.revision(), snapshot.digest));
 }
 
-void ConfigGossip::Hear(const ViewItem& item) {
+void ConfigGossip::HandleFact(const ViewItem& item) {
   if (item.kind == ViewKind::kConfigDelta) {
-    if (const auto delta = DecodeChained(item.body)) {
+    if (const auto delta = DecodeChainedDelta(item.body)) {
       tracker_.OfferDelta(*delta, ConfigSource::kPeer);
     }
   } else if (item.key == kHeadKey) {
     if (const auto head = ReadHeadBody(item.body)) {
       tracker_.OfferHead(*head, ConfigSource::kPeer);
     }
-  } else if (item.key.starts_with(kWholePrefix)) {
-    HearPart(item);
+  } else if (item.key.starts_with(kSnapshotPrefix)) {
+    HandleSnapshotPart(item);
   }
 }
 
-void ConfigGossip::HearPart(const ViewItem& item) {
+void ConfigGossip::HandleSnapshotPart(const ViewItem& item) {
   const base::Revision revision(static_cast<std::int64_t>(item.version.epoch));
   if (revision <= tracker_.Get()->revision) {
     return;
@@ -142,17 +143,17 @@
   if (!reader.Done()) {
     return;
   }
-  const auto bytes = Add(revision, static_cast<std::size_t>(index),
-                         static_cast<std::size_t>(count), std::move(text));
+  const auto bytes = AddPart(revision, static_cast<std::size_t>(index),
+                             static_cast<std::size_t>(count), std::move(text));
   if (bytes) {
-    tracker_.OfferBytes(*bytes, ConfigSource::kPeer);
+    tracker_.OfferEncodedSnapshot(*bytes, ConfigSource::kPeer);
   }
 }
 
-std::optional<std::string> ConfigGossip::Add(base::Revision revision,
-                                             std::size_t index,
-                                             std::size_t count,
-                                             std::string text) {
+std::optional<std::string> ConfigGossip::AddPart(base::Revision revision,
+                                                 std::size_t index,
+                                                 std::size_t count,
+                                                 std::string text) {
   const std::scoped_lock lock(mutex_);
   if (revision < assembly_.revision) {
     return std::nullopt;
@@ -173,30 +174,32 @@
 }
 
 void ConfigGossip::Tick() {
-  const HeldConfiguration held = tracker_.Held();
+  const ConfigSnapshot current = tracker_.GetSnapshot();
   const base::Time now = hooks_.clock();
   const auto members = static_cast<std::int64_t>(hooks_.member_count());
   {
     const std::scoped_lock lock(mutex_);
-    const base::Duration since = now - told_at_;
-    const bool first = told_.value() == 0 && held.revision().value() > 0;
-    const bool changed =
-        held.revision() > told_ && since >= kTellPeriodPerMember * members;
-    const bool again = told_.value() > 0 && since >= kTellAgain;
-    if (!first && !changed && !again) {
+    const base::Duration since = now - published_at_;
+    const bool first =
+        published_revision_.value() == 0 && current.revision().value() > 0;
+    const bool changed = current.revision() > published_revision_ &&
+                         since >= kPublishIntervalPerMember * members;
+    const bool refresh =
+        published_revision_.value() > 0 && since >= kRepublishInterval;
+    if (!first && !changed && !refresh) {
       return;
     }
-    told_ = held.revision();
-    told_at_ = now;
+    published_revision_ = current.revision();
+    published_at_ = now;
   }
-  process::ViewVersion version = VersionOf(held.revision());
+  process::ViewVersion version = VersionOf(current.revision());
   version.sequence =
       static_cast<std::uint64_t>(base::ToMillis(now.time_since_epoch()));
   Publish(ViewKind::kConfigInForce, instance_.str(), version,
-          HeadBody(held.revision(), held.digest));
+          HeadBody(current.revision(), current.digest));
 }
 
-std::optional<InstanceRevision> ConfigGossip::ReadInForce(
+std::optional<InstanceRevision> ConfigGossip::DecodeInstanceRevision(
     const ViewItem& item) {
   const std::optional<ConfigHead> head = ReadHeadBody(item.body);
   if (!head) {
--- a/src/version/config_head.cc
+++ b/src/version/config_head.cc
@@ -11,11 +11,11 @@
 using details::json;
 
 constexpr std::size_t kMaxHeadBytes = 4096;
-constexpr std::size_t kMaxMarkBytes = 128;
+constexpr std::size_t kMaxWriteIdBytes = 128;
 constexpr std::size_t kMaxDigestBytes = 64;
 constexpr std::int64_t kMaxSnapshotParts = 1000;
 
-// A delta inside its chained form is escaped text, at most twice as long.
+// The delta is embedded as escaped text, at most twice as long.
 constexpr std::size_t kMaxChainedBytes = 2 * kMaxDeltaBytes + kMaxHeadBytes;
 
 }  // namespace
@@ -25,7 +25,7 @@
                              {"digest", head.digest},
                              {"snapshot", head.snapshot.value()},
                              {"snapshot_parts", head.snapshot_parts},
-                             {"mark", head.mark}});
+                             {"mark", head.write_id}});
 }
 
 std::optional<ConfigHead> DecodeHead(std::string_view text) {
@@ -43,7 +43,7 @@
   reader.OptionalText("digest", kMaxDigestBytes, &head.digest);
   reader.Integer("snapshot", 0, revision, &snapshot);
   reader.Integer("snapshot_parts", 0, kMaxSnapshotParts, &parts);
-  reader.OptionalText("mark", kMaxMarkBytes, &head.mark);
+  reader.OptionalText("mark", kMaxWriteIdBytes, &head.write_id);
   if (!reader.Done()) {
     return std::nullopt;
   }
@@ -53,20 +53,20 @@
   return head;
 }
 
-ChainedDelta Chain(const ConfigDelta& delta,
-                   const std::string& previous_digest) {
+ChainedDelta MakeChainedDelta(const ConfigDelta& delta,
+                              const std::string& previous_digest) {
   ChainedDelta chained{EncodeDelta(delta), previous_digest, {}};
   chained.digest = ChainDigest(previous_digest, chained.text);
   return chained;
 }
 
-std::string EncodeChained(const ChainedDelta& delta) {
+std::string EncodeChainedDelta(const ChainedDelta& delta) {
   return details::Canonical({{"delta", delta.text},
                              {"previous", delta.previous_digest},
                              {"digest", delta.digest}});
 }
 
-std::optional<ChainedDelta> DecodeChained(std::string_view text) {
+std::optional<ChainedDelta> DecodeChainedDelta(std::string_view text) {
   json value;
   CodecFault fault;
   if (!details::ParseObject(text, kMaxChainedBytes, &value, &fault)) {
@@ -77,32 +77,32 @@
   reader.OptionalText("delta", kMaxDeltaBytes, &chained.text);
   reader.OptionalText("previous", kMaxDigestBytes, &chained.previous_digest);
   reader.OptionalText("digest", kMaxDigestBytes, &chained.digest);
-  const bool whole =
+  const bool valid =
       reader.Done() &&
       chained.digest == ChainDigest(chained.previous_digest, chained.text);
-  if (!whole) {
+  if (!valid) {
     return std::nullopt;
   }
   return chained;
 }
 
-std::string EncodeHeld(const HeldConfiguration& held) {
+std::string EncodeSnapshot(const ConfigSnapshot& snapshot) {
   return details::Canonical(
-      {{"configuration", details::ToJson(*held.configuration)},
-       {"digest", held.digest}});
+      {{"configuration", details::ToJson(*snapshot.configuration)},
+       {"digest", snapshot.digest}});
 }
 
-std::optional<HeldConfiguration> DecodeHeld(std::string_view bytes,
-                                            CodecFault* fault) {
+std::optional<ConfigSnapshot> DecodeSnapshot(std::string_view bytes,
+                                             CodecFault* fault) {
   json value;
   if (!details::ParseObject(bytes, kMaxConfigurationBytes, &value, fault)) {
     return std::nullopt;
   }
-  HeldConfiguration held;
+  ConfigSnapshot snapshot;
   Configuration configuration;
   details::JsonReader reader(value, "", fault);
   const json* inner = reader.Any("configuration");
-  reader.OptionalText("digest", kMaxDigestBytes, &held.digest);
+  reader.OptionalText("digest", kMaxDigestBytes, &snapshot.digest);
   const bool read =
       reader.Done() && inner != nullptr &&
       details::FromJson(*inner, "/configuration", &configuration, fault) &&
@@ -110,9 +110,9 @@
   if (!read) {
     return std::nullopt;
   }
-  held.configuration =
+  snapshot.configuration =
       std::make_shared<const Configuration>(std::move(configuration));
-  return held;
+  return snapshot;
 }
 
 }  // namespace lynxglade::version
--- a/src/version/config_store.cc
+++ b/src/version/config_store.cc
@@ -22,9 +22,9 @@
 constexpr std::string_view kSnapshotPrefix = "/lynxglade/config_snapshot/";
 constexpr std::string_view kCompactionPrefix = "/lynxglade/config_compaction/";
 constexpr std::string_view kAuditPrefix = "/lynxglade/audit/";
-constexpr int kPointAttempts = 4;
+constexpr int kHeadUpdateAttempts = 4;
 
-// Zero-padded, so that keys sort by number.
+// Zero-padded, so that keys sort numerically.
 std::string Padded(std::int64_t n) {
   std::array<char, 16> buf{};
   std::snprintf(buf.data(), buf.size(), "%012lld", static_cast<long long>(n));
@@ -47,17 +47,16 @@
   return SnapshotPrefix(snapshot) + Padded(part);
 }
 
-void DeleteParts(base::Revision snapshot,
-                 int parts,
-                 std::vector<KvWrite>* writes) {
+void AppendPartDeletions(base::Revision snapshot,
+                         int parts,
+                         std::vector<KvWrite>* writes) {
   for (int i = 0; i < parts; ++i) {
     writes->push_back({PartKey(snapshot, i), std::nullopt, {}});
   }
 }
 
-// A reader's error is never ambiguous.
 template <typename T>
-std::optional<T> Corrupt(StoreError* last_error) {
+std::optional<T> CorruptResult(StoreError* last_error) {
   *last_error = StoreError::kCorrupt;
   return std::nullopt;
 }
@@ -84,7 +83,7 @@
   return "too_large";
 }
 
-StoreError StoreErrorOf(KvError error) noexcept {
+StoreError ToStoreError(KvError error) noexcept {
   switch (error) {
     case KvError::kNone:
       return StoreError::kNone;
@@ -118,7 +117,7 @@
 std::optional<StoredHead> ConfigStore::ReadHead(StoreError* last_error) const {
   KvError ec = KvError::kNone;
   const std::optional<KvRange> range = service_.Get(std::string(kHeadKey), &ec);
-  *last_error = StoreErrorOf(ec);
+  *last_error = ToStoreError(ec);
   if (!range) {
     return std::nullopt;
   }
@@ -128,17 +127,17 @@
   const KvEntry& entry = range->entries.front();
   std::optional<ConfigHead> head = DecodeHead(entry.value);
   if (!head) {
-    return Corrupt<StoredHead>(last_error);
+    return CorruptResult<StoredHead>(last_error);
   }
   return StoredHead{std::move(*head), entry.mod_revision};
 }
 
-std::optional<HeldConfiguration> ConfigStore::ReadSnapshot(
+std::optional<ConfigSnapshot> ConfigStore::ReadSnapshot(
     const ConfigHead& head,
     StoreError* last_error) const {
   *last_error = StoreError::kNone;
   if (head.snapshot.value() == 0) {
-    return HeldConfiguration{};
+    return ConfigSnapshot{};
   }
   std::string bytes;
   for (int i = 0; i < head.snapshot_parts; ++i) {
@@ -146,24 +145,24 @@
     const std::optional<KvRange> range =
         service_.Get(PartKey(head.snapshot, i), &ec);
     if (!range) {
-      *last_error = StoreErrorOf(ec);
+      *last_error = ToStoreError(ec);
       return std::nullopt;
     }
     if (range->entries.empty()) {
-      // Deleted since the head was read: there is a newer one.
-      return Corrupt<HeldConfiguration>(last_error);
+      // Deleted since the head was read; a newer snapshot exists.
+      return CorruptResult<ConfigSnapshot>(last_error);
     }
     bytes += range->entries.front().value;
   }
   CodecFault fault;
-  std::optional<HeldConfiguration> held = DecodeHeld(bytes, &fault);
-  if (!held || held->revision() != head.snapshot) {
-    return Corrupt<HeldConfiguration>(last_error);
+  std::optional<ConfigSnapshot> snapshot = DecodeSnapshot(bytes, &fault);
+  if (!snapshot || snapshot->revision() != head.snapshot) {
+    return CorruptResult<ConfigSnapshot>(last_error);
   }
-  return held;
+  return snapshot;
 }
 
-std::optional<std::vector<std::string>> ConfigStore::ReadNumbered(
+std::optional<std::vector<std::string>> ConfigStore::ReadRange(
     std::string_view prefix,
     base::Revision from,
     base::Revision to,
@@ -175,12 +174,13 @@
     const std::int64_t bucket = next / limits_.snapshot_every;
     const std::int64_t last =
         std::min(to.value(), (bucket + 1) * limits_.snapshot_every - 1);
-    // A listing brings the whole bucket; a few values are read one by one, and
-    // so is a bucket that is too large for one answer.
-    const bool few = last - next < limits_.few_values;
+    // Listing returns the entire bucket. Values are read individually when only
+    // a few are needed, or when the listing fails, such as for a bucket that
+    // exceeds the response limit.
+    const bool is_short = last - next < limits_.max_single_reads;
     const bool read =
-        (!few && ReadBucket(prefix, next, last, &values, last_error)) ||
-        ReadOneByOne(prefix, next, last, &values, last_error);
+        (!is_short && ReadBucket(prefix, next, last, &values, last_error)) ||
+        ReadIndividually(prefix, next, last, &values, last_error);
     if (!read) {
       return std::nullopt;
     }
@@ -200,7 +200,7 @@
   const std::string high = bucket + Padded(last);
   KvError ec = KvError::kNone;
   std::optional<KvRange> range = service_.List(bucket, 0, &ec);
-  *last_error = StoreErrorOf(ec);
+  *last_error = ToStoreError(ec);
   if (!range) {
     return false;
   }
@@ -213,17 +213,17 @@
   return true;
 }
 
-bool ConfigStore::ReadOneByOne(std::string_view prefix,
-                               std::int64_t first,
-                               std::int64_t last,
-                               std::vector<std::string>* values,
-                               StoreError* last_error) const {
+bool ConfigStore::ReadIndividually(std::string_view prefix,
+                                   std::int64_t first,
+                                   std::int64_t last,
+                                   std::vector<std::string>* values,
+                                   StoreError* last_error) const {
   const std::string bucket =
       BucketPrefix(prefix, first / limits_.snapshot_every);
   for (std::int64_t n = first; n <= last; ++n) {
     KvError ec = KvError::kNone;
     std::optional<KvRange> range = service_.Get(bucket + Padded(n), &ec);
-    *last_error = StoreErrorOf(ec);
+    *last_error = ToStoreError(ec);
     if (!range) {
       return false;
     }
@@ -243,19 +243,19 @@
   if (to <= from) {
     return deltas;
   }
-  const auto values = ReadNumbered(kDeltaPrefix, from, to, last_error);
+  const auto values = ReadRange(kDeltaPrefix, from, to, last_error);
   if (!values) {
     return std::nullopt;
   }
   for (const std::string& it : *values) {
-    std::optional<ChainedDelta> delta = DecodeChained(it);
+    std::optional<ChainedDelta> delta = DecodeChainedDelta(it);
     if (!delta) {
-      return Corrupt<std::vector<ChainedDelta>>(last_error);
+      return CorruptResult<std::vector<ChainedDelta>>(last_error);
     }
     deltas.push_back(std::move(*delta));
   }
   if (static_cast<std::int64_t>(deltas.size()) != (to - from).value()) {
-    return Corrupt<std::vector<ChainedDelta>>(last_error);
+    return CorruptResult<std::vector<ChainedDelta>>(last_error);
   }
   return deltas;
 }
@@ -268,7 +268,7 @@
   if (to <= from) {
     return std::vector<std::string>();
   }
-  return ReadNumbered(kAuditPrefix, from, to, last_error);
+  return ReadRange(kAuditPrefix, from, to, last_error);
 }
 
 std::optional<std::string> ConfigStore::ReadAudit(
@@ -276,7 +276,7 @@
     StoreError* last_error) const {
   KvError ec = KvError::kNone;
   std::optional<KvRange> range = service_.Get(AuditKey(revision), &ec);
-  *last_error = StoreErrorOf(ec);
+  *last_error = ToStoreError(ec);
   if (!range) {
     return std::nullopt;
   }
@@ -284,12 +284,12 @@
                                 : std::move(range->entries.front().value);
 }
 
-bool ConfigStore::Accept(const StoredHead& base,
-                         base::Revision revision,
-                         const ChainedDelta& delta,
-                         const std::string& audit,
-                         StoreError* last_error) const {
-  const std::string stored = EncodeChained(delta);
+bool ConfigStore::CommitDelta(const StoredHead& base,
+                              base::Revision revision,
+                              const ChainedDelta& delta,
+                              const std::string& audit,
+                              StoreError* last_error) const {
+  const std::string stored = EncodeChainedDelta(delta);
   if (stored.size() > kMaxDeltaBytes) {
     *last_error = StoreError::kTooLarge;
     return false;
@@ -302,11 +302,11 @@
   ConfigHead head = base.head;
   head.revision = revision;
   head.digest = delta.digest;
-  head.mark = base::RandomHexId(random_);
+  head.write_id = base::RandomHexId(random_);
   std::vector<KvWrite> writes = {{std::string(kHeadKey), EncodeHead(head), {}},
                                  {DeltaKey(revision), stored, {}},
                                  {AuditKey(revision), audit, {}}};
-  // What falls out of the kept history goes in the same call.
+  // Deletes the delta and audit record that leave the retained history.
   const auto expired = [&](std::int64_t kept) {
     return base::Revision(revision.value() - kept);
   };
@@ -323,98 +323,102 @@
       service_.Commit({{std::string(kHeadKey), base.mod_revision},
                        {DeltaKey(revision), base::Revision(0)}},
                       writes, &ec);
-  *last_error = StoreErrorOf(ec);
+  *last_error = ToStoreError(ec);
   if (result && !result->committed) {
     *last_error = StoreError::kConflict;
   }
   return result && result->committed;
 }
 
-bool ConfigStore::WantsSnapshot(const ConfigHead& head) const noexcept {
+bool ConfigStore::IsSnapshotDue(const ConfigHead& head) const noexcept {
   return (head.revision - head.snapshot).value() >= limits_.snapshot_every;
 }
 
-bool ConfigStore::NeedsSnapshot(const ConfigHead& head) const noexcept {
-  // Deltas must not be deleted before a snapshot covers them, nor leave the
-  // views of peers.
+bool ConfigStore::IsSnapshotRequired(const ConfigHead& head) const noexcept {
+  // Deltas must not expire, here or in the peers' views, before a snapshot
+  // covers them.
   return (head.revision - head.snapshot).value() >=
          std::min(2 * limits_.snapshot_every, limits_.deltas_kept);
 }
 
-bool ConfigStore::WriteParts(const HeldConfiguration& held,
-                             int* parts,
-                             StoreError* last_error) const {
-  const std::string bytes = EncodeHeld(held);
+bool ConfigStore::WriteSnapshotParts(const ConfigSnapshot& snapshot,
+                                     int* parts,
+                                     StoreError* last_error) const {
+  const std::string bytes = EncodeSnapshot(snapshot);
   const std::size_t n =
       (bytes.size() + limits_.part_bytes - 1) / limits_.part_bytes;
   *parts = static_cast<int>(n);
-  // Known before the parts are, so that parts of a writer that died can be
-  // found and deleted. Two writers of one revision write the same bytes.
+  // Recorded before the parts, so that the parts of a crashed writer can be
+  // found and deleted. Concurrent writers of a revision write equal bytes.
   KvError ec = KvError::kNone;
   if (!service_.Commit(
-          {}, {{CompactionKey(held.revision()), std::to_string(n), {}}}, &ec)) {
-    *last_error = StoreErrorOf(ec);
+          {}, {{CompactionKey(snapshot.revision()), std::to_string(n), {}}},
+          &ec)) {
+    *last_error = ToStoreError(ec);
     return false;
   }
   for (std::size_t i = 0; i < n; ++i) {
     const std::string part =
         bytes.substr(i * limits_.part_bytes, limits_.part_bytes);
     if (!service_.Commit(
-            {}, {{PartKey(held.revision(), static_cast<int>(i)), part, {}}},
+            {}, {{PartKey(snapshot.revision(), static_cast<int>(i)), part, {}}},
             &ec)) {
-      *last_error = StoreErrorOf(ec);
+      *last_error = ToStoreError(ec);
       return false;
     }
   }
   return true;
 }
 
-void ConfigStore::DropParts(base::Revision snapshot, int parts) const {
+void ConfigStore::DeleteSnapshotParts(base::Revision snapshot,
+                                      int parts) const {
   std::vector<KvWrite> writes = {{CompactionKey(snapshot), std::nullopt, {}}};
-  DeleteParts(snapshot, parts, &writes);
+  AppendPartDeletions(snapshot, parts, &writes);
   KvError ec = KvError::kNone;
   service_.Commit({}, writes, &ec);
 }
 
-bool ConfigStore::PointHeadAt(const HeldConfiguration& held,
-                              int parts,
-                              StoreError* last_error) const {
+bool ConfigStore::PointHeadAtSnapshot(const ConfigSnapshot& snapshot,
+                                      int parts,
+                                      StoreError* last_error) const {
   KvError ec = KvError::kNone;
-  const auto begun = service_.List(std::string(kCompactionPrefix), 0, &ec);
-  if (!begun) {
-    *last_error = StoreErrorOf(ec);
+  const auto pending_snapshots =
+      service_.List(std::string(kCompactionPrefix), 0, &ec);
+  if (!pending_snapshots) {
+    *last_error = ToStoreError(ec);
     return false;
   }
-  for (int attempt = 0; attempt < kPointAttempts; ++attempt) {
+  for (int attempt = 0; attempt < kHeadUpdateAttempts; ++attempt) {
     const std::optional<StoredHead> stored = ReadHead(last_error);
     if (!stored) {
       return false;
     }
-    if (stored->head.snapshot >= held.revision()) {
-      if (stored->head.snapshot > held.revision()) {
-        DropParts(held.revision(), parts);
+    if (stored->head.snapshot >= snapshot.revision()) {
+      if (stored->head.snapshot > snapshot.revision()) {
+        DeleteSnapshotParts(snapshot.revision(), parts);
       }
       return true;
     }
-    if (stored->head.revision < held.revision()) {
+    if (stored->head.revision < snapshot.revision()) {
       *last_error = StoreError::kConflict;
       return false;
     }
     ConfigHead head = stored->head;
-    head.snapshot = held.revision();
+    head.snapshot = snapshot.revision();
     head.snapshot_parts = parts;
-    head.mark = base::RandomHexId(random_);
+    head.write_id = base::RandomHexId(random_);
     std::vector<KvWrite> writes = {
         {std::string(kHeadKey), EncodeHead(head), {}}};
-    DeleteParts(stored->head.snapshot, stored->head.snapshot_parts, &writes);
-    for (const KvEntry& it : begun->entries) {
+    AppendPartDeletions(stored->head.snapshot, stored->head.snapshot_parts,
+                        &writes);
+    for (const KvEntry& it : pending_snapshots->entries) {
       const std::int64_t revision =
           std::atoll(it.key.c_str() + kCompactionPrefix.size());
-      if (revision < held.revision().value()) {
-        DeleteParts(base::Revision(revision), std::atoi(it.value.c_str()),
-                    &writes);
+      if (revision < snapshot.revision().value()) {
+        AppendPartDeletions(base::Revision(revision),
+                            std::atoi(it.value.c_str()), &writes);
       }
-      if (revision <= held.revision().value()) {
+      if (revision <= snapshot.revision().value()) {
         writes.push_back({it.key, std::nullopt, {}});
       }
     }
@@ -423,53 +427,54 @@
     if (result && result->committed) {
       return true;
     }
-    // Lost to another change, or its answer was lost: the head tells.
-    *last_error = result ? StoreError::kConflict : StoreErrorOf(ec);
+    // Conflict or lost response: read the head again to find out.
+    *last_error = result ? StoreError::kConflict : ToStoreError(ec);
   }
   return false;
 }
 
-bool ConfigStore::WriteSnapshot(const HeldConfiguration& held,
+bool ConfigStore::WriteSnapshot(const ConfigSnapshot& snapshot,
                                 StoreError* last_error) const {
   *last_error = StoreError::kNone;
   int parts = 0;
-  return WriteParts(held, &parts, last_error) &&
-         PointHeadAt(held, parts, last_error);
+  return WriteSnapshotParts(snapshot, &parts, last_error) &&
+         PointHeadAtSnapshot(snapshot, parts, last_error);
 }
 
-bool ConfigStore::Restore(const HeldConfiguration& held,
+bool ConfigStore::Restore(const ConfigSnapshot& snapshot,
                           const std::string& audit,
                           StoreError* last_error) const {
   const std::optional<StoredHead> stored = ReadHead(last_error);
   if (!stored) {
     return false;
   }
-  if (stored->head.revision >= held.revision()) {
+  if (stored->head.revision >= snapshot.revision()) {
     *last_error = StoreError::kConflict;
     return false;
   }
   int parts = 0;
-  if (!WriteParts(held, &parts, last_error)) {
+  if (!WriteSnapshotParts(snapshot, &parts, last_error)) {
     return false;
   }
-  const ConfigHead head{held.revision(), held.digest, held.revision(), parts,
-                        base::RandomHexId(random_)};
+  const ConfigHead head{snapshot.revision(), snapshot.digest,
+                        snapshot.revision(), parts, base::RandomHexId(random_)};
   std::vector<KvWrite> writes = {
       {std::string(kHeadKey), EncodeHead(head), {}},
-      {AuditKey(held.revision()), audit, {}},
-      {CompactionKey(held.revision()), std::nullopt, {}}};
-  DeleteParts(stored->head.snapshot, stored->head.snapshot_parts, &writes);
+      {AuditKey(snapshot.revision()), audit, {}},
+      {CompactionKey(snapshot.revision()), std::nullopt, {}}};
+  AppendPartDeletions(stored->head.snapshot, stored->head.snapshot_parts,
+                      &writes);
   KvError ec = KvError::kNone;
   const auto result = service_.Commit(
       {{std::string(kHeadKey), stored->mod_revision}}, writes, &ec);
-  *last_error = StoreErrorOf(ec);
+  *last_error = ToStoreError(ec);
   if (result && !result->committed) {
     *last_error = StoreError::kConflict;
   }
   return result && result->committed;
 }
 
-ConfigEvent ReadConfigEvent(const connection::KvEvent& event) {
+ConfigEvent DecodeConfigEvent(const connection::KvEvent& event) {
   ConfigEvent read;
   const std::string& key = event.entry.key;
   if (event.deleted) {
@@ -478,7 +483,7 @@
   if (key == kHeadKey) {
     read.head = DecodeHead(event.entry.value);
   } else if (key.starts_with(kDeltaPrefix)) {
-    read.delta = DecodeChained(event.entry.value);
+    read.delta = DecodeChainedDelta(event.entry.value);
   }
   return read;
 }
--- a/src/version/config_watcher.cc
+++ b/src/version/config_watcher.cc
@@ -9,21 +9,21 @@
 using connection::KvError;
 using connection::KvEvent;
 
-// Sleeps vary by this much, so that instances do not read in step.
-constexpr double kJitter = 0.25;
-
-// Applies the deltas from what is in force up to the head. False when one did
-// not follow.
-bool TakeDeltas(const ConfigStore& store,
-                const ConfigHead& head,
-                ConfigTracker* tracker,
-                StoreError* last_error) {
+// Relative jitter of read intervals, so that instances do not synchronise.
+constexpr double kJitterFraction = 0.25;
+
+// Reads and applies the deltas up to the head. Returns false when the read
+// fails or a delta does not apply.
+bool ApplyDeltas(const ConfigStore& store,
+                 const ConfigHead& head,
+                 ConfigTracker* tracker,
+                 StoreError* last_error) {
   const auto deltas =
       store.ReadDeltas(tracker->Get()->revision, head.revision, last_error);
   return deltas && std::ranges::all_of(*deltas, [&](const ChainedDelta& it) {
            const OfferResult result =
                tracker->OfferDelta(it, ConfigSource::kService);
-           return result == OfferResult::kTaken ||
+           return result == OfferResult::kApplied ||
                   result == OfferResult::kKnown;
          });
 }
@@ -33,29 +33,29 @@
 bool RefreshConfig(const ConfigStore& store,
                    ConfigTracker* tracker,
                    StoreError* last_error) {
-  const base::Revision held = tracker->Get()->revision;
+  const base::Revision current = tracker->Get()->revision;
   const std::optional<StoredHead> stored = store.ReadHead(last_error);
   if (!stored) {
     return false;
   }
   if (stored->mod_revision.value() == 0) {
-    tracker->MarkEmpty();
+    tracker->MarkStoreEmpty();
     return true;
   }
   const OfferResult offered =
-      tracker->OfferHead(stored->head, ConfigSource::kService, held);
+      tracker->OfferHead(stored->head, ConfigSource::kService, current);
   if (offered != OfferResult::kAhead) {
     return true;
   }
-  if (held < stored->head.snapshot) {
-    const std::optional<HeldConfiguration> whole =
+  if (current < stored->head.snapshot) {
+    const std::optional<ConfigSnapshot> snapshot =
         store.ReadSnapshot(stored->head, last_error);
-    if (!whole) {
+    if (!snapshot) {
       return false;
     }
-    tracker->OfferWhole(*whole, ConfigSource::kService);
+    tracker->OfferSnapshot(*snapshot, ConfigSource::kService);
   }
-  return TakeDeltas(store, stored->head, tracker, last_error);
+  return ApplyDeltas(store, stored->head, tracker, last_error);
 }
 
 ConfigWatcher::ConfigWatcher(const connection::KeyValue& service,
@@ -83,10 +83,10 @@
       std::jthread([this](const std::stop_token& stop) { WatchLoop(stop); });
 }
 
-void ConfigWatcher::Nudge() {
+void ConfigWatcher::TriggerRead() {
   {
     const std::scoped_lock lock(mutex_);
-    nudged_ = true;
+    read_triggered_ = true;
   }
   wake_.notify_all();
 }
@@ -94,7 +94,7 @@
 void ConfigWatcher::ReadLoop(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
     ReadOnce();
-    Sleep(stop, NextPeriod(), true);
+    Wait(stop, NextPeriod(), true);
   }
 }
 
@@ -106,16 +106,16 @@
                   {{"result", std::string(ToString(ec))}})
       .Add();
   if (!read && (!tracker_.ready() || tracker_.behind())) {
-    AskPeer();
+    FetchFromPeer();
   }
 }
 
-void ConfigWatcher::AskPeer() {
+void ConfigWatcher::FetchFromPeer() {
   if (!hooks_.fetch_from_peer) {
     return;
   }
   if (const std::optional<std::string> bytes = hooks_.fetch_from_peer()) {
-    tracker_.OfferBytes(*bytes, ConfigSource::kPeer);
+    tracker_.OfferEncodedSnapshot(*bytes, ConfigSource::kPeer);
   }
 }
 
@@ -127,31 +127,31 @@
     period = options_.watcher_period;
   }
   const double factor =
-      1.0 + kJitter * (2 * base::UniformReal(hooks_.random) - 1);
+      1.0 + kJitterFraction * (2 * base::UniformReal(hooks_.random) - 1);
   return std::chrono::duration_cast<base::Duration>(period * factor);
 }
 
 void ConfigWatcher::WatchLoop(const std::stop_token& stop) {
-  // 0 lets the service start the watch at its present; what lies before is
-  // the reader's to find.
+  // 0 starts the watch at the service's current revision; the reader thread
+  // covers earlier changes.
   base::Revision next{0};
   while (!stop.stop_requested()) {
     if (!hooks_.should_watch()) {
       next = base::Revision(0);
-      Sleep(stop, options_.watcher_period, false);
+      Wait(stop, options_.watcher_period, false);
       continue;
     }
-    // What was accepted between the last read and the watch's start shows
-    // only in a read made once the watch stands.
-    bool stands = false;
+    // A change accepted between the last read and the start of the watch is
+    // found only by a read after the watch is established.
+    bool established = false;
     const auto on_events = [&](const std::vector<KvEvent>& events,
                                base::Revision revision) {
-      const bool first = !std::exchange(stands, true);
+      const bool first = !std::exchange(established, true);
       if (revision.value() > 0) {
         next = revision + base::Revision(1);
       }
-      if (!Take(events) || first) {
-        Nudge();
+      if (!HandleEvents(events) || first) {
+        TriggerRead();
       }
       return hooks_.should_watch();
     };
@@ -162,18 +162,18 @@
                     {{"reason", std::string(connection::ToString(ec))}})
         .Add();
     if (ec == KvError::kBadAnswer) {
-      // The start may have been compacted away; begin at the present.
+      // The start revision may have been compacted; use the current one.
       next = base::Revision(0);
     }
-    Sleep(stop, options_.rewatch_pause, false);
+    Wait(stop, options_.rewatch_delay, false);
   }
 }
 
-bool ConfigWatcher::Take(const std::vector<KvEvent>& events) {
-  // Heads after deltas: then a head that is ahead means a gap.
+bool ConfigWatcher::HandleEvents(const std::vector<KvEvent>& events) {
+  // Offers heads after deltas, so that a head that is ahead means a gap.
   std::vector<ConfigHead> heads;
   for (const KvEvent& it : events) {
-    ConfigEvent event = ReadConfigEvent(it);
+    ConfigEvent event = DecodeConfigEvent(it);
     if (event.delta) {
       tracker_.OfferDelta(*event.delta, ConfigSource::kService);
     }
@@ -187,12 +187,13 @@
   return !tracker_.behind();
 }
 
-void ConfigWatcher::Sleep(const std::stop_token& stop,
-                          base::Duration time,
-                          bool nudgeable) {
+void ConfigWatcher::Wait(const std::stop_token& stop,
+                         base::Duration time,
+                         bool triggerable) {
   std::unique_lock lock(mutex_);
-  wake_.wait_for(lock, stop, time,
-                 [&] { return nudgeable && std::exchange(nudged_, false); });
+  wake_.wait_for(lock, stop, time, [&] {
+    return triggerable && std::exchange(read_triggered_, false);
+  });
 }
 
 }  // namespace lynxglade::version
--- a/src/version/configuration_codec.cc
+++ b/src/version/configuration_codec.cc
@@ -9,12 +9,14 @@
 namespace lynxglade::version {
 namespace {
 
-using details::Below;
+using details::AppendToPointer;
 using details::Fail;
 
-std::string PlaceOf(const Contract& contract, std::size_t intent) {
-  return Below(Below(Below("/contracts", contract.id.str()), "intents"),
-               std::to_string(intent));
+std::string IntentPointer(const Contract& contract, std::size_t intent) {
+  return AppendToPointer(
+      AppendToPointer(AppendToPointer("/contracts", contract.id.str()),
+                      "intents"),
+      std::to_string(intent));
 }
 
 bool CheckIntent(const Intent& intent,
@@ -23,14 +25,16 @@
                  CodecFault* fault) {
   const auto service = configuration.services.find(intent.service);
   if (service == configuration.services.end()) {
-    return Fail(fault, CodecError::kBadReference, Below(where, "service"),
-                "there is no service " + intent.service.str());
+    return Fail(fault, CodecError::kBadReference,
+                AppendToPointer(where, "service"),
+                "unknown service " + intent.service.str());
   }
   if (service->second.engines == intent.model.empty()) {
-    return Fail(fault, CodecError::kBadReference, Below(where, "model"),
+    return Fail(fault, CodecError::kBadReference,
+                AppendToPointer(where, "model"),
                 service->second.engines
-                    ? "a service of model engines needs a model"
-                    : "a plain service takes no model");
+                    ? "a model is required for a service of model engines"
+                    : "a plain service must not have a model");
   }
   return true;
 }
@@ -40,7 +44,8 @@
     const Contract& contract = entry.second;
     std::size_t n = 0;
     return std::ranges::all_of(contract.intents, [&](const Intent& it) {
-      return CheckIntent(it, PlaceOf(contract, n++), configuration, fault);
+      return CheckIntent(it, IntentPointer(contract, n++), configuration,
+                         fault);
     });
   });
 }
@@ -119,13 +124,14 @@
     return false;
   }
   const auto sums = SumShares(configuration);
-  const auto over = std::ranges::find_if(
-      sums, [](const auto& it) { return it.second > 1 + kShareSlack; });
-  return over == sums.end() ||
+  const auto over_committed = std::ranges::find_if(
+      sums, [](const auto& it) { return it.second > 1 + kShareTolerance; });
+  return over_committed == sums.end() ||
          Fail(fault, CodecError::kOverCommitted,
-              Below("/services", over->first.str()),
-              "the shares on " + over->first.str() + " sum to " +
-                  nlohmann::json(over->second).dump() + ", more than 1");
+              AppendToPointer("/services", over_committed->first.str()),
+              "the shares on " + over_committed->first.str() + " sum to " +
+                  nlohmann::json(over_committed->second).dump() +
+                  ", more than 1");
 }
 
 }  // namespace lynxglade::version
--- a/src/version/configuration_plane.cc
+++ b/src/version/configuration_plane.cc
@@ -29,7 +29,7 @@
   OperatorAccess access;
   PlanService plans;
   IntentApi api;
-  // Last: its threads use all of the above.
+  // Last: its threads use the members above.
   ConfigWatcher watcher;
 };
 
@@ -53,11 +53,13 @@
               options.watcher) {}
 
 ConfigTrackerHooks ConfigurationPlane::Details::MakeTrackerHooks() {
-  return {hooks.clock, [this](const HeldConfiguration&) { hooks.on_change(); },
+  return {hooks.clock, [this](const ConfigSnapshot&) { hooks.on_change(); },
           [this](base::Revision revision, const ChainedDelta& delta) {
-            gossip.TellDelta(revision, delta);
+            gossip.PublishDelta(revision, delta);
           },
-          [this](const HeldConfiguration& whole) { gossip.TellWhole(whole); }};
+          [this](const ConfigSnapshot& snapshot) {
+            gossip.PublishSnapshot(snapshot);
+          }};
 }
 
 ConfigGossipHooks ConfigurationPlane::Details::MakeGossipHooks() {
@@ -68,8 +70,8 @@
   PlanServiceHooks made;
   made.fleet = hooks.fleet;
   made.wall_millis = hooks.wall_millis;
-  made.on_snapshot = [this](const HeldConfiguration& held) {
-    gossip.TellWhole(held);
+  made.on_snapshot = [this](const ConfigSnapshot& snapshot) {
+    gossip.PublishSnapshot(snapshot);
   };
   return made;
 }
@@ -84,8 +86,8 @@
 
 std::vector<InstanceRevision> ConfigurationPlane::Details::Instances() const {
   std::vector<InstanceRevision> rows;
-  for (const process::ViewItem& it : hooks.in_force_facts()) {
-    if (auto row = ConfigGossip::ReadInForce(it)) {
+  for (const process::ViewItem& it : hooks.revision_facts()) {
+    if (auto row = ConfigGossip::DecodeInstanceRevision(it)) {
       rows.push_back(std::move(*row));
     }
   }
@@ -107,14 +109,14 @@
   details_->watcher.Start();
 }
 
-void ConfigurationPlane::Hear(const process::ViewItem& item) {
-  details_->gossip.Hear(item);
+void ConfigurationPlane::HandleFact(const process::ViewItem& item) {
+  details_->gossip.HandleFact(item);
 }
 
 void ConfigurationPlane::Tick() {
   details_->gossip.Tick();
-  if (details_->tracker.BehindFor() > details_->options.peer_patience) {
-    details_->watcher.Nudge();
+  if (details_->tracker.TimeBehind() > details_->options.peer_timeout) {
+    details_->watcher.TriggerRead();
   }
 }
 
@@ -135,8 +137,8 @@
   return details_->access;
 }
 
-std::string ConfigurationPlane::HeldBytes() const {
-  return EncodeHeld(details_->tracker.Held());
+std::string ConfigurationPlane::EncodedSnapshot() const {
+  return EncodeSnapshot(details_->tracker.GetSnapshot());
 }
 
 }  // namespace lynxglade::version
--- a/src/version/details/json_reader.cc
+++ b/src/version/details/json_reader.cc
@@ -50,12 +50,13 @@
                  CodecFault* fault) {
   if (text.size() > max_bytes) {
     return Fail(fault, CodecError::kTooLarge, "",
-                "at most " + std::to_string(max_bytes) + " bytes");
+                "must be at most " + std::to_string(max_bytes) +
+                    " bytes, got " + std::to_string(text.size()));
   }
   auto parsed = base::ParseBoundedJson(text);
   if (!parsed) {
     return Fail(fault, CodecError::kNotJson, "",
-                "not JSON, or nests too deeply");
+                "must be valid JSON without excessive nesting");
   }
   *value = *std::move(parsed);
   if (!value->is_object()) {
@@ -64,7 +65,7 @@
   return true;
 }
 
-std::string Below(const std::string& where, std::string_view step) {
+std::string AppendToPointer(const std::string& where, std::string_view step) {
   std::string path = where + "/";
   for (const char c : step) {
     if (c == '~') {
@@ -90,10 +91,10 @@
   }
 }
 
-bool JsonReader::Refuse(CodecError error,
+bool JsonReader::Reject(CodecError error,
                         std::string_view name,
                         std::string message) {
-  ok_ = Fail(fault_, error, Below(where_, name), std::move(message));
+  ok_ = Fail(fault_, error, AppendToPointer(where_, name), std::move(message));
   return false;
 }
 
@@ -101,13 +102,13 @@
   if (!ok_) {
     return nullptr;
   }
-  asked_.emplace_back(name);
+  read_members_.emplace_back(name);
   const auto it = object_.find(name);
   if (it != object_.end()) {
     return &*it;
   }
   if (required) {
-    Refuse(CodecError::kMissing, name, "is required");
+    Reject(CodecError::kMissing, name, "is required");
   }
   return nullptr;
 }
@@ -118,12 +119,12 @@
     return;
   }
   if (!value->is_string()) {
-    Refuse(CodecError::kWrongType, name, "must be a string");
+    Reject(CodecError::kWrongType, name, "must be a string");
     return;
   }
   *out = value->get<std::string>();
   if (!IsId(*out)) {
-    Refuse(CodecError::kOutOfRange, name,
+    Reject(CodecError::kOutOfRange, name,
            "must be 1 to 128 letters, digits or ._-:/@+");
   }
 }
@@ -148,13 +149,13 @@
     return;
   }
   if (!value->is_string()) {
-    Refuse(CodecError::kWrongType, name, "must be a string");
+    Reject(CodecError::kWrongType, name, "must be a string");
     return;
   }
   *out = value->get<std::string>();
   if (out->size() > max_bytes) {
-    Refuse(CodecError::kOutOfRange, name,
-           "at most " + std::to_string(max_bytes) + " bytes");
+    Reject(CodecError::kOutOfRange, name,
+           "must be at most " + std::to_string(max_bytes) + " bytes");
   }
 }
 
@@ -164,7 +165,7 @@
     return;
   }
   if (!value->is_boolean()) {
-    Refuse(CodecError::kWrongType, name, "must be true or false");
+    Reject(CodecError::kWrongType, name, "must be true or false");
     return;
   }
   *out = value->get<bool>();
@@ -188,12 +189,12 @@
     return;
   }
   if (!value->is_number()) {
-    Refuse(CodecError::kWrongType, name, RangeText(low, high));
+    Reject(CodecError::kWrongType, name, RangeText(low, high));
     return;
   }
   *out = value->get<double>();
   if (!std::isfinite(*out) || *out < low || *out > high) {
-    Refuse(CodecError::kOutOfRange, name, RangeText(low, high));
+    Reject(CodecError::kOutOfRange, name, RangeText(low, high));
   }
 }
 
@@ -214,19 +215,19 @@
   if (value == nullptr) {
     return;
   }
-  // An unsigned number beyond the signed range would wrap.
+  // Unsigned values above INT64_MAX would wrap around.
   const bool fits =
       value->is_number_integer() &&
       !(value->is_number_unsigned() && value->get<std::uint64_t>() > INT64_MAX);
   const std::string message = "must be an integer from " + std::to_string(low) +
                               " to " + std::to_string(high);
   if (!fits) {
-    Refuse(CodecError::kWrongType, name, message);
+    Reject(CodecError::kWrongType, name, message);
     return;
   }
   *out = value->get<std::int64_t>();
   if (*out < low || *out > high) {
-    Refuse(CodecError::kOutOfRange, name, message);
+    Reject(CodecError::kOutOfRange, name, message);
   }
 }
 
@@ -250,7 +251,7 @@
   Each(name, json::value_t::array, max_count,
        [&](const std::string&, const json& it, const std::string& where) {
          if (!it.is_string() || !IsDigest(it.get_ref<const std::string&>())) {
-           // Says nothing of what stood there: it may be a key by mistake.
+           // Does not repeat the value, which may be a key entered by mistake.
            return Fail(fault_, CodecError::kOutOfRange, where,
                        "must be a SHA-256 digest: 64 lower-case hexadecimal "
                        "digits, not the key itself");
@@ -269,20 +270,21 @@
     return;
   }
   if (value->type() != type) {
-    Refuse(CodecError::kWrongType, name,
+    Reject(CodecError::kWrongType, name,
            type == json::value_t::array ? "must be an array"
                                         : "must be an object");
     return;
   }
   if (value->size() > max_count) {
-    Refuse(CodecError::kTooLarge, name,
-           "at most " + std::to_string(max_count) + " entries");
+    Reject(CodecError::kTooLarge, name,
+           "must have at most " + std::to_string(max_count) + " entries, got " +
+               std::to_string(value->size()));
     return;
   }
-  const std::string where = Below(where_, name);
+  const std::string where = AppendToPointer(where_, name);
   const auto items = value->items();
   ok_ = std::all_of(items.begin(), items.end(), [&](const auto& it) {
-    return read(it.key(), it.value(), Below(where, it.key()));
+    return read(it.key(), it.value(), AppendToPointer(where, it.key()));
   });
 }
 
@@ -297,12 +299,13 @@
   const auto items = object_.items();
   const auto it =
       std::find_if(items.begin(), items.end(), [&](const auto& member) {
-        return std::ranges::find(asked_, member.key()) == asked_.end();
+        return std::ranges::find(read_members_, member.key()) ==
+               read_members_.end();
       });
   if (it == items.end()) {
     return true;
   }
-  return Refuse(CodecError::kUnknownMember, it.key(), "is not known here");
+  return Reject(CodecError::kUnknownMember, it.key(), "unknown member");
 }
 
 }  // namespace lynxglade::version::details
--- a/src/version/intent_api.h
+++ b/src/version/intent_api.h
@@ -1,5 +1,5 @@
-// The part of the administration API that states, confirms and shows
-// intents. Its paths are in docs/OPERATIONS.md, "Administration API".
+// Administration API for plans, configuration, contracts and audit records. The
+// paths are documented in docs/OPERATIONS.md, "Administration API".
 #ifndef LYNXGLADE_VERSION_INTENT_API_H_
 #define LYNXGLADE_VERSION_INTENT_API_H_
 
@@ -20,7 +20,7 @@
 
 struct IntentApiHooks {
   base::Clock clock;
-  // What every instance last said it holds.
+  // Last published configuration revision of every instance.
   std::function<std::vector<InstanceRevision>()> instances;
 };
 
@@ -38,7 +38,7 @@
   IntentApi(const IntentApi&) = delete;
   IntentApi& operator=(const IntentApi&) = delete;
 
-  // Recognises the operator itself. Paths below /v1/admin/plans,
+  // Authenticates the operator. Handles paths below /v1/admin/plans,
   // /v1/admin/config, /v1/admin/contracts and /v1/admin/audit.
   connection::ApiAnswer Handle(const connection::ApiCall& call) const;
 
@@ -47,7 +47,7 @@
   using Call = connection::ApiCall;
 
   Answer HandlePlans(const Call& call, const Caller& caller) const;
-  Answer State(const Call& call, const Caller& caller) const;
+  Answer CreatePlan(const Call& call, const Caller& caller) const;
   Answer ListPlans(const Caller& caller) const;
   Answer ShowPlan(const base::PlanId& id, const Caller& caller) const;
   Answer Confirm(const base::PlanId& id, const Caller& caller) const;
@@ -57,7 +57,7 @@
   Answer Restore(const Caller& caller) const;
   Answer ShowContracts(const Caller& caller) const;
   Answer ShowAudit(const Call& call, const Caller& caller) const;
-  Answer Confirmed(const ConfirmResult& result, const Caller& caller) const;
+  Answer ConfirmAnswer(const ConfirmResult& result, const Caller& caller) const;
 
   const OperatorAccess& access_;
   PlanService& plans_;
