--- a/src/version/operator_access.cc
+++ b/src/version/operator_access.cc
@@ -16,8 +16,8 @@
   });
 }
 
-// Looks at every hash, so that the time tells nothing of which one fits.
-bool OwnsKey(const Operator& op, const std::string& digest) {
+// Compares every hash, so that the time does not reveal which one matches.
+bool HasKey(const Operator& op, const std::string& digest) {
   return std::ranges::count_if(op.key_hashes, [&](const std::string& it) {
            return EqualInConstantTime(it, digest);
          }) > 0;
@@ -35,24 +35,25 @@
   const auto old_shares = SharesOf(before);
   return std::ranges::any_of(SharesOf(after), [&](const auto& it) {
     const auto old = old_shares.find(it.first);
-    const double had = old == old_shares.end() ? 0 : old->second;
-    return it.second > had + kShareSlack;
+    const double old_share = old == old_shares.end() ? 0 : old->second;
+    return it.second > old_share + kShareTolerance;
   });
 }
 
-int MostUrgent(const Contract& contract, const base::ServiceName& service) {
-  int most = kMaxPriority;
+int MostUrgentPriority(const Contract& contract,
+                       const base::ServiceName& service) {
+  int most_urgent = kMaxPriority;
   for (const Intent& it : contract.intents) {
     if (it.service == service) {
-      most = std::min(most, it.priority);
+      most_urgent = std::min(most_urgent, it.priority);
     }
   }
-  return most;
+  return most_urgent;
 }
 
-bool RaisesUrgency(const Contract& before, const Contract& after) {
+bool RaisesPriority(const Contract& before, const Contract& after) {
   return std::ranges::any_of(after.intents, [&](const Intent& it) {
-    return it.priority < MostUrgent(before, it.service);
+    return it.priority < MostUrgentPriority(before, it.service);
   });
 }
 
@@ -61,19 +62,21 @@
                      const Edit<Contract>& edit,
                      std::string* reason) {
   if (!caller.MaySee(id)) {
-    *reason = "contract " + id.str() + " is not one of yours";
+    *reason = "contract " + id.str() + " is not assigned to this operator";
     return false;
   }
   if (!edit.before || !edit.after) {
-    *reason = "only a fleet operator adds or removes a contract";
+    *reason = "only a fleet operator may add or remove a contract";
     return false;
   }
   if (RaisesShare(*edit.before, *edit.after)) {
-    *reason = "only a fleet operator raises a share";
+    *reason =
+        "only a fleet operator may raise the share of contract " + id.str();
     return false;
   }
-  if (RaisesUrgency(*edit.before, *edit.after)) {
-    *reason = "only a fleet operator raises a priority";
+  if (RaisesPriority(*edit.before, *edit.after)) {
+    *reason =
+        "only a fleet operator may raise the priority of contract " + id.str();
     return false;
   }
   return true;
@@ -92,7 +95,8 @@
       bootstrap_digest_(bootstrap_key.empty() ? "" : Sha256Hex(bootstrap_key)) {
 }
 
-std::optional<Caller> OperatorAccess::Recognise(const std::string& key) const {
+std::optional<Caller> OperatorAccess::Authenticate(
+    const std::string& key) const {
   if (key.empty()) {
     return std::nullopt;
   }
@@ -100,7 +104,7 @@
   const std::shared_ptr<const Configuration> configuration = current_();
   std::optional<Caller> found;
   for (const auto& [id, op] : configuration->operators) {
-    if (OwnsKey(op, digest)) {
+    if (HasKey(op, digest)) {
       found = Caller{id, op.role, op.contracts};
     }
   }
@@ -120,11 +124,11 @@
     return true;
   }
   if (caller.role == OperatorRole::kReadOnly) {
-    *reason = "this operator may only read";
+    *reason = "this operator is read-only";
     return false;
   }
   if (!delta.services.empty() || !delta.operators.empty()) {
-    *reason = "only a fleet operator changes services and operators";
+    *reason = "only a fleet operator may change services and operators";
     return false;
   }
   return std::ranges::all_of(delta.contracts, [&](const auto& it) {
@@ -132,7 +136,8 @@
   });
 }
 
-bool LocksOut(const Configuration& before, const Configuration& after) {
+bool RemovesLastFleetOperator(const Configuration& before,
+                              const Configuration& after) {
   return HasFleetOperator(before) && !HasFleetOperator(after);
 }
 
--- a/src/version/plan.cc
+++ b/src/version/plan.cc
@@ -19,7 +19,7 @@
 constexpr std::size_t kMaxChanges =
     kMaxServices + kMaxContracts + kMaxOperators;
 
-std::nullopt_t Refuse(PlanFault* fault,
+std::nullopt_t Reject(PlanFault* fault,
                       PlanError error,
                       std::string where,
                       std::string message) {
@@ -35,8 +35,8 @@
   return services;
 }
 
-// The services whose arithmetic the delta touches.
-std::set<base::ServiceName> ServicesTouched(const ConfigDelta& delta) {
+// Services whose shares the delta may affect.
+std::set<base::ServiceName> AffectedServices(const ConfigDelta& delta) {
   std::set<base::ServiceName> services;
   for (const auto& [name, edit] : delta.services) {
     services.insert(name);
@@ -57,8 +57,8 @@
       std::ranges::count(fleet.targets, service, &TargetFact::service));
 }
 
-// Lines of the contracts that change, and the sum of all others: a plan stays
-// small on a service that a thousand contracts share.
+// Lists the changed contracts and aggregates all others, so that the plan
+// stays small on services shared by many contracts.
 json SharesToJson(const ServiceShares& shares, const ConfigDelta& delta) {
   json lines = json::array();
   int others = 0;
@@ -88,57 +88,58 @@
             {"engines", other_engines}}}};
 }
 
-json TouchedToJson(const TouchedEngine& it) {
-  return {{"target", it.now.id.str()},
+json ReloadToJson(const EngineReload& it) {
+  return {{"target", it.current.id.str()},
           {"from",
-           {{"model", it.now.model.str()}, {"version", it.now.version.str()}}},
+           {{"model", it.current.model.str()},
+            {"version", it.current.version.str()}}},
           {"to", {{"model", it.model.str()}, {"version", it.version.str()}}}};
 }
 
-// The arithmetic of every touched service, and warnings that follow from it.
-struct Arithmetic {
+// Share arithmetic of all affected services, with warnings.
+struct ShareReport {
   json shares = json::array();
-  json touched = json::array();
+  json reloads = json::array();
   json warnings = json::array();
 };
 
-void AddService(const Configuration& wanted,
-                const ConfigDelta& delta,
-                const base::ServiceName& service,
-                const FleetFacts& fleet,
-                Arithmetic* all) {
-  const auto spec = wanted.services.find(service);
-  if (spec == wanted.services.end()) {
+void AddServiceShares(const Configuration& desired,
+                      const ConfigDelta& delta,
+                      const base::ServiceName& service,
+                      const FleetFacts& fleet,
+                      ShareReport* report) {
+  const auto spec = desired.services.find(service);
+  if (spec == desired.services.end()) {
     return;
   }
   const ServiceShares shares =
-      ComputeShares(wanted, service, CountTargets(fleet, service));
-  all->shares.push_back(SharesToJson(shares, delta));
+      ComputeShares(desired, service, CountTargets(fleet, service));
+  report->shares.push_back(SharesToJson(shares, delta));
   if (shares.engines == 0) {
-    all->warnings.push_back("no targets of " + service.str() +
-                            " are in view now");
+    report->warnings.push_back("no targets of " + service.str() +
+                               " are in view now");
     return;
   }
   for (const ShareLine& it : shares.lines) {
     if (it.engines == 0 && delta.contracts.contains(it.contract)) {
-      all->warnings.push_back("the share of " + it.contract.str() + " on " +
-                              service.str() + " is less than one engine");
+      report->warnings.push_back("the share of " + it.contract.str() + " on " +
+                                 service.str() + " is less than one engine");
     }
   }
   if (spec->second.engines) {
-    std::ranges::transform(TouchedEngines(shares, fleet.targets),
-                           std::back_inserter(all->touched), TouchedToJson);
+    std::ranges::transform(ComputeEngineReloads(shares, fleet.targets),
+                           std::back_inserter(report->reloads), ReloadToJson);
   }
 }
 
-Arithmetic Compute(const Configuration& wanted,
-                   const ConfigDelta& delta,
-                   const FleetFacts& fleet) {
-  Arithmetic all;
-  for (const base::ServiceName& it : ServicesTouched(delta)) {
-    AddService(wanted, delta, it, fleet, &all);
+ShareReport ComputeShareReport(const Configuration& desired,
+                               const ConfigDelta& delta,
+                               const FleetFacts& fleet) {
+  ShareReport report;
+  for (const base::ServiceName& it : AffectedServices(delta)) {
+    AddServiceShares(desired, delta, it, fleet, &report);
   }
-  return all;
+  return report;
 }
 
 json ChangesToJson(const std::vector<PlanChange>& changes) {
@@ -150,21 +151,21 @@
   return array;
 }
 
-void WriteText(const Configuration& wanted,
-               const FleetFacts& fleet,
-               Plan* plan) {
-  Arithmetic all = Compute(wanted, plan->delta, fleet);
+void SetTextAndId(const Configuration& desired,
+                  const FleetFacts& fleet,
+                  Plan* plan) {
+  ShareReport report = ComputeShareReport(desired, plan->delta, fleet);
   const double cost =
-      static_cast<double>(all.touched.size()) * fleet.seconds_per_change;
+      static_cast<double>(report.reloads.size()) * fleet.seconds_per_reload;
   json text = {{"base", plan->base.value()},
                {"base_digest", plan->base_digest},
                {"delta", EncodeDelta(plan->delta)},
                {"changes", ChangesToJson(plan->changes)},
-               {"shares", std::move(all.shares)},
-               {"engines_touched", std::move(all.touched)},
+               {"shares", std::move(report.shares)},
+               {"engines_touched", std::move(report.reloads)},
                {"cost_engine_seconds", cost},
-               {"warnings", std::move(all.warnings)},
-               {"stated_by", plan->stated_by.str()},
+               {"warnings", std::move(report.warnings)},
+               {"stated_by", plan->requested_by.str()},
                {"note", plan->note}};
   if (plan->rollback_to) {
     text["rollback_to"] = plan->rollback_to->value();
@@ -173,9 +174,9 @@
   plan->id = base::PlanId(Sha256Hex(plan->text));
 }
 
-bool ReadChanges(details::JsonReader* reader,
-                 std::vector<PlanChange>* changes,
-                 CodecFault* fault) {
+bool DecodeChanges(details::JsonReader* reader,
+                   std::vector<PlanChange>* changes,
+                   CodecFault* fault) {
   reader->Each(
       "changes", json::value_t::array, kMaxChanges,
       [&](const std::string&, const json& it, const std::string& where) {
@@ -195,13 +196,13 @@
   switch (error) {
     case PlanError::kNone:
       return "none";
-    case PlanError::kBadStatement:
+    case PlanError::kInvalidRequest:
       return "bad_statement";
     case PlanError::kOverCommitted:
       return "over_committed";
     case PlanError::kNothingChanges:
       return "nothing_changes";
-    case PlanError::kLocksOut:
+    case PlanError::kNoFleetOperator:
       return "locks_out";
     case PlanError::kTooLarge:
       return "too_large";
@@ -219,45 +220,48 @@
   return "not_ready";
 }
 
-std::optional<Plan> MakePlan(const HeldConfiguration& held,
-                             const Configuration& wanted,
-                             const Statement& statement,
-                             const base::OperatorId& stated_by,
+std::optional<Plan> MakePlan(const ConfigSnapshot& current,
+                             const Configuration& desired,
+                             const ChangeRequest& request,
+                             const base::OperatorId& requested_by,
                              const FleetFacts& fleet,
                              PlanFault* fault) {
-  CodecFault breach;
-  if (!CheckConfiguration(wanted, &breach)) {
-    const PlanError error = breach.error == CodecError::kOverCommitted
+  CodecFault violation;
+  if (!CheckConfiguration(desired, &violation)) {
+    const PlanError error = violation.error == CodecError::kOverCommitted
                                 ? PlanError::kOverCommitted
-                                : PlanError::kBadStatement;
-    return Refuse(fault, error, breach.where, breach.message);
+                                : PlanError::kInvalidRequest;
+    return Reject(fault, error, violation.where, violation.message);
   }
-  if (LocksOut(*held.configuration, wanted)) {
-    return Refuse(fault, PlanError::kLocksOut, "/operators",
-                  "no fleet operator with a key would be left");
+  if (RemovesLastFleetOperator(*current.configuration, desired)) {
+    return Reject(
+        fault, PlanError::kNoFleetOperator, "/operators",
+        "the change would remove the last fleet operator that has a key");
   }
   Plan plan;
-  plan.base = held.revision();
-  plan.base_digest = held.digest;
-  plan.delta = MakeDelta(*held.configuration, wanted);
+  plan.base = current.revision();
+  plan.base_digest = current.digest;
+  plan.delta = MakeDelta(*current.configuration, desired);
   if (plan.delta.empty()) {
-    return Refuse(fault, PlanError::kNothingChanges, "",
-                  "this is in force already");
+    return Reject(fault, PlanError::kNothingChanges, "",
+                  "the request does not change the current configuration");
   }
   plan.changes = DescribeDelta(plan.delta);
-  plan.stated_by = stated_by;
-  plan.note = statement.note;
-  plan.rollback_to = statement.rollback_to;
-  WriteText(wanted, fleet, &plan);
+  plan.requested_by = requested_by;
+  plan.note = request.note;
+  plan.rollback_to = request.rollback_to;
+  SetTextAndId(desired, fleet, &plan);
   if (plan.text.size() > kMaxPlanBytes ||
-      EncodeChained(Chain(plan.delta, held.digest)).size() > kMaxDeltaBytes) {
-    return Refuse(fault, PlanError::kTooLarge, "",
-                  "the change is too large for one plan; state it in parts");
+      EncodeChainedDelta(MakeChainedDelta(plan.delta, current.digest)).size() >
+          kMaxDeltaBytes) {
+    return Reject(
+        fault, PlanError::kTooLarge, "",
+        "the change is too large for one plan; split it into several");
   }
   return plan;
 }
 
-std::optional<Plan> ReadPlan(std::string_view text) {
+std::optional<Plan> DecodePlan(std::string_view text) {
   json value;
   CodecFault fault;
   if (!details::ParseObject(text, kMaxPlanBytes, &value, &fault)) {
@@ -266,19 +270,19 @@
   Plan plan;
   std::int64_t base = 0;
   std::string delta_text;
-  std::string stated_by;
+  std::string requested_by;
   details::JsonReader reader(value, "", &fault);
   reader.Integer("base", 0, INT64_MAX, &base);
   reader.OptionalText("base_digest", kMaxIdBytes, &plan.base_digest);
   reader.OptionalText("delta", kMaxDeltaBytes, &delta_text);
-  reader.Id("stated_by", &stated_by);
+  reader.Id("stated_by", &requested_by);
   reader.OptionalText("note", kMaxNoteBytes, &plan.note);
   if (reader.Any("rollback_to") != nullptr) {
     std::int64_t revision = 0;
     reader.Integer("rollback_to", 0, INT64_MAX, &revision);
     plan.rollback_to = base::Revision(revision);
   }
-  if (!ReadChanges(&reader, &plan.changes, &fault)) {
+  if (!DecodeChanges(&reader, &plan.changes, &fault)) {
     return std::nullopt;
   }
   std::optional<ConfigDelta> delta = DecodeDelta(delta_text, &fault);
@@ -287,32 +291,32 @@
   }
   plan.delta = std::move(*delta);
   plan.base = base::Revision(base);
-  plan.stated_by = base::OperatorId(std::move(stated_by));
+  plan.requested_by = base::OperatorId(std::move(requested_by));
   plan.text = std::string(text);
   plan.id = base::PlanId(Sha256Hex(text));
   return plan;
 }
 
-std::optional<Configuration> RollBack(const Configuration& held,
+std::optional<Configuration> RollBack(const Configuration& current,
                                       const std::vector<ChainedDelta>& deltas) {
-  Configuration old = held;
+  Configuration restored = current;
   CodecFault fault;
   const bool undone =
       std::all_of(deltas.rbegin(), deltas.rend(), [&](const ChainedDelta& it) {
         const std::optional<ConfigDelta> delta = DecodeDelta(it.text, &fault);
-        return delta && UndoDelta(*delta, &old);
+        return delta && UndoDelta(*delta, &restored);
       });
   if (!undone) {
     return std::nullopt;
   }
-  old.operators = held.operators;
-  for (auto& [id, contract] : old.contracts) {
-    const auto now = held.contracts.find(id);
-    if (now != held.contracts.end()) {
-      contract.key_hashes = now->second.key_hashes;
+  restored.operators = current.operators;
+  for (auto& [id, contract] : restored.contracts) {
+    const auto current_contract = current.contracts.find(id);
+    if (current_contract != current.contracts.end()) {
+      contract.key_hashes = current_contract->second.key_hashes;
     }
   }
-  return old;
+  return restored;
 }
 
 }  // namespace lynxglade::version
--- a/src/version/plan_service.cc
+++ b/src/version/plan_service.cc
@@ -19,8 +19,8 @@
 
 constexpr std::string_view kPlanPrefix = "/lynxglade/plans/";
 constexpr base::Revision kOne{1};
-// Rounds of read and compare-and-swap before the outcome is left unknown.
-constexpr int kSwapAttempts = 4;
+// Read and compare-and-swap rounds before the outcome is reported unknown.
+constexpr int kCommitAttempts = 4;
 constexpr int kRefreshAttempts = 2;
 constexpr int kSaveAttempts = 4;
 constexpr std::size_t kMaxAuditChanges = 50;
@@ -30,27 +30,30 @@
   return std::string(kPlanPrefix) + id.str();
 }
 
-std::nullopt_t Refuse(PlanFault* fault, PlanError error, std::string message) {
+std::nullopt_t Reject(PlanFault* fault, PlanError error, std::string message) {
   *fault = {error, "", std::move(message)};
   return std::nullopt;
 }
 
-std::string PlanOf(const std::string& audit) {
+std::string PlanIdOfAudit(const std::string& audit) {
   const json value = json::parse(audit, nullptr, false);
   return value.is_object() ? value.value("plan", std::string()) : std::string();
 }
 
-ConfirmResult Conflict(std::vector<std::string> since) {
+ConfirmResult ConflictResult(std::vector<std::string> since) {
   return {ConfirmOutcome::kConflict, base::Revision(0),
-          "another change came first; make a new plan", std::move(since)};
+          "another change was committed since the plan was made; make a new "
+          "plan",
+          std::move(since)};
 }
 
-ConfirmResult Behind() {
-  return {ConfirmOutcome::kServiceBehind,
-          base::Revision(0),
-          "the key-value service holds an older or another configuration than "
-          "is in force; see config restore",
-          {}};
+ConfirmResult ServiceBehindResult() {
+  return {
+      ConfirmOutcome::kServiceBehind,
+      base::Revision(0),
+      "the key-value service holds an older or different configuration than "
+      "this instance; see config restore",
+      {}};
 }
 
 }  // namespace
@@ -89,7 +92,7 @@
 bool PlanService::Refresh(PlanFault* fault) const {
   StoreError ec = StoreError::kNone;
   bool read = RefreshConfig(store_, &tracker_, &ec);
-  // Changes that came during the read are no reason to give up.
+  // Retry when a change was committed during the read.
   for (int i = 0; i < kRefreshAttempts && (!read || tracker_.behind()); ++i) {
     read = RefreshConfig(store_, &tracker_, &ec);
   }
@@ -101,46 +104,48 @@
   if (!tracker_.ready() || tracker_.behind() || tracker_.service_is_behind() ||
       tracker_.forked()) {
     *fault = {PlanError::kNotReady, "",
-              "this instance and the key-value service do not hold the newest "
-              "configuration that was heard of"};
+              "this instance or the key-value service does not hold the newest "
+              "known configuration"};
     return false;
   }
   return true;
 }
 
-std::optional<Configuration> PlanService::Wanted(const Statement& statement,
-                                                 PlanFault* fault) const {
-  if (statement.rollback_to) {
-    return ConfigurationAt(*statement.rollback_to, fault);
-  }
-  Configuration wanted = *tracker_.Get();
-  CodecFault breach;
-  if (!ApplyStatement(statement, &wanted, &breach)) {
-    *fault = {PlanError::kBadStatement, breach.where, breach.message};
+std::optional<Configuration> PlanService::DesiredConfiguration(
+    const ChangeRequest& request,
+    PlanFault* fault) const {
+  if (request.rollback_to) {
+    return ConfigurationAt(*request.rollback_to, fault);
+  }
+  Configuration desired = *tracker_.Get();
+  CodecFault violation;
+  if (!ApplyChangeRequest(request, &desired, &violation)) {
+    *fault = {PlanError::kInvalidRequest, violation.where, violation.message};
     return std::nullopt;
   }
-  return wanted;
+  return desired;
 }
 
-std::optional<Plan> PlanService::State(const Statement& statement,
-                                       const Caller& caller,
-                                       PlanFault* fault) {
+std::optional<Plan> PlanService::Create(const ChangeRequest& request,
+                                        const Caller& caller,
+                                        PlanFault* fault) {
   if (!Refresh(fault)) {
     return std::nullopt;
   }
-  const HeldConfiguration held = tracker_.Held();
-  const std::optional<Configuration> wanted = Wanted(statement, fault);
-  if (!wanted) {
+  const ConfigSnapshot current = tracker_.GetSnapshot();
+  const std::optional<Configuration> desired =
+      DesiredConfiguration(request, fault);
+  if (!desired) {
     return std::nullopt;
   }
   std::optional<Plan> plan =
-      MakePlan(held, *wanted, statement, caller.id, hooks_.fleet(), fault);
+      MakePlan(current, *desired, request, caller.id, hooks_.fleet(), fault);
   if (!plan) {
     return std::nullopt;
   }
   std::string reason;
   if (!MayChange(caller, plan->delta, &reason)) {
-    return Refuse(fault, PlanError::kNotPermitted, reason);
+    return Reject(fault, PlanError::kNotPermitted, reason);
   }
   if (!Save(*plan, fault)) {
     return std::nullopt;
@@ -149,7 +154,7 @@
 }
 
 bool PlanService::Save(const Plan& plan, PlanFault* fault) const {
-  // Neither step takes effect twice: a lease whose answer was lost runs out
+  // Both steps are safe to retry: a lease whose response was lost expires
   // unused, and the key is the digest of the value.
   KvError ec = KvError::kNone;
   std::optional<connection::KvLeaseId> lease;
@@ -166,7 +171,7 @@
       break;
     }
   }
-  Refuse(fault, PlanError::kUnavailable,
+  Reject(fault, PlanError::kUnavailable,
          "the key-value service: " + std::string(connection::ToString(ec)));
   return false;
 }
@@ -176,18 +181,18 @@
   KvError ec = KvError::kNone;
   const std::optional<KvRange> range = service_.Get(PlanKey(id), &ec);
   if (!range) {
-    return Refuse(
+    return Reject(
         fault, PlanError::kUnavailable,
         "the key-value service: " + std::string(connection::ToString(ec)));
   }
   std::optional<Plan> plan;
   if (!range->entries.empty()) {
-    plan = ReadPlan(range->entries.front().value);
+    plan = DecodePlan(range->entries.front().value);
   }
-  // A value that was altered has another digest than its key.
+  // The digest of an altered value does not match its key.
   if (!plan || plan->id != id) {
-    return Refuse(fault, PlanError::kUnknownPlan,
-                  "there is no such plan; it may have expired");
+    return Reject(fault, PlanError::kUnknownPlan,
+                  "no plan " + id.str() + "; it may have expired");
   }
   return plan;
 }
@@ -197,20 +202,21 @@
   const std::optional<KvRange> range =
       service_.List(std::string(kPlanPrefix), kMaxListedPlans, &ec);
   if (!range) {
-    return Refuse(
+    return Reject(
         fault, PlanError::kUnavailable,
         "the key-value service: " + std::string(connection::ToString(ec)));
   }
   std::vector<Plan> plans;
   for (const KvEntry& it : range->entries) {
-    if (std::optional<Plan> plan = ReadPlan(it.value)) {
+    if (std::optional<Plan> plan = DecodePlan(it.value)) {
       plans.push_back(std::move(*plan));
     }
   }
   return plans;
 }
 
-std::string PlanService::AuditOf(const Plan& plan, const Caller& caller) const {
+std::string PlanService::MakeAuditRecord(const Plan& plan,
+                                         const Caller& caller) const {
   json changes = json::array();
   json contracts = json::array();
   for (const PlanChange& it : plan.changes) {
@@ -227,7 +233,7 @@
   json audit = {{"revision", plan.delta.revision.value()},
                 {"plan", plan.id.str()},
                 {"confirmed_by", caller.id.str()},
-                {"stated_by", plan.stated_by.str()},
+                {"stated_by", plan.requested_by.str()},
                 {"note", plan.note},
                 {"at_ms", hooks_.wall_millis()},
                 {"changes", std::move(changes)},
@@ -256,32 +262,32 @@
   if (!MayChange(caller, plan->delta, &reason)) {
     return {ConfirmOutcome::kNotPermitted, base::Revision(0), reason, {}};
   }
-  return Swap(*plan, caller);
+  return CommitPlan(*plan, caller);
 }
 
-std::optional<ConfirmResult> PlanService::Settled(
+std::optional<ConfirmResult> PlanService::CheckDecided(
     const Plan& plan,
     const StoredHead& stored,
-    base::Revision heard_before,
+    base::Revision known_before_read,
     StoreError* last_error) const {
   *last_error = StoreError::kNone;
   const base::Revision head = stored.head.revision;
   if (head < plan.base ||
       (head == plan.base && stored.head.digest != plan.base_digest)) {
-    return Behind();
+    return ServiceBehindResult();
   }
-  if (head < heard_before) {
-    return Behind();
+  if (head < known_before_read) {
+    return ServiceBehindResult();
   }
   if (head == plan.base) {
     return std::nullopt;
   }
-  // The audit record of the plan's revision names the plan that made it.
+  // The audit record of a revision names the plan that created it.
   const auto audit = store_.ReadAudit(plan.base + kOne, last_error);
   if (!audit) {
     return std::nullopt;
   }
-  if (PlanOf(*audit) == plan.id.str()) {
+  if (PlanIdOfAudit(*audit) == plan.id.str()) {
     return ConfirmResult{ConfirmOutcome::kAlreadyInForce,
                          plan.base + kOne,
                          "the plan is in force",
@@ -291,128 +297,137 @@
       std::max(plan.base.value(), head.value() - kMaxChangesSince));
   auto since = store_.ReadAudits(from, head, last_error);
   *last_error = StoreError::kNone;
-  return Conflict(since ? std::move(*since) : std::vector<std::string>());
+  return ConflictResult(since ? std::move(*since) : std::vector<std::string>());
 }
 
-ConfirmResult PlanService::Swap(const Plan& plan, const Caller& caller) {
-  const ChainedDelta delta = Chain(plan.delta, plan.base_digest);
-  const std::string audit = AuditOf(plan, caller);
+ConfirmResult PlanService::CommitPlan(const Plan& plan, const Caller& caller) {
+  const ChainedDelta delta = MakeChainedDelta(plan.delta, plan.base_digest);
+  const std::string audit = MakeAuditRecord(plan, caller);
   StoreError ec = StoreError::kNone;
-  // Whether a write may be on its way: then no failure says "not in force".
-  bool sent = false;
-  for (int attempt = 0; attempt < kSwapAttempts; ++attempt) {
-    // Before the read: what is heard during it may be newer than its answer.
-    const base::Revision heard = tracker_.newest_heard();
+  // Whether a write may have taken effect; a later failure must then be
+  // reported as unknown rather than unavailable.
+  bool maybe_committed = false;
+  for (int attempt = 0; attempt < kCommitAttempts; ++attempt) {
+    // Taken before the read: a revision learned during the read may be newer
+    // than the head it returns.
+    const base::Revision known = tracker_.newest_known();
     const std::optional<StoredHead> stored = store_.ReadHead(&ec);
     if (!stored) {
       break;
     }
-    std::optional<ConfirmResult> settled = Settled(plan, *stored, heard, &ec);
-    if (settled) {
-      // Our own write whose answer was lost is news, not a repeat.
-      if (settled->outcome == ConfirmOutcome::kAlreadyInForce && sent) {
-        return TakenEffect(plan);
+    std::optional<ConfirmResult> decided =
+        CheckDecided(plan, *stored, known, &ec);
+    if (decided) {
+      // An earlier attempt of this call committed the plan but its response was
+      // lost.
+      if (decided->outcome == ConfirmOutcome::kAlreadyInForce &&
+          maybe_committed) {
+        return OnCommitted(plan);
       }
-      return std::move(*settled);
+      return std::move(*decided);
     }
     if (ec != StoreError::kNone) {
       break;
     }
-    if (store_.NeedsSnapshot(stored->head)) {
-      SnapshotWhenDue();
+    if (store_.IsSnapshotRequired(stored->head)) {
+      WriteSnapshotIfDue();
       ec = StoreError::kUnavailable;
       continue;
     }
-    // A second try after a lost answer compares with the same revision of the
-    // head, so at most one of the two takes effect.
-    if (store_.Accept(*stored, plan.delta.revision, delta, audit, &ec)) {
-      return TakenEffect(plan);
+    // A retry after a lost response compares against the same head revision, so
+    // at most one attempt takes effect.
+    if (store_.CommitDelta(*stored, plan.delta.revision, delta, audit, &ec)) {
+      return OnCommitted(plan);
     }
-    sent = sent || ec == StoreError::kAmbiguous;
+    maybe_committed = maybe_committed || ec == StoreError::kAmbiguous;
     if (ec != StoreError::kAmbiguous && ec != StoreError::kConflict) {
       break;
     }
   }
-  return {sent ? ConfirmOutcome::kUnknown : ConfirmOutcome::kUnavailable,
-          base::Revision(0),
-          sent ? "the answer was lost and the service cannot tell now; "
-                 "confirm again, it cannot take effect twice"
-               : "nothing was sent; the key-value service: " +
-                     std::string(ToString(ec)),
-          {}};
+  return {
+      maybe_committed ? ConfirmOutcome::kUnknown : ConfirmOutcome::kUnavailable,
+      base::Revision(0),
+      maybe_committed
+          ? "the response of the key-value service was lost; confirm "
+            "again, the plan cannot take effect twice"
+          : "the plan was not committed; the key-value service: " +
+                std::string(ToString(ec)),
+      {}};
 }
 
-ConfirmResult PlanService::TakenEffect(const Plan& plan) {
-  const ChainedDelta delta = Chain(plan.delta, plan.base_digest);
-  const OfferResult result = tracker_.OfferDelta(delta, ConfigSource::kOwn);
+ConfirmResult PlanService::OnCommitted(const Plan& plan) {
+  const ChainedDelta delta = MakeChainedDelta(plan.delta, plan.base_digest);
+  const OfferResult result = tracker_.OfferDelta(delta, ConfigSource::kLocal);
   base::Log(base::LogLevel::kInfo, "plan_in_force",
             {{"plan", plan.id.str()},
              {"revision", plan.delta.revision.value()},
              {"here", ToString(result)}});
-  SnapshotWhenDue();
+  WriteSnapshotIfDue();
   return {ConfirmOutcome::kInForce,
           plan.delta.revision,
           "the plan is in force",
           {}};
 }
 
-void PlanService::SnapshotWhenDue() const {
+void PlanService::WriteSnapshotIfDue() const {
   StoreError ec = StoreError::kNone;
   const std::optional<StoredHead> stored = store_.ReadHead(&ec);
-  if (!stored || !store_.WantsSnapshot(stored->head)) {
+  if (!stored || !store_.IsSnapshotDue(stored->head)) {
     return;
   }
   PlanFault fault;
-  const bool current = Refresh(&fault);
-  const HeldConfiguration held = tracker_.Held();
-  if (!current || !store_.WriteSnapshot(held, &ec)) {
-    // The next change tries again.
+  const bool refreshed = Refresh(&fault);
+  const ConfigSnapshot current = tracker_.GetSnapshot();
+  if (!refreshed || !store_.WriteSnapshot(current, &ec)) {
+    // Retried after the next change.
     base::Log(base::LogLevel::kWarning, "config_snapshot_failed",
               {{"reason", ToString(ec)}});
     return;
   }
   if (hooks_.on_snapshot) {
-    hooks_.on_snapshot(held);
+    hooks_.on_snapshot(current);
   }
 }
 
 std::optional<Configuration> PlanService::ConfigurationAt(
     base::Revision revision,
     PlanFault* fault) const {
-  const std::shared_ptr<const Configuration> held = tracker_.Get();
-  if (revision > held->revision) {
-    return Refuse(
+  const std::shared_ptr<const Configuration> current = tracker_.Get();
+  if (revision > current->revision) {
+    return Reject(
         fault, PlanError::kNoSuchRevision,
-        "the newest revision is " + std::to_string(held->revision.value()));
+        "the newest revision is " + std::to_string(current->revision.value()));
   }
   StoreError ec = StoreError::kNone;
-  const auto deltas = store_.ReadDeltas(revision, held->revision, &ec);
+  const auto deltas = store_.ReadDeltas(revision, current->revision, &ec);
   if (!deltas && ec != StoreError::kCorrupt) {
-    return Refuse(fault, PlanError::kUnavailable,
+    return Reject(fault, PlanError::kUnavailable,
                   "the key-value service: " + std::string(ToString(ec)));
   }
   std::optional<Configuration> old;
   if (deltas) {
-    old = RollBack(*held, *deltas);
+    old = RollBack(*current, *deltas);
   }
   if (!old) {
-    return Refuse(fault, PlanError::kNoSuchRevision,
-                  "the changes since that revision are no longer kept");
+    return Reject(fault, PlanError::kNoSuchRevision,
+                  "the changes since revision " +
+                      std::to_string(revision.value()) +
+                      " are no longer retained");
   }
   return old;
 }
 
 ConfirmResult PlanService::Restore(const Caller& caller) {
-  const HeldConfiguration held = tracker_.Held();
-  const bool newest = tracker_.newest_heard() <= held.revision();
-  if (!newest || held.revision().value() == 0) {
+  const ConfigSnapshot current = tracker_.GetSnapshot();
+  const bool newest = tracker_.newest_known() <= current.revision();
+  if (!newest || current.revision().value() == 0) {
     return {ConfirmOutcome::kConflict,
             base::Revision(0),
             "this instance does not hold the newest configuration",
             {}};
   }
   const std::string audit =
-      details::Canonical({{"revision", held.revision().value()},
+      details::Canonical({{"revision", current.revision().value()},
                           {"plan", ""},
                           {"confirmed_by", caller.id.str()},
                           {"note", "put back into a service that had lost it"},
@@ -421,21 +436,21 @@
                           {"contracts", json::array()},
                           {"fleet", true}});
   StoreError ec = StoreError::kNone;
-  if (store_.Restore(held, audit, &ec)) {
-    base::Log(
-        base::LogLevel::kWarning, "config_restored",
-        {{"revision", held.revision().value()}, {"operator", caller.id.str()}});
+  if (store_.Restore(current, audit, &ec)) {
+    base::Log(base::LogLevel::kWarning, "config_restored",
+              {{"revision", current.revision().value()},
+               {"operator", caller.id.str()}});
     PlanFault fault;
     Refresh(&fault);
     return {ConfirmOutcome::kInForce,
-            held.revision(),
-            "the service holds the configuration in force again",
+            current.revision(),
+            "the configuration was written back to the key-value service",
             {}};
   }
   if (ec == StoreError::kConflict) {
     return {ConfirmOutcome::kConflict,
             base::Revision(0),
-            "the service does not hold an older configuration",
+            "the key-value service does not hold an older configuration",
             {}};
   }
   return {ec == StoreError::kAmbiguous ? ConfirmOutcome::kUnknown
--- a/tests/platform/store_documents_test.cc
+++ b/tests/platform/store_documents_test.cc
@@ -29,7 +29,7 @@
 
 TEST(StoreDocuments, ReadsAConfiguration) {
   DocumentFault fault;
-  const auto table = ReadConfiguration(kConfiguration, &fault);
+  const auto table = ParseConfiguration(kConfiguration, &fault);
   ASSERT_TRUE(table) << fault.detail;
   EXPECT_EQ(table->version(), 7);
   const auto* stream = table->Find("h", "/a/x");
@@ -47,8 +47,8 @@
   EXPECT_EQ(table->limits().idle_timeout, std::chrono::seconds(15));
 }
 
-// A document is taken whole or not at all, and the reason names the member.
-TEST(StoreDocuments, RefusesWhatItCannotRead) {
+// An invalid part rejects the whole document, and the fault names the member.
+TEST(StoreDocuments, RejectsInvalidConfigurations) {
   const std::string good = kConfiguration;
   const auto with = [&good](const std::string& from, const std::string& to) {
     std::string text = good;
@@ -66,7 +66,7 @@
            {with("\"weight\":90", "\"weight\":-1"), "weight"},
            {with("\"backend\":\"s\"", "\"backend\":5"), "backend"}}) {
     DocumentFault fault;
-    EXPECT_FALSE(ReadConfiguration(text, &fault)) << part;
+    EXPECT_FALSE(ParseConfiguration(text, &fault)) << part;
     EXPECT_NE(fault.detail.find(part), std::string::npos) << fault.detail;
   }
 }
@@ -77,7 +77,7 @@
         "models":[{"name":"m","version":1,"adapters":[]}],"sequence":4,
         "born":1783786258670})";
 
-// kEntry with one text in place of another.
+// kEntry with the first `from` replaced by `to`.
 std::string EntryWith(const std::string& from, const std::string& to) {
   std::string text = kEntry;
   return text.replace(text.find(from), from.size(), to);
@@ -85,41 +85,42 @@
 
 TEST(StoreDocuments, ReadsATargetEntry) {
   DocumentFault fault;
-  const auto entry = ReadTargetEntry("servers/i-1", kEntry, &fault);
+  const auto entry = ParseTargetEntry("servers/i-1", kEntry, &fault);
   ASSERT_TRUE(entry) << fault.detail;
   EXPECT_EQ(entry->id.str(), "i-1");
   EXPECT_EQ(entry->ip, "10.128.0.9");
   EXPECT_EQ(entry->port, 8080);
   EXPECT_TRUE(entry->draining);
   EXPECT_EQ(entry->stage, EngineStage::kPrefill);
-  EXPECT_EQ(entry->born, base::BornMillis(1'783'786'258'670));
+  EXPECT_EQ(entry->start_time, base::StartMillis(1'783'786'258'670));
 }
 
-// Platforms that do not tell, and plain targets.
-TEST(StoreDocuments, AnEntryMayLackItsBirthAndItsStage) {
+// Some platforms do not report the start time; plain targets have no stage.
+TEST(StoreDocuments, AnEntryMayLackItsStartTimeAndStage) {
   DocumentFault fault;
-  const auto unborn = ReadTargetEntry(
+  const auto without_start_time = ParseTargetEntry(
       "servers/i", EntryWith(",\n        \"born\":1783786258670", ""), &fault);
-  ASSERT_TRUE(unborn) << fault.detail;
-  EXPECT_FALSE(unborn->born);
-  const auto plain = ReadTargetEntry(
+  ASSERT_TRUE(without_start_time) << fault.detail;
+  EXPECT_FALSE(without_start_time->start_time);
+  const auto plain = ParseTargetEntry(
       "servers/i", EntryWith("\"stage\":\"prefill\",", ""), &fault);
   ASSERT_TRUE(plain) << fault.detail;
   EXPECT_EQ(plain->stage, EngineStage::kPlain);
 }
 
-TEST(StoreDocuments, RefusesAnEntryWithoutAnAddress) {
+TEST(StoreDocuments, RejectsAnEntryWithoutAValidAddress) {
   for (const char* address : {"", "10.0.0.1", "10.0.0.1:0", "10.0.0.1:x",
                               "ten:80", "10.0.0.256:80", ":80"}) {
     DocumentFault fault;
-    EXPECT_FALSE(ReadTargetEntry(
+    EXPECT_FALSE(ParseTargetEntry(
         "servers/i", EntryWith("10.128.0.9:8080", address), &fault));
     EXPECT_EQ(fault.kind, DocumentFaultKind::kAddress) << address;
   }
 }
 
-// Another writer's entry: every member of a target's own is looked at.
-TEST(StoreDocuments, RefusesAnEntryThatNoTargetWrote) {
+// All members that a target writes are checked, so that entries of other
+// writers are rejected.
+TEST(StoreDocuments, RejectsAnEntryNotWrittenByATarget) {
   using enum DocumentFaultKind;
   struct Row {
     const char* from;
@@ -151,26 +152,26 @@
        }) {
     DocumentFault fault;
     EXPECT_FALSE(
-        ReadTargetEntry("servers/i", EntryWith(row.from, row.to), &fault))
+        ParseTargetEntry("servers/i", EntryWith(row.from, row.to), &fault))
         << row.to;
     EXPECT_EQ(fault.kind, row.kind) << row.from << " -> " << row.to;
     EXPECT_FALSE(fault.detail.empty());
   }
 }
 
-// Whatever lies in the store, reading it ends with a table or a reason.
-RC_GTEST_PROP(StoreDocuments, DamagedDocumentsNeverThrow, ()) {
+// Any content either parses or is rejected with a reason; nothing throws.
+RC_GTEST_PROP(StoreDocuments, CorruptedDocumentsNeverThrow, ()) {
   std::string text = *rc::gen::element<std::string>(kConfiguration, kEntry);
-  const int damages = *rc::gen::inRange(1, 6);
-  for (int i = 0; i < damages; ++i) {
+  const int corruptions = *rc::gen::inRange(1, 6);
+  for (int i = 0; i < corruptions; ++i) {
     const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
     text[at] = *rc::gen::arbitrary<char>();
   }
   DocumentFault fault;
-  const auto table = ReadConfiguration(text, &fault);
+  const auto table = ParseConfiguration(text, &fault);
   RC_ASSERT(table || !fault.detail.empty());
   DocumentFault entry_fault;
-  const auto entry = ReadTargetEntry("servers/x", text, &entry_fault);
+  const auto entry = ParseTargetEntry("servers/x", text, &entry_fault);
   RC_ASSERT(entry || !entry_fault.detail.empty());
 }
 
--- a/tests/process/change_history_test.cc
+++ b/tests/process/change_history_test.cc
@@ -13,12 +13,12 @@
 namespace lynxglade::process {
 namespace {
 
-TEST(ChangeHistory, KnowsNothingBeforeItHeard) {
+TEST(ChangeHistory, EmptyHistoryHasNoAnswer) {
   ChangeHistory history;
   EXPECT_FALSE(history.After(base::Revision(0)));
 }
 
-TEST(ChangeHistory, BeginsAnewAfterAGap) {
+TEST(ChangeHistory, RestartsAfterAGap) {
   ChangeHistory history;
   history.Add(base::Revision(1), Changes(2, 5));
   history.Add(base::Revision(8), Changes(9, 10));
@@ -26,10 +26,10 @@
   EXPECT_EQ(history.After(base::Revision(8))->items.size(), 2U);
 }
 
-// Whatever overlaps, whoever asks gets each change once and in order, or is
-// told to ask the store.
-RC_GTEST_PROP(ChangeHistory, GivesEachChangeOnceOrNothing, ()) {
-  ChangeHistory history({.most_changes = 12, .most_bytes = 10});
+// With overlapping watch results, After() returns each change once and in
+// order, or nullopt.
+RC_GTEST_PROP(ChangeHistory, ReturnsEachChangeOnceOrNullopt, ()) {
+  ChangeHistory history({.max_changes = 12, .max_bytes = 10});
   std::int64_t newest = 0;
   for (int step = 0; step < 40; ++step) {
     const auto after = *rc::gen::inRange<std::int64_t>(0, newest + 3);
@@ -41,13 +41,13 @@
     if (!found) {
       continue;
     }
-    RC_ASSERT(found->at >= base::Revision(from));
+    RC_ASSERT(found->revision >= base::Revision(from));
     std::vector<std::int64_t> revisions;
     std::ranges::transform(
         found->items, std::back_inserter(revisions),
         [](const StoreItem& it) { return it.revision.value(); });
     std::vector<std::int64_t> expected;
-    for (std::int64_t i = from + 1; i <= history.at().value(); ++i) {
+    for (std::int64_t i = from + 1; i <= history.revision().value(); ++i) {
       expected.push_back(i);
     }
     RC_ASSERT(revisions == expected);
--- a/tests/process/fake_store_port.cc
+++ b/tests/process/fake_store_port.cc
@@ -12,18 +12,18 @@
 using connection::event::Into;
 namespace asio = connection::event::asio;
 
-// Far more than any wait in these tests.
-constexpr auto kGiveUp = std::chrono::seconds(20);
+// Far longer than any wait in these tests.
+constexpr auto kTestTimeout = std::chrono::seconds(20);
 
 }  // namespace
 
 void RunUntil(asio::io_context& loop, const std::function<bool()>& done) {
-  const auto end = std::chrono::steady_clock::now() + kGiveUp;
+  const auto end = std::chrono::steady_clock::now() + kTestTimeout;
   while (!done()) {
     loop.restart();
     loop.run_one_until(end);
     if (std::chrono::steady_clock::now() >= end) {
-      FAIL() << "what was waited for has not come about";
+      FAIL() << "condition not met within 20 s";
     }
   }
 }
@@ -83,8 +83,8 @@
   Wake();
 }
 
-void FakeStorePort::CutWatches() {
-  ++cuts_;
+void FakeStorePort::CloseWatches() {
+  ++closes_;
   Wake();
 }
 
@@ -102,7 +102,7 @@
 StoreItems FakeStorePort::ChangesAfter(const std::string& prefix,
                                        base::Revision after) const {
   StoreItems changes;
-  changes.at = base::Revision(revision_);
+  changes.revision = base::Revision(revision_);
   for (const StoreItem& item : history_) {
     if (item.revision > after && item.key.starts_with(prefix)) {
       changes.items.push_back(item);
@@ -115,12 +115,12 @@
                                                   Freshness freshness,
                                                   StoreFault* fault) {
   ++lists_;
-  lagging_lists_ += freshness == Freshness::kMayLag ? 1 : 0;
+  stale_lists_ += freshness == Freshness::kMayBeStale ? 1 : 0;
   if (Failing(fault)) {
     co_return std::nullopt;
   }
   StoreItems all;
-  all.at = base::Revision(revision_);
+  all.revision = base::Revision(revision_);
   for (const auto& [key, item] : items_) {
     if (key.starts_with(prefix)) {
       all.items.push_back(item);
@@ -134,12 +134,12 @@
                                                    base::Duration wait,
                                                    StoreFault* fault) {
   ++watches_;
-  const int cuts = cuts_;
+  const int closes = closes_;
   while (true) {
     if (Failing(fault)) {
       co_return std::nullopt;
     }
-    if (cuts != cuts_) {
+    if (closes != closes_) {
       *fault = StoreFault::kClosed;
       co_return std::nullopt;
     }
@@ -156,8 +156,8 @@
   }
 }
 
-StorePort::Result<LeaseId> FakeStorePort::OpenLease(base::Duration ttl,
-                                                    StoreFault* fault) {
+StorePort::Result<LeaseId> FakeStorePort::GrantLease(base::Duration ttl,
+                                                     StoreFault* fault) {
   if (Failing(fault)) {
     co_return std::nullopt;
   }
@@ -166,8 +166,8 @@
   co_return lease;
 }
 
-StorePort::Result<LeaseId> FakeStorePort::KeepLease(LeaseId lease,
-                                                    StoreFault* fault) {
+StorePort::Result<LeaseId> FakeStorePort::RenewLease(LeaseId lease,
+                                                     StoreFault* fault) {
   if (Failing(fault)) {
     co_return std::nullopt;
   }
@@ -178,8 +178,8 @@
   co_return lease;
 }
 
-StorePort::Result<LeaseId> FakeStorePort::EndLease(LeaseId lease,
-                                                   StoreFault* fault) {
+StorePort::Result<LeaseId> FakeStorePort::RevokeLease(LeaseId lease,
+                                                      StoreFault* fault) {
   if (Failing(fault)) {
     co_return std::nullopt;
   }
@@ -221,7 +221,7 @@
     co_return std::nullopt;
   }
   Write(key, value, lease);
-  if (std::exchange(lose_next_answer_, false)) {
+  if (std::exchange(lose_next_response_, false)) {
     *fault = StoreFault::kTimeout;
     co_return std::nullopt;
   }
--- a/tests/process/order_authority_test.cc
+++ b/tests/process/order_authority_test.cc
@@ -17,8 +17,8 @@
 
 constexpr char kKey[] = "lynxglade/orders/holder";
 
-// One instance: presence with its lease, and authority. What the store holds
-// is shown to it by hand, so that a test can show it late.
+// One instance with its lease and authority. A test passes it the contents of
+// the store explicitly, so that it can do so late.
 struct Contender {
   Contender(asio::io_context& loop,
             FakeStorePort& store,
@@ -27,7 +27,7 @@
       : presence(loop, store, {.instance = base::InstanceId(name)}, clock),
         authority(store,
                   presence,
-                  {.claim_spread = base::Duration(0)},
+                  {.max_acquire_delay = base::Duration(0)},
                   clock,
                   base::SeededRandom(std::hash<std::string>()(name))) {}
 
@@ -45,11 +45,11 @@
       asio::co_spawn(loop_, it->presence.Run(), asio::detached);
       RunUntil(loop_, [it] { return it->presence.lease().has_value(); });
     }
-    Show(one_);
-    Show(two_);
+    PassListing(one_);
+    PassListing(two_);
   }
 
-  void Show(Contender& contender) {
+  void PassListing(Contender& contender) {
     std::vector<StoreItem> items;
     for (const auto& [key, item] : store_.items()) {
       items.push_back(item);
@@ -57,18 +57,18 @@
     contender.authority.OnList(items);
   }
 
-  void Claim(Contender& contender) {
+  void TryAcquire(Contender& contender) {
     bool done = false;
-    asio::co_spawn(loop_, contender.authority.Claim(),
+    asio::co_spawn(loop_, contender.authority.TryAcquire(),
                    [&done](std::exception_ptr) { done = true; });
     RunUntil(loop_, [&done] { return done; });
   }
 
-  std::optional<base::FencingToken> Confirm(Contender& contender) {
+  std::optional<base::FencingToken> ConfirmHeld(Contender& contender) {
     bool done = false;
     std::optional<base::FencingToken> token;
     asio::co_spawn(
-        loop_, contender.authority.Confirm(&until_),
+        loop_, contender.authority.ConfirmHeld(&until_),
         [&](std::exception_ptr, const std::optional<base::FencingToken>& it) {
           token = it;
           done = true;
@@ -77,10 +77,10 @@
     return token;
   }
 
-  // `contender` takes the key and its quiet time passes.
-  void Take(Contender& contender) {
-    Claim(contender);
-    Show(contender);
+  // `contender` acquires the key and its takeover delay passes.
+  void Acquire(Contender& contender) {
+    TryAcquire(contender);
+    PassListing(contender);
     now_ += milliseconds(4500);
   }
 
@@ -93,88 +93,89 @@
   base::Time until_{};
 };
 
-TEST_F(OrderAuthorityTest, TheHolderOrdersAfterTheQuietTime) {
-  Claim(one_);
-  Show(one_);
-  EXPECT_FALSE(one_.authority.Held());
+TEST_F(OrderAuthorityTest, HolderGetsTokenAfterTakeoverDelay) {
+  TryAcquire(one_);
+  PassListing(one_);
+  EXPECT_FALSE(one_.authority.HeldToken());
   now_ += milliseconds(4499);
-  EXPECT_FALSE(one_.authority.Held());
+  EXPECT_FALSE(one_.authority.HeldToken());
   now_ += milliseconds(1);
-  ASSERT_TRUE(one_.authority.Held());
-  EXPECT_EQ(Confirm(one_)->value(), store_.items().at(kKey).revision.value());
+  ASSERT_TRUE(one_.authority.HeldToken());
+  EXPECT_EQ(ConfirmHeld(one_)->value(),
+            store_.items().at(kKey).revision.value());
   EXPECT_EQ(until_, now_ + milliseconds(300));
 }
 
-TEST_F(OrderAuthorityTest, OnlyOneOfTwoTakesTheKey) {
-  Claim(one_);
-  Claim(two_);
-  Show(one_);
-  Show(two_);
+TEST_F(OrderAuthorityTest, OnlyOneOfTwoAcquiresTheKey) {
+  TryAcquire(one_);
+  TryAcquire(two_);
+  PassListing(one_);
+  PassListing(two_);
   now_ += milliseconds(4500);
-  EXPECT_TRUE(one_.authority.Held());
-  EXPECT_FALSE(two_.authority.Held());
+  EXPECT_TRUE(one_.authority.HeldToken());
+  EXPECT_FALSE(two_.authority.HeldToken());
 }
 
-TEST_F(OrderAuthorityTest, AClaimWhoseAnswerIsLostIsFoundInTheKey) {
-  store_.LoseNextAnswer();
-  Take(one_);
-  EXPECT_TRUE(Confirm(one_));
+TEST_F(OrderAuthorityTest, AcquisitionWithLostResponseIsFoundInListing) {
+  store_.LoseNextResponse();
+  Acquire(one_);
+  EXPECT_TRUE(ConfirmHeld(one_));
 }
 
-// The store takes the keys of an instance away and tells it nothing: what it
-// last heard says that it holds, reading back says that it does not.
-TEST_F(OrderAuthorityTest, AKeyThatWasTakenAwayUnseenConfirmsNothing) {
-  Take(one_);
+// The store may delete an instance's key without notice: the last observed
+// state still shows it as holder, while reading the key back does not.
+TEST_F(OrderAuthorityTest, KeyDeletedUnnoticedIsNotConfirmed) {
+  Acquire(one_);
   store_.Remove(kKey);
-  EXPECT_TRUE(one_.authority.Held());
-  EXPECT_FALSE(Confirm(one_));
-  Show(two_);
-  Take(two_);
-  EXPECT_FALSE(Confirm(one_));
-  EXPECT_TRUE(Confirm(two_));
+  EXPECT_TRUE(one_.authority.HeldToken());
+  EXPECT_FALSE(ConfirmHeld(one_));
+  PassListing(two_);
+  Acquire(two_);
+  EXPECT_FALSE(ConfirmHeld(one_));
+  EXPECT_TRUE(ConfirmHeld(two_));
 }
 
-// Lists may be seconds old: one from before the claim takes nothing away, and
-// the quiet time does not begin again.
-TEST_F(OrderAuthorityTest, AnOldListDoesNotTakeTheAuthorityAway) {
-  Take(one_);
+// Listings may be seconds old. One from before the acquisition neither revokes
+// the authority nor restarts the takeover delay.
+TEST_F(OrderAuthorityTest, StaleListingDoesNotRevokeAuthority) {
+  Acquire(one_);
   one_.authority.OnList({});
-  EXPECT_TRUE(one_.authority.Held());
-  EXPECT_TRUE(Confirm(one_));
+  EXPECT_TRUE(one_.authority.HeldToken());
+  EXPECT_TRUE(ConfirmHeld(one_));
 }
 
-TEST_F(OrderAuthorityTest, AVacantKeyIsClaimedAgainAfterItWasLost) {
-  Take(one_);
+TEST_F(OrderAuthorityTest, LostKeyIsAcquiredAgain) {
+  Acquire(one_);
   store_.Remove(kKey);
-  EXPECT_FALSE(Confirm(one_));
-  EXPECT_FALSE(one_.authority.Held());
-  Take(one_);
-  EXPECT_TRUE(Confirm(one_));
+  EXPECT_FALSE(ConfirmHeld(one_));
+  EXPECT_FALSE(one_.authority.HeldToken());
+  Acquire(one_);
+  EXPECT_TRUE(ConfirmHeld(one_));
 }
 
-TEST_F(OrderAuthorityTest, AStoreThatIsAwayConfirmsNothing) {
-  Take(one_);
+TEST_F(OrderAuthorityTest, UnreachableStoreConfirmsNothing) {
+  Acquire(one_);
   store_.Fail(StoreFault::kTimeout);
-  EXPECT_FALSE(Confirm(one_));
+  EXPECT_FALSE(ConfirmHeld(one_));
 }
 
-// A restart under the same name is another holder: its mark differs.
-TEST_F(OrderAuthorityTest, ARestartedInstanceDoesNotTakeItselfForTheHolder) {
-  Take(one_);
+// A process restarted under the same instance name has another holder id.
+TEST_F(OrderAuthorityTest, RestartedInstanceIsNotTheHolder) {
+  Acquire(one_);
   Contender again(loop_, store_, "one", clock_);
   store_.Write(kKey, "one/ffff");
-  Show(again);
+  PassListing(again);
   now_ += milliseconds(4500);
-  EXPECT_FALSE(again.authority.Held());
+  EXPECT_FALSE(again.authority.HeldToken());
 }
 
-TEST_F(OrderAuthorityTest, TokensOfLaterHoldersAreHigher) {
-  Take(one_);
-  const auto first = Confirm(one_);
+TEST_F(OrderAuthorityTest, LaterHolderGetsHigherToken) {
+  Acquire(one_);
+  const auto first = ConfirmHeld(one_);
   store_.Expire(*one_.presence.lease());
-  Show(two_);
-  Take(two_);
-  EXPECT_GT(*Confirm(two_), *first);
+  PassListing(two_);
+  Acquire(two_);
+  EXPECT_GT(*ConfirmHeld(two_), *first);
 }
 
 }  // namespace
--- a/tests/process/order_schedules_test.cc
+++ b/tests/process/order_schedules_test.cc
@@ -1,6 +1,6 @@
-// Who gives orders while instances pause, lists come late, answers are lost and
-// keys are taken away: never two holders to one engine within the time for
-// which the engines cannot tell them apart.
+// Random schedules of instance pauses, stale listings, lost responses and
+// deleted keys: orders of two holders are never closer than the gap that the
+// platform requires, and tokens rise.
 #include <algorithm>
 #include <chrono>
 #include <cstdint>
@@ -23,17 +23,17 @@
 using std::chrono::milliseconds;
 namespace asio = connection::event::asio;
 
-// The platform's bound on turns between holders (users' sheets).
-constexpr base::Duration kTurns = milliseconds(3000);
+// The platform's minimum gap between orders of two holders.
+constexpr base::Duration kMinHolderGap = milliseconds(3000);
 constexpr char kKey[] = "lynxglade/orders/holder";
 
-struct Given {
+struct SentOrder {
   std::string by;
   std::int64_t token = 0;
   base::Time at{};
 };
 
-// One run: three instances, one store, a clock that moves by steps.
+// One run: three instances, one store, and a clock that advances in steps.
 class Schedule {
  public:
   explicit Schedule(std::uint64_t seed) : random_(base::SeededRandom(seed)) {
@@ -54,7 +54,7 @@
     }
   }
 
-  const std::vector<Given>& given() const noexcept { return given_; }
+  const std::vector<SentOrder>& sent() const noexcept { return sent_; }
 
  private:
   struct Instance {
@@ -62,12 +62,12 @@
         : presence(schedule.loop_,
                    schedule.store_,
                    {.instance = base::InstanceId(name),
-                    .renew_every = std::chrono::microseconds(1),
-                    .retry_every = std::chrono::microseconds(1)},
+                    .renew_interval = std::chrono::microseconds(1),
+                    .retry_interval = std::chrono::microseconds(1)},
                    schedule.clock_),
           authority(schedule.store_,
                     presence,
-                    {.claim_spread = base::Duration(0)},
+                    {.max_acquire_delay = base::Duration(0)},
                     schedule.clock_,
                     base::SeededRandom(std::hash<std::string>()(name))) {}
 
@@ -93,7 +93,7 @@
     if (draw < 15) {
       now_ += milliseconds(Draw(300));
     } else if (draw < 35) {
-      // A pause, or a wait for the quiet time.
+      // An instance pause, or the takeover delay.
       now_ += milliseconds(Draw(6000));
     } else if (draw < 55) {
       instance.authority.OnList(List());
@@ -101,11 +101,11 @@
       instance.authority.OnList(old_list_);
       old_list_ = List();
     } else if (draw < 75) {
-      Claim(instance);
+      TryAcquire(instance);
     } else if (draw < 77) {
       store_.Remove(kKey);
     } else if (draw < 78) {
-      store_.LoseNextAnswer();
+      store_.LoseNextResponse();
     } else if (draw < 80) {
       store_.Expire(*instance.presence.lease());
       RunUntil(loop_, [&] { return instance.presence.lease().has_value(); });
@@ -114,20 +114,20 @@
     }
   }
 
-  void Claim(Instance& instance) {
+  void TryAcquire(Instance& instance) {
     bool done = false;
-    asio::co_spawn(loop_, instance.authority.Claim(),
+    asio::co_spawn(loop_, instance.authority.TryAcquire(),
                    [&done](std::exception_ptr) { done = true; });
     RunUntil(loop_, [&done] { return done; });
   }
 
-  // The order leaves at any moment up to the end of its confirmation.
+  // The order is sent at a random time within the confirmation's validity.
   void Order(Instance& instance) {
     bool done = false;
     std::optional<base::FencingToken> token;
     base::Time until{};
     asio::co_spawn(
-        loop_, instance.authority.Confirm(&until),
+        loop_, instance.authority.ConfirmHeld(&until),
         [&](std::exception_ptr, const std::optional<base::FencingToken>& it) {
           token = it;
           done = true;
@@ -136,7 +136,7 @@
     if (token) {
       const auto wait = milliseconds(
           Draw(static_cast<std::size_t>(base::ToMillis(until - now_)) + 1));
-      given_.push_back(
+      sent_.push_back(
           {instance.presence.instance().str(), token->value(), now_ + wait});
     }
   }
@@ -148,11 +148,10 @@
   FakeStorePort store_{loop_};
   std::vector<std::unique_ptr<Instance>> instances_;
   std::vector<StoreItem> old_list_;
-  std::vector<Given> given_;
+  std::vector<SentOrder> sent_;
 };
 
-// 50 schedules a case, 10,000 in all.
-RC_GTEST_PROP(OrderSchedules, HoldersDoNotTakeTurnsAndTokensRise, ()) {
+RC_GTEST_PROP(OrderSchedules, HoldersKeepTheGapAndTokensRise, ()) {
   constexpr int kSchedules = 50;
   constexpr int kSteps = 250;
   const auto seed =
@@ -160,29 +159,28 @@
   for (int i = 0; i < kSchedules; ++i) {
     Schedule schedule(seed + static_cast<std::uint64_t>(i) * 7919);
     schedule.Run(kSteps);
-    const auto& given = schedule.given();
-    for (std::size_t a = 0; a < given.size(); ++a) {
-      for (std::size_t b = a + 1; b < given.size(); ++b) {
-        if (given[a].by == given[b].by) {
+    const auto& sent = schedule.sent();
+    for (std::size_t a = 0; a < sent.size(); ++a) {
+      for (std::size_t b = a + 1; b < sent.size(); ++b) {
+        if (sent[a].by == sent[b].by) {
           continue;
         }
-        RC_ASSERT(given[a].token < given[b].token);
-        RC_ASSERT(given[b].at - given[a].at >= kTurns);
+        RC_ASSERT(sent[a].token < sent[b].token);
+        RC_ASSERT(sent[b].at - sent[a].at >= kMinHolderGap);
       }
     }
   }
 }
 
-// The schedules above are no use if nobody ever gives an order in them, or one
-// holder gives all.
-TEST(OrderSchedules, HoldersChangeInThem) {
+// Ensures that the schedules above contain changes of the holder.
+TEST(OrderSchedules, HolderChangesOccur) {
   int changes = 0;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Schedule schedule(seed);
     schedule.Run(250);
-    const auto& given = schedule.given();
-    for (std::size_t i = 1; i < given.size(); ++i) {
-      changes += given[i].by != given[i - 1].by ? 1 : 0;
+    const auto& sent = schedule.sent();
+    for (std::size_t i = 1; i < sent.size(); ++i) {
+      changes += sent[i].by != sent[i - 1].by ? 1 : 0;
     }
   }
   EXPECT_GT(changes, 10);
--- a/tests/process/order_service_test.cc
+++ b/tests/process/order_service_test.cc
@@ -1,4 +1,4 @@
-// The whole service, actor and HTTP included, against stand-in engines.
+// OrderService with its actor and HTTP calls, against fake engines.
 #include "process/order_service.h"
 
 #include <condition_variable>
@@ -18,11 +18,11 @@
 
 using Json = nlohmann::json;
 
-// Far above what any step takes; only a failing test waits for it.
-constexpr base::Duration kPatience = std::chrono::seconds(60);
+// Longer than any step takes; reached only when a test fails.
+constexpr base::Duration kTestTimeout = std::chrono::seconds(60);
 
-// What the views were told last, by target; tests wait on it.
-class ViewBoard {
+// Last published item by target; tests wait for changes.
+class PublishedStatuses {
  public:
   void Post(const ViewItem& item) {
     std::lock_guard lock(mutex_);
@@ -33,7 +33,7 @@
   bool Await(const std::string& id,
              const std::function<bool(const Json&)>& holds) {
     std::unique_lock lock(mutex_);
-    return wake_.wait_for(lock, kPatience, [&] {
+    return wake_.wait_for(lock, kTestTimeout, [&] {
       const auto it = last_.find(id);
       return it != last_.end() && holds(it->second);
     });
@@ -94,11 +94,11 @@
     OrderHooks hooks;
     hooks.engines = [this] { return rows_; };
     hooks.configuration = [this] { return configuration_.Get(); };
-    hooks.role_wishes = [] {
+    hooks.requested_roles = [] {
       return std::map<base::TargetId, request::EngineRole>();
     };
     hooks.weight_loads_per_minute = [] { return 60'000; };
-    hooks.publish = [this](const ViewItem& item) { board_.Post(item); };
+    hooks.publish = [this](const ViewItem& item) { published_.Post(item); };
     return std::make_unique<OrderService>(
         control_, key_value_,
         connection::MakeHttpEngineAdmin(std::chrono::seconds(5)),
@@ -107,13 +107,13 @@
   }
 
   bool AwaitSettled(const std::string& id, const std::string& version) {
-    return board_.Await(id, [&](const Json& body) {
+    return published_.Await(id, [&](const Json& body) {
       return body["step"] == "done" && body["observed"]["version"] == version;
     });
   }
 
   bool AwaitState(const std::string& id, const std::string& state) {
-    return board_.Await(
+    return published_.Await(
         id, [&](const Json& body) { return body["state"] == state; });
   }
 
@@ -125,11 +125,11 @@
   connection::KeyValue key_value_{fakes::MakeInProcessTransport(kv_),
                                   std::chrono::seconds(2)};
   base::Metrics metrics_;
-  ViewBoard board_;
+  PublishedStatuses published_;
   ControlSystem control_;
 };
 
-TEST_F(OrderServiceTest, RollsANewVersionOverTheServiceOneByOne) {
+TEST_F(OrderServiceTest, RollsOutANewVersionOneEngineAtATime) {
   const auto service = MakeService();
   SetVersion("2");
   EXPECT_TRUE(AwaitSettled("e0", "2"));
@@ -147,16 +147,16 @@
   connection::KvError error = connection::KvError::kNone;
   const auto lease = key_value_.Get("/lynxglade/lease/zone-a/0", &error);
   ASSERT_TRUE(lease);
-  EXPECT_TRUE(lease->entries.empty()) << "the lease was not given back";
+  EXPECT_TRUE(lease->entries.empty()) << "lease key still exists after Stop()";
 }
 
-TEST_F(OrderServiceTest, DrainsAndUndrainsOnAnOperatorsCall) {
+TEST_F(OrderServiceTest, DrainsAndUndrainsByAdminCall) {
   const auto service = MakeService();
   ASSERT_TRUE(AwaitState("e0", "serving"));
   connection::ApiCall call;
   call.method = "POST";
   call.path = "/v1/admin/targets/e0/drain";
-  // The write takes effect and its answer is lost.
+  // The write takes effect but its answer is lost.
   kv_.ApplyFaults({{"lose_answer", 1}});
   EXPECT_EQ(service->Handle(call).status, 200);
   EXPECT_TRUE(AwaitState("e0", "draining"));
--- a/tests/process/order_world.cc
+++ b/tests/process/order_simulation.cc
@@ -1,4 +1,4 @@
-#include "process/order_world.h"
+#include "process/order_simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -103,24 +103,25 @@
 
 std::optional<connection::KvTxnResult> SimStore::Commit(const Write& write,
                                                         KvError* error) {
-  WriteFate fate = down ? WriteFate::kUnreachable : WriteFate::kDone;
-  if (!down && !fates.empty()) {
-    fate = fates.front();
-    fates.pop_front();
+  WriteOutcome outcome =
+      down ? WriteOutcome::kUnreachable : WriteOutcome::kDone;
+  if (!down && !outcomes.empty()) {
+    outcome = outcomes.front();
+    outcomes.pop_front();
   }
   *error = KvError::kNone;
-  switch (fate) {
-    case WriteFate::kDone:
+  switch (outcome) {
+    case WriteOutcome::kDone:
       return Apply(write);
-    case WriteFate::kAnswerLost:
+    case WriteOutcome::kAnswerLost:
       Apply(write);
       break;
-    case WriteFate::kRequestLost:
+    case WriteOutcome::kRequestLost:
       break;
-    case WriteFate::kLate:
+    case WriteOutcome::kLate:
       late_.push_back(write);
       break;
-    case WriteFate::kUnreachable:
+    case WriteOutcome::kUnreachable:
       *error = KvError::kUnreachable;
       return std::nullopt;
   }
@@ -128,7 +129,7 @@
   return std::nullopt;
 }
 
-void SimStore::LandLateWrites() {
+void SimStore::ApplyLateWrites() {
   for (const Write& write : std::exchange(late_, {})) {
     Apply(write);
   }
@@ -215,13 +216,13 @@
   return out;
 }
 
-// --- OrderWorld -------------------------------------------------------------
+// --- OrderSimulation --------------------------------------------------------
 
-OrderWorld::OrderWorld(Options options)
+OrderSimulation::OrderSimulation(Options options)
     : options_(options), store_([this] { return now_; }) {
   SetModel("1");
   store_.on_put = [this](const std::string& key, const std::string& value) {
-    JudgeRecord(key, value);
+    CheckRecord(key, value);
   };
   for (int i = 0; i < options_.fenced + options_.unfenced; ++i) {
     const bool fenced = i < options_.fenced;
@@ -240,7 +241,7 @@
   }
 }
 
-void OrderWorld::Start(Holder& holder) {
+void OrderSimulation::Start(Holder& holder) {
   OrderSettings settings;
   settings.lease_ttl = kTtl;
   settings.engine_connection_bound = options_.connection_bound;
@@ -261,7 +262,7 @@
     return rows;
   };
   deps.hooks.configuration = [this] { return configuration_; };
-  deps.hooks.role_wishes = [] {
+  deps.hooks.requested_roles = [] {
     return std::map<base::TargetId, request::EngineRole>();
   };
   deps.hooks.weight_loads_per_minute = [] { return 60; };
@@ -271,44 +272,44 @@
       settings, std::move(deps));
 }
 
-base::ZoneId OrderWorld::ZoneOf(std::size_t n) const {
+base::ZoneId OrderSimulation::ZoneOf(std::size_t n) const {
   return base::ZoneId(
       "zone-" + std::to_string(n % static_cast<std::size_t>(options_.zones)));
 }
 
-std::optional<connection::KvEntry> OrderWorld::LeaseOf(
+std::optional<connection::KvEntry> OrderSimulation::LeaseOf(
     const SimEngine& engine) {
   return store_.Find(LeaseKey(engine.row.zone, 0));
 }
 
-void OrderWorld::Replace(std::size_t holder) {
+void OrderSimulation::Replace(std::size_t holder) {
   Holder& it = *holders_[holder];
   it.calls.clear();
   it.completions.clear();
   Start(it);
 }
 
-void OrderWorld::Advance(base::Duration d) {
+void OrderSimulation::Advance(base::Duration d) {
   now_ += d;
   for (const auto& engine : engines_) {
     engine->orders.Advance(now_);
   }
 }
 
-void OrderWorld::TickHolder(std::size_t holder) {
+void OrderSimulation::TickHolder(std::size_t holder) {
   holders_[holder]->coordinator->Tick();
 }
 
-void OrderWorld::RunCall(std::size_t holder, std::size_t pick) {
+void OrderSimulation::RunCall(std::size_t holder, std::size_t pick) {
   Holder& it = *holders_[holder];
   if (!it.calls.empty()) {
     const BlockingCall call = TakeOne(pick, &it.calls);
     it.completions.push_back(call());
-    JudgeOutages();
+    CheckOutages();
   }
 }
 
-void OrderWorld::Complete(std::size_t holder, std::size_t pick) {
+void OrderSimulation::Complete(std::size_t holder, std::size_t pick) {
   Holder& it = *holders_[holder];
   if (!it.completions.empty()) {
     const Completion done = TakeOne(pick, &it.completions);
@@ -316,7 +317,7 @@
   }
 }
 
-void OrderWorld::ApproachLapse(base::Duration before) {
+void OrderSimulation::ApproachExpiry(base::Duration before) {
   const auto expiry = store_.ExpiryOf(LeaseKey(ZoneOf(0), 0));
   store_.down = true;
   if (expiry && *expiry - before > now_) {
@@ -324,7 +325,7 @@
   }
 }
 
-void OrderWorld::Run(std::size_t holder) {
+void OrderSimulation::Run(std::size_t holder) {
   constexpr int kRounds = 30;
   TickHolder(holder);
   for (int round = 0; round < kRounds; ++round) {
@@ -333,14 +334,14 @@
   }
 }
 
-void OrderWorld::RunAll() {
+void OrderSimulation::RunAll() {
   for (std::size_t i = 0; i < holders_.size(); ++i) {
     Run(i);
   }
 }
 
-void OrderWorld::DeliverHeld() {
-  for (const HeldOrder& held : std::exchange(held_, {})) {
+void OrderSimulation::DeliverDelayedOrders() {
+  for (const DelayedOrder& held : std::exchange(delayed_, {})) {
     SimEngine* const engine = FindUp(held.engine);
     const bool same =
         engine && engine->orders.incarnation() == held.incarnation;
@@ -352,7 +353,7 @@
   }
 }
 
-void OrderWorld::StartRequest(std::size_t engine) {
+void OrderSimulation::StartRequest(std::size_t engine) {
   SimEngine& it = *engines_[engine];
   if (!it.orders.draining() &&
       it.orders.phase() == fakes::EnginePhase::kReady) {
@@ -360,17 +361,17 @@
   }
 }
 
-void OrderWorld::EndRequest(std::size_t engine) {
+void OrderSimulation::EndRequest(std::size_t engine) {
   SimEngine& it = *engines_[engine];
   it.in_flight = std::max(0, it.in_flight - 1);
 }
 
-void OrderWorld::Crash(std::size_t engine, bool half_changed) {
+void OrderSimulation::Crash(std::size_t engine, bool half_changed) {
   engines_[engine]->orders.Crash(half_changed);
   engines_[engine]->in_flight = 0;
 }
 
-void OrderWorld::SetModel(const std::string& version) {
+void OrderSimulation::SetModel(const std::string& version) {
   auto next = std::make_shared<version::Configuration>();
   next->revision = base::Revision(1);
   version::Contract contract;
@@ -385,7 +386,7 @@
   configuration_ = std::move(next);
 }
 
-connection::EngineAdmin OrderWorld::Admin() {
+connection::EngineAdmin OrderSimulation::Admin() {
   connection::EngineAdmin admin;
   admin.read_state =
       [this](
@@ -395,7 +396,7 @@
     *error = engine ? EngineAdminError::kNone : EngineAdminError::kUnreachable;
     return engine ? std::optional(StateOf(*engine)) : std::nullopt;
   };
-  admin.give_order =
+  admin.send_order =
       [this](
           const connection::EngineEndpoint& endpoint,
           const connection::EngineOrder& order,
@@ -407,21 +408,21 @@
                       : EngineAdminError::kUnreachable;
       return std::nullopt;
     }
-    OrderFate fate = OrderFate::kDone;
-    if (!order_fates.empty()) {
-      fate = order_fates.front();
-      order_fates.pop_front();
+    OrderOutcome outcome = OrderOutcome::kDone;
+    if (!order_outcomes.empty()) {
+      outcome = order_outcomes.front();
+      order_outcomes.pop_front();
     }
     *error = EngineAdminError::kNone;
-    if (fate == OrderFate::kHeldBack) {
-      held_.push_back({endpoint.address, order,
-                       now_ + options_.connection_bound,
-                       engine->orders.incarnation()});
+    if (outcome == OrderOutcome::kDelayed) {
+      delayed_.push_back({endpoint.address, order,
+                          now_ + options_.connection_bound,
+                          engine->orders.incarnation()});
       *error = EngineAdminError::kAmbiguous;
       return std::nullopt;
     }
     const auto answer = Deliver(*engine, order);
-    if (fate == OrderFate::kAnswerLost) {
+    if (outcome == OrderOutcome::kAnswerLost) {
       *error = EngineAdminError::kAmbiguous;
       return std::nullopt;
     }
@@ -430,13 +431,14 @@
   return admin;
 }
 
-SimEngine* OrderWorld::FindUp(const std::string& id) {
+SimEngine* OrderSimulation::FindUp(const std::string& id) {
   const auto it = std::ranges::find_if(
       engines_, [&](const auto& engine) { return engine->id.str() == id; });
   return it == engines_.end() || (*it)->down ? nullptr : it->get();
 }
 
-connection::EngineState OrderWorld::StateOf(const SimEngine& engine) const {
+connection::EngineState OrderSimulation::StateOf(
+    const SimEngine& engine) const {
   connection::EngineState state;
   const fakes::EngineSetup& setup = engine.orders.setup();
   state.incarnation = std::to_string(engine.orders.incarnation());
@@ -452,7 +454,7 @@
   return state;
 }
 
-connection::OrderAnswer OrderWorld::Deliver(
+connection::OrderAnswer OrderSimulation::Deliver(
     SimEngine& engine,
     const connection::EngineOrder& order) {
   fakes::EngineOrder given;
@@ -464,7 +466,7 @@
                   order.target.version.str(), order.target.adapters};
   const auto verdict = engine.orders.Handle(given, engine.in_flight, now_);
   if (verdict == fakes::OrderVerdict::kInFlight) {
-    Fail("change ordered while requests run on " + engine.id.str());
+    Fail("change ordered while requests are in flight on " + engine.id.str());
   }
   if (!fakes::IsAccepted(verdict)) {
     return {false, verdict == fakes::OrderVerdict::kStaleFence
@@ -472,18 +474,18 @@
                        : connection::OrderRefusal::kBusy};
   }
   ++accepted_orders;
-  Judge(engine, order);
+  CheckOrder(engine, order);
   return {true, connection::OrderRefusal::kNone};
 }
 
-void OrderWorld::Judge(const SimEngine& engine,
-                       const connection::EngineOrder& order) {
+void OrderSimulation::CheckOrder(const SimEngine& engine,
+                                 const connection::EngineOrder& order) {
   const auto lease = LeaseOf(engine);
   const bool held =
       lease && lease->create_revision.value() == order.fence.value() &&
       lease->value.find('"' + order.holder.str() + '"') != std::string::npos;
   if (!held) {
-    Fail("order of a lost authority took effect on " + engine.id.str());
+    Fail("order without a valid lease was accepted by " + engine.id.str());
   }
   auto& last = last_[engine.id.str()];
   const bool older =
@@ -494,7 +496,8 @@
   last = order;
 }
 
-void OrderWorld::JudgeRecord(const std::string& key, const std::string& value) {
+void OrderSimulation::CheckRecord(const std::string& key,
+                                  const std::string& value) {
   const auto engine = std::ranges::find_if(
       engines_, [&](const auto& it) { return JournalKey(it->id) == key; });
   if (engine == engines_.end()) {
@@ -504,11 +507,11 @@
   const auto lease = LeaseOf(**engine);
   if (!record || !lease ||
       lease->create_revision.value() != record->fence.value()) {
-    Fail("record written without authority: " + key);
+    Fail("journal record written without a valid lease: " + key);
   }
 }
 
-void OrderWorld::JudgeOutages() {
+void OrderSimulation::CheckOutages() {
   const auto out = std::ranges::count_if(engines_, [](const auto& engine) {
     return engine->orders.draining() ||
            engine->orders.phase() != fakes::EnginePhase::kReady;
@@ -518,7 +521,7 @@
   }
 }
 
-bool OrderWorld::Settled() {
+bool OrderSimulation::Settled() {
   const std::string& version =
       configuration_->contracts.begin()->second.intents.front().version.str();
   const bool ready = std::ranges::all_of(engines_, [&](const auto& engine) {
@@ -529,7 +532,7 @@
   return ready && store_.All("/lynxglade/permits/").empty();
 }
 
-void OrderWorld::Fail(const std::string& text) {
+void OrderSimulation::Fail(const std::string& text) {
   if (violation_.empty()) {
     violation_ = text;
   }
--- a/tests/process/read_sharing_test.cc
+++ b/tests/process/prefill_sharing_test.cc
@@ -1,4 +1,4 @@
-#include "process/read_sharing.h"
+#include "process/prefill_sharing.h"
 
 #include <string>
 #include <vector>
@@ -14,41 +14,41 @@
 using request::passthrough::EngineEntry;
 using request::passthrough::EngineTable;
 using request::passthrough::KeyOf;
-using request::passthrough::PeerRead;
-using request::passthrough::PeerReads;
+using request::passthrough::PeerPrefill;
+using request::passthrough::PeerPrefills;
 namespace asio = connection::event::asio;
 using Udp = asio::ip::udp;
 
 const base::TargetId kEngine("e1");
 
-RC_GTEST_PROP(ReadReport, WhatIsWrittenIsRead, ()) {
-  std::vector<PeerRead> reads;
+RC_GTEST_PROP(PrefillReport, RoundTrip, ()) {
+  std::vector<PeerPrefill> prefills;
   const int n = *rc::gen::inRange(0, 50);
   for (int i = 0; i < n; ++i) {
-    reads.push_back({*rc::gen::arbitrary<std::uint32_t>(),
-                     *rc::gen::inRange(0, 10),
-                     *rc::gen::inRange<std::int64_t>(0, 100'000'000)});
+    prefills.push_back({*rc::gen::arbitrary<std::uint32_t>(),
+                        *rc::gen::inRange(0, 10),
+                        *rc::gen::inRange<std::int64_t>(0, 100'000'000)});
   }
-  const auto read = DecodeReads(EncodeReads(reads));
+  const auto read = DecodePrefills(EncodePrefills(prefills));
   RC_ASSERT(read.has_value());
-  RC_ASSERT(*read == reads);
+  RC_ASSERT(*read == prefills);
 }
 
-RC_GTEST_PROP(ReadReport, AnyBytesAreTakenOrRefused, ()) {
-  std::string bytes = EncodeReads({{1, 2, 3}, {4, 5, 6'000'000}});
+RC_GTEST_PROP(PrefillReport, CorruptedBytesAreRejectedOrBounded, ()) {
+  std::string bytes = EncodePrefills({{1, 2, 3}, {4, 5, 6'000'000}});
   const int changes = *rc::gen::inRange(1, 6);
   for (int i = 0; i < changes; ++i) {
     bytes[*rc::gen::inRange<std::size_t>(0, bytes.size())] =
         static_cast<char>(*rc::gen::inRange(0, 256));
   }
-  const auto reads = DecodeReads(bytes);
-  RC_ASSERT((!reads || reads->size() <= 200U));
+  const auto prefills = DecodePrefills(bytes);
+  RC_ASSERT((!prefills || prefills->size() <= 200U));
 }
 
-TEST(ReadReport, OtherVersionsAreRefused) {
-  EXPECT_FALSE(DecodeReads("\x81\x02"));
-  EXPECT_TRUE(DecodeReads("\x81\x01"));
-  EXPECT_FALSE(DecodeReads(""));
+TEST(PrefillReport, OtherVersionsAreRejected) {
+  EXPECT_FALSE(DecodePrefills("\x81\x02"));
+  EXPECT_TRUE(DecodePrefills("\x81\x01"));
+  EXPECT_FALSE(DecodePrefills(""));
 }
 
 InstancePeer Peer(const std::string& name, const std::string& zone) {
@@ -56,30 +56,30 @@
           Udp::endpoint(asio::ip::address_v4::loopback(), 1)};
 }
 
-TEST(SharingPeers, AFewInstancesTellAllOthers) {
+TEST(SharingPeers, SmallFleetSharesAcrossZones) {
   const std::vector<InstancePeer> all{Peer("a1", "a"), Peer("a2", "a"),
                                       Peer("b1", "b")};
-  const ReadSharingOptions options{.instance = base::InstanceId("a1"),
-                                   .zone = base::ZoneId("a")};
+  const PrefillSharingOptions options{.instance = base::InstanceId("a1"),
+                                      .zone = base::ZoneId("a")};
   EXPECT_EQ(SharingPeers(all, options).size(), 2U);
 }
 
-// 79 instances would hear 780 reports a second each, and four of five would
-// cross zones.
-TEST(SharingPeers, ManyTellTheirZone) {
+// Guards against each instance receiving hundreds of reports per second, most
+// of them from other zones.
+TEST(SharingPeers, LargeFleetSharesWithinTheZone) {
   std::vector<InstancePeer> all;
   for (int i = 0; i < 79; ++i) {
     all.push_back(Peer("i" + std::to_string(i), "z" + std::to_string(i % 5)));
   }
-  const ReadSharingOptions options{.instance = base::InstanceId("i0"),
-                                   .zone = base::ZoneId("z0")};
+  const PrefillSharingOptions options{.instance = base::InstanceId("i0"),
+                                      .zone = base::ZoneId("z0")};
   EXPECT_EQ(SharingPeers(all, options).size(), 15U);
 }
 
-class ReadSharingTest : public PeerTest {
+class PrefillSharingTest : public PeerTest {
  protected:
   struct Instance : PeerParts {
-    Instance(ReadSharingTest& test, const std::string& name)
+    Instance(PrefillSharingTest& test, const std::string& name)
         : PeerParts(test, name),
           engines(base::Duration(0)),
           sharing(engines,
@@ -95,45 +95,46 @@
       engines.Put(entry, base::Time());
     }
     std::int64_t Heard() const {
-      return peers.UnreadTokens(kEngine, 9, base::BootClock::now());
+      return peers.PrefillTokens(kEngine, 9, base::BootClock::now());
     }
 
     EngineTable engines;
-    PeerReads peers;
-    ReadSharing sharing;
+    PeerPrefills peers;
+    PrefillSharing sharing;
   };
 };
 
-TEST_F(ReadSharingTest, EachKnowsWhatTheOtherHasRead) {
+TEST_F(PrefillSharingTest, PeerSeesAndClearsPrefillTokens) {
   Instance a(*this, "a");
   Instance b(*this, "b");
-  Meet({&a, &b});
+  StartPeers({&a, &b});
   a.sharing.Start();
   b.sharing.Start();
-  a.engines.Find(kEngine)->reads[1].unread_tokens = 700;
+  a.engines.Find(kEngine)->prefills[1].prefill_tokens = 700;
   RunUntil(loop_, [&] { return b.Heard() == 700; });
   EXPECT_EQ(a.Heard(), 0);
-  a.engines.Find(kEngine)->reads[1].unread_tokens = 0;
+  a.engines.Find(kEngine)->prefills[1].prefill_tokens = 0;
   RunUntil(loop_, [&] { return b.Heard() == 0; });
 }
 
-TEST_F(ReadSharingTest, WhoIsNotInTheStoreIsNotHeard) {
+TEST_F(PrefillSharingTest, DatagramFromUnknownEndpointIsIgnored) {
   Instance a(*this, "a");
-  Meet({&a});
+  StartPeers({&a});
   a.sharing.Start();
   Udp::socket stranger(loop_,
                        Udp::endpoint(asio::ip::address_v4::loopback(), 0));
-  stranger.send_to(asio::buffer('\x01' + EncodeReads({{KeyOf(kEngine), 0, 5}})),
-                   a.endpoint);
+  stranger.send_to(
+      asio::buffer('\x01' + EncodePrefills({{KeyOf(kEngine), 0, 5}})),
+      a.endpoint);
   RunUntil(loop_, [&] {
     return a.Counted("lynxglade_peer_datagrams_total", "from_unknown") == 1;
   });
   EXPECT_EQ(a.Heard(), 0);
 }
 
-TEST_F(ReadSharingTest, APortThatIsTakenIsNamed) {
+TEST_F(PrefillSharingTest, StartReportsPortInUse) {
   Instance a(*this, "a");
-  Meet({&a});
+  StartPeers({&a});
   PeerDatagrams taken(loop_, a.presence, a.endpoint, a.metrics);
   std::string reason;
   EXPECT_FALSE(taken.Start(&reason));
--- a/tests/process/retry_loans_test.cc
+++ b/tests/process/retry_loans_test.cc
@@ -10,14 +10,14 @@
 namespace lynxglade::process {
 namespace {
 
-using request::passthrough::ArrivalUse;
-using request::passthrough::RetryAllowance;
+using request::passthrough::ArrivalPurpose;
+using request::passthrough::SharedRetryBudget;
 using std::chrono::milliseconds;
 
 const base::ServiceName kService("llm");
 
-// Two instances; one has no retries of its own, the other ten. Their clock
-// stands still unless a test moves it.
+// Two instances: one has no retry budget, the other ten arrivals. The clock
+// advances only when a test moves it.
 class RetryLoansTest : public PeerTest {
  protected:
   struct Instance : PeerParts {
@@ -25,13 +25,13 @@
         : PeerParts(test, name),
           allowance({.ratio = 0,
                      .allowance = share,
-                     .most_in_all = 1,
-                     .most_for_retries = 1}),
+                     .max_fraction = 1,
+                     .max_retry_fraction = 1}),
           loans(
               allowance,
               datagrams,
               {.peers = [&test, name] { return test.Others(name); },
-               .instances = [] { return 1; },
+               .instance_count = [] { return 1; },
                .is_served =
                    [](const base::ServiceName& it) { return it == kService; }},
               {},
@@ -42,70 +42,70 @@
       return PeerParts::Counted("lynxglade_retry_loans_total", outcome);
     }
 
-    RetryAllowance allowance;
+    SharedRetryBudget allowance;
     RetryLoans loans;
   };
 
   void SetUp() override {
-    Meet({&poor_, &rich_});
-    poor_.loans.Start();
-    rich_.loans.Start();
+    StartPeers({&borrower_, &lender_});
+    borrower_.loans.Start();
+    lender_.loans.Start();
   }
   std::vector<InstancePeer> Others(const std::string& name) const {
-    return {name == "poor" ? rich_.Peer() : poor_.Peer()};
+    return {name == "poor" ? lender_.Peer() : borrower_.Peer()};
   }
-  bool PoorCanHold() {
-    const auto held =
-        poor_.allowance.TryHold(kService, 1, ArrivalUse::kRetry, 1, now_);
+  bool BorrowerCanReserve() {
+    const auto held = borrower_.allowance.TryReserve(
+        kService, 1, ArrivalPurpose::kRetry, 1, now_);
     if (held) {
-      poor_.allowance.Release(kService, *held, now_);
+      borrower_.allowance.Release(kService, *held, now_);
     }
     return held.has_value();
   }
 
   base::Time now_ = base::Time() + std::chrono::hours(1);
-  Instance poor_{*this, "poor", 0};
-  Instance rich_{*this, "rich", 10};
+  Instance borrower_{*this, "poor", 0};
+  Instance lender_{*this, "rich", 10};
 };
 
-TEST_F(RetryLoansTest, WhatOneHasLeftIsLent) {
-  EXPECT_FALSE(PoorCanHold());
-  poor_.loans.Ask(kService, 1);
-  RunUntil(loop_, [this] { return poor_.Counted("borrowed") == 1; });
-  EXPECT_TRUE(PoorCanHold());
-  EXPECT_EQ(rich_.Counted("lent"), 1);
+TEST_F(RetryLoansTest, UnusedBudgetIsLent) {
+  EXPECT_FALSE(BorrowerCanReserve());
+  borrower_.loans.RequestLoan(kService, 1);
+  RunUntil(loop_, [this] { return borrower_.Counted("borrowed") == 1; });
+  EXPECT_TRUE(BorrowerCanReserve());
+  EXPECT_EQ(lender_.Counted("lent"), 1);
 }
 
-TEST_F(RetryLoansTest, ALoanThatComesLateCountsForNothing) {
-  poor_.loans.Ask(kService, 1);
+TEST_F(RetryLoansTest, LateLoanIsIgnored) {
+  borrower_.loans.RequestLoan(kService, 1);
   now_ += milliseconds(1001);
-  RunUntil(loop_, [this] { return poor_.Counted("late") == 1; });
-  EXPECT_FALSE(PoorCanHold());
+  RunUntil(loop_, [this] { return borrower_.Counted("late") == 1; });
+  EXPECT_FALSE(BorrowerCanReserve());
 }
 
-TEST_F(RetryLoansTest, ALoanThatNobodyAskedForCountsForNothing) {
-  rich_.datagrams.Send(poor_.Peer(), DatagramKind::kLoan,
-                       EncodeLoan({QuestionNumber(5), 3}));
-  RunUntil(loop_, [this] { return poor_.Counted("late") == 1; });
-  EXPECT_FALSE(PoorCanHold());
+TEST_F(RetryLoansTest, UnrequestedLoanIsIgnored) {
+  lender_.datagrams.Send(borrower_.Peer(), DatagramKind::kLoan,
+                         EncodeLoan({LoanRequestId(5), 3}));
+  RunUntil(loop_, [this] { return borrower_.Counted("late") == 1; });
+  EXPECT_FALSE(BorrowerCanReserve());
 }
 
-TEST_F(RetryLoansTest, ServicesThatAreNotServedAreNotLentFor) {
-  poor_.loans.Ask(base::ServiceName("other"), 1);
-  RunUntil(loop_, [this] { return rich_.Counted("other_service") == 1; });
-  EXPECT_EQ(rich_.Counted("lent"), 0);
+TEST_F(RetryLoansTest, UnknownServiceGetsNoLoan) {
+  borrower_.loans.RequestLoan(base::ServiceName("other"), 1);
+  RunUntil(loop_, [this] { return lender_.Counted("other_service") == 1; });
+  EXPECT_EQ(lender_.Counted("lent"), 0);
 }
 
-TEST_F(RetryLoansTest, QuestionsThatBringNothingComeMoreSeldom) {
-  ASSERT_TRUE(
-      rich_.allowance.TryHold(kService, 10, ArrivalUse::kRetry, 1, now_));
-  // At 0, 20, 60, 140 and 300 ms, then every 160 ms.
+TEST_F(RetryLoansTest, BacksOffWhileNoLoanIsGranted) {
+  ASSERT_TRUE(lender_.allowance.TryReserve(kService, 10, ArrivalPurpose::kRetry,
+                                           1, now_));
+  // Requests go out at 0, 20, 60, 140 and 300 ms, then every 160 ms.
   for (int ms = 0; ms <= 2300; ms += 10) {
-    poor_.loans.Ask(kService, 1);
+    borrower_.loans.RequestLoan(kService, 1);
     now_ += milliseconds(10);
   }
-  EXPECT_EQ(poor_.Counted("asked"), 17);
-  RunUntil(loop_, [this] { return rich_.Counted("none_to_spare") == 17; });
+  EXPECT_EQ(borrower_.Counted("asked"), 17);
+  RunUntil(loop_, [this] { return lender_.Counted("none_to_spare") == 17; });
 }
 
 }  // namespace
--- a/tests/process/role_planner_test.cc
+++ b/tests/process/role_planner_test.cc
@@ -21,29 +21,30 @@
 
 constexpr EngineRates kRates{3000, 1500, 0.7, 0.3};
 
-// A service whose engines obey the planner's wishes after a fixed time.
-class ObedientFleet {
+// Engines of a service that apply the requested roles after a fixed time.
+class SimulatedFleet {
  public:
-  ObedientFleet(int prefill, int decode, int mixed) {
+  SimulatedFleet(int prefill, int decode, int mixed) {
     Add(prefill, EngineRole::kPrefill);
     Add(decode, EngineRole::kDecode);
     Add(mixed, EngineRole::kMixed);
   }
 
-  // Starts and ends changes; returns how many engines are out.
-  int Obey(const std::map<base::TargetId, EngineRole>& wishes,
-           base::Time now,
-           base::Duration change_time) {
+  // Starts and completes changes; returns how many engines are out of service.
+  int ApplyRoles(const std::map<base::TargetId, EngineRole>& requested_roles,
+                 base::Time now,
+                 base::Duration change_time) {
     int out = 0;
     for (PlannedEngine& it : engines) {
-      const auto wish = wishes.find(it.id);
-      if (it.state == TargetState::kChanging && now >= returns_) {
+      const auto requested = requested_roles.find(it.id);
+      if (it.state == TargetState::kChanging && now >= change_ends_) {
         it.state = TargetState::kServing;
-        it.role = wish->second;
-      } else if (it.state == TargetState::kServing && wish != wishes.end() &&
-                 wish->second != it.role) {
+        it.role = requested->second;
+      } else if (it.state == TargetState::kServing &&
+                 requested != requested_roles.end() &&
+                 requested->second != it.role) {
         it.state = TargetState::kChanging;
-        returns_ = now + change_time;
+        change_ends_ = now + change_time;
         ++changes;
       }
       out += it.state == TargetState::kChanging ? 1 : 0;
@@ -70,19 +71,19 @@
     }
   }
 
-  base::Time returns_{};
+  base::Time change_ends_{};
 };
 
-// Drives a planner a second at a time.
-class Drive {
+// Runs a planner in steps of one second.
+class PlannerRun {
  public:
-  explicit Drive(const RolePlannerOptions& options) : options_(options) {
+  explicit PlannerRun(const RolePlannerOptions& options) : options_(options) {
     RolePlannerFault fault = RolePlannerFault::kNone;
     planner = RolePlanner::Create(options, [this] { return now_; }, &fault);
   }
 
-  // One second in which `demand` is offered, worth 10.
-  RoleDecision Second(const TokenDemand& demand, ObedientFleet* fleet) {
+  // One second in which `demand` with a worth of 10 is offered.
+  RoleDecision Second(const TokenDemand& demand, SimulatedFleet* fleet) {
     now_ += seconds(1);
     ContractDemand offered;
     offered.prefill = base::Tokens(std::llround(demand.prefill));
@@ -91,8 +92,9 @@
     planner->Observe({offered}, seconds(1), kRates,
                      static_cast<int>(fleet->engines.size()));
     const RoleDecision decision = planner->Decide(kRates, fleet->engines);
-    most_out = std::max(most_out, fleet->Obey(planner->wishes(), now_,
-                                              options_.out_of_service));
+    most_out =
+        std::max(most_out, fleet->ApplyRoles(planner->requested_roles(), now_,
+                                             options_.out_of_service));
     return decision;
   }
 
@@ -104,7 +106,7 @@
   base::Time now_{};
 };
 
-// Offered tokens of a second: about 30 requests, so noisy by a fifth or more.
+// Tokens offered in a second by about 30 requests: relative noise of 0.29.
 TokenDemand Noisy(const TokenDemand& mean, const base::RandomSource& random) {
   const auto factor = [&] {
     double sum = 0;
@@ -119,15 +121,15 @@
 RC_GTEST_PROP(RolePlannerTest,
               ChangesOneAtATimeAndKeepsEveryRole,
               (std::uint64_t seed)) {
-  ObedientFleet fleet(*rc::gen::inRange(0, 5), *rc::gen::inRange(0, 5),
-                      *rc::gen::inRange(1, 8));
+  SimulatedFleet fleet(*rc::gen::inRange(0, 5), *rc::gen::inRange(0, 5),
+                       *rc::gen::inRange(1, 8));
   std::array<bool, 3> had{};
   constexpr std::array kRoles = {EngineRole::kPrefill, EngineRole::kDecode,
                                  EngineRole::kMixed};
   RolePlannerOptions options;
   options.price = base::Worth(0);
   options.confidence = 0;
-  Drive drive(options);
+  PlannerRun run(options);
   const base::RandomSource random = base::SeededRandom(seed);
   TokenDemand mean;
   for (int i = 0; i < 300; ++i) {
@@ -135,61 +137,62 @@
       mean = {base::UniformReal(random) * 30000,
               base::UniformReal(random) * 30000};
     }
-    drive.Second(Noisy(mean, random), &fleet);
+    run.Second(Noisy(mean, random), &fleet);
     for (std::size_t k = 0; k < kRoles.size(); ++k) {
       had[k] = had[k] || fleet.Count(kRoles[k]) > 0;
       RC_ASSERT(!had[k] || fleet.Count(kRoles[k]) > 0);
     }
   }
-  RC_ASSERT(drive.most_out <= 1);
+  RC_ASSERT(run.most_out <= 1);
 }
 
-// Twenty-five minutes of the same mix each, so few seeds are enough.
-TEST(RolePlannerTest, DoesNotFlapOnANoisyConstantMix) {
+// Noise in a constant mix must not make the planner change roles back and
+// forth.
+TEST(RolePlannerTest, DoesNotOscillateOnANoisyConstantMix) {
   constexpr std::uint64_t kSeeds = 20;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const base::RandomSource random = base::SeededRandom(seed);
     const TokenDemand mean = {4000 + base::UniformReal(random) * 16000,
                               4000 + base::UniformReal(random) * 12000};
     RolePlannerOptions options;
-    options.price = base::Worth(20);  // two seconds of all offered worth
-    Drive drive(options);
-    ObedientFleet fleet(0, 0, 12);
+    options.price = base::Worth(20);  // the worth offered in two seconds
+    PlannerRun run(options);
+    SimulatedFleet fleet(0, 0, 12);
     for (int i = 0; i < 600; ++i) {
-      drive.Second(Noisy(mean, random), &fleet);
+      run.Second(Noisy(mean, random), &fleet);
     }
     const int settled = fleet.changes;
     for (int i = 0; i < 900; ++i) {
-      drive.Second(Noisy(mean, random), &fleet);
+      run.Second(Noisy(mean, random), &fleet);
     }
     EXPECT_LE(fleet.changes - settled, 2) << "seed " << seed;
   }
 }
 
-TEST(RolePlannerTest, FollowsASustainedShift) {
-  Drive drive(RolePlannerOptions{});
-  ObedientFleet fleet(8, 4, 0);
+TEST(RolePlannerTest, FollowsASustainedDemandShift) {
+  PlannerRun run(RolePlannerOptions{});
+  SimulatedFleet fleet(8, 4, 0);
   const base::RandomSource random = base::SeededRandom(7);
   const TokenDemand prompts = {20000, 4500};
   const TokenDemand outputs = {5000, 14000};
   for (int i = 0; i < 120; ++i) {
-    drive.Second(Noisy(prompts, random), &fleet);
+    run.Second(Noisy(prompts, random), &fleet);
   }
   const auto served = [&] {
     const RoleCounts counts = {fleet.Count(EngineRole::kPrefill),
                                fleet.Count(EngineRole::kDecode),
                                fleet.Count(EngineRole::kMixed)};
-    return ServedPart(kRates, counts, outputs);
+    return ServedFraction(kRates, counts, outputs);
   };
   const double before = served();
   EXPECT_LT(before, 0.6);
   for (int i = 0; i < 240; ++i) {
-    drive.Second(Noisy(outputs, random), &fleet);
+    run.Second(Noisy(outputs, random), &fleet);
   }
   EXPECT_GT(served(), 0.9);
 }
 
-// The dearer a change, the fewer are asked for by the same observations.
+// A higher price must not lead to more changes for the same observations.
 RC_GTEST_PROP(RolePlannerTest,
               AHigherPriceNeverAddsAChange,
               (std::uint64_t seed)) {
@@ -204,12 +207,12 @@
   for (const double price : {0.0, 5.0, 20.0, 80.0, 320.0}) {
     RolePlannerOptions options;
     options.price = base::Worth(price);
-    options.least_observed = seconds(40);
-    Drive drive(options);
-    ObedientFleet fleet(4, 8, 0);
+    options.min_observed = seconds(40);
+    PlannerRun run(options);
+    SimulatedFleet fleet(4, 8, 0);
     RoleDecision last;
     for (const TokenDemand& demand : offered) {
-      last = drive.Second(demand, &fleet);
+      last = run.Second(demand, &fleet);
     }
     const bool changed = last.reason == RoleReason::kChange;
     RC_ASSERT(changed_before || !changed);
@@ -217,61 +220,63 @@
   }
 }
 
-TEST(RolePlannerTest, WithdrawsAWishThatDoesNotComeTrue) {
+TEST(RolePlannerTest, WithdrawsAChangeThatTimesOut) {
   RolePlannerOptions options;
   options.price = base::Worth(0);
-  options.give_up_after = seconds(30);
-  Drive drive(options);
-  ObedientFleet stubborn(8, 4, 0);
-  const std::vector<PlannedEngine> as_built = stubborn.engines;
+  options.change_timeout = seconds(30);
+  PlannerRun run(options);
+  SimulatedFleet unchanged(8, 4, 0);
+  const std::vector<PlannedEngine> as_built = unchanged.engines;
   RoleDecision decision;
   for (int i = 0; i < 60 && decision.reason != RoleReason::kChange; ++i) {
-    decision = drive.Second({3000, 14000}, &stubborn);
+    decision = run.Second({3000, 14000}, &unchanged);
   }
   ASSERT_EQ(decision.reason, RoleReason::kChange);
-  ASSERT_EQ(drive.planner->wishes().size(), 1u);
+  ASSERT_EQ(run.planner->requested_roles().size(), 1u);
   for (int i = 0; i < 29; ++i) {
-    stubborn.engines = as_built;
-    EXPECT_EQ(drive.Second({3000, 14000}, &stubborn).reason,
-              RoleReason::kChangeUnderWay);
+    unchanged.engines = as_built;
+    EXPECT_EQ(run.Second({3000, 14000}, &unchanged).reason,
+              RoleReason::kChangeInProgress);
   }
-  stubborn.engines = as_built;
-  EXPECT_EQ(drive.Second({3000, 14000}, &stubborn).reason, RoleReason::kGaveUp);
-  EXPECT_TRUE(drive.planner->wishes().empty());
+  unchanged.engines = as_built;
+  EXPECT_EQ(run.Second({3000, 14000}, &unchanged).reason,
+            RoleReason::kTimedOut);
+  EXPECT_TRUE(run.planner->requested_roles().empty());
 }
 
-TEST(RolePlannerTest, PrefersAnEngineThatChecksFences) {
+TEST(RolePlannerTest, PrefersAnEngineThatChecksFencingTokens) {
   RolePlannerOptions options;
   options.price = base::Worth(0);
-  Drive drive(options);
-  ObedientFleet fleet(8, 4, 0);
+  PlannerRun run(options);
+  SimulatedFleet fleet(8, 4, 0);
   std::ranges::for_each(fleet.engines,
                         [](PlannedEngine& it) { it.fenced = false; });
   fleet.engines[5].fenced = true;
   RoleDecision decision;
   for (int i = 0; i < 60 && decision.reason != RoleReason::kChange; ++i) {
-    decision = drive.Second({3000, 14000}, &fleet);
+    decision = run.Second({3000, 14000}, &fleet);
   }
   ASSERT_EQ(decision.reason, RoleReason::kChange);
   EXPECT_EQ(decision.move->engine.str(), "e5");
 }
 
-TEST(RolePlannerTest, AContractCannotBendTheMixBeyondItsShare) {
+TEST(RolePlannerTest, ContractDemandAboveItsShareIsLimited) {
   ContractDemand fair{base::ContractId("fair"), 0.5, base::Tokens(6000),
                       base::Tokens(6000), base::Worth(1)};
   ContractDemand flood{base::ContractId("flood"), 0.5, base::Tokens(0),
                        base::Tokens(150000), base::Worth(1)};
-  // Fair wants 2 + 4 = 6 of 12 engines, its share; the flood 100 of them.
+  // Fair needs 2 + 4 = 6 of 12 engines, which is its share; the flood needs
+  // 100.
   const TokenDemand counted =
       CountedDemand({fair, flood}, seconds(1), kRates, 12);
   EXPECT_DOUBLE_EQ(counted.prefill, 6000);
   EXPECT_DOUBLE_EQ(counted.decode, 6000 + 6 * 1500);
-  // What the other leaves unused may be used.
+  // Capacity that the other contract leaves unused can be used.
   const TokenDemand alone = CountedDemand({flood}, seconds(1), kRates, 12);
   EXPECT_DOUBLE_EQ(alone.decode, 12 * 1500);
 }
 
-TEST(RolePlannerTest, NamesTheOptionThatIsWrong) {
+TEST(RolePlannerTest, CreateReportsTheInvalidOption) {
   const auto fault_of = [](auto change) {
     RolePlannerOptions options;
     change(options);
@@ -285,20 +290,20 @@
             RolePlannerFault::kHorizon);
   EXPECT_EQ(fault_of([](auto& o) { o.slow_window = o.fast_window; }),
             RolePlannerFault::kWindows);
-  EXPECT_EQ(fault_of([](auto& o) { o.least_per_role = 0; }),
-            RolePlannerFault::kLeastPerRole);
+  EXPECT_EQ(fault_of([](auto& o) { o.min_per_role = 0; }),
+            RolePlannerFault::kMinPerRole);
   EXPECT_EQ(fault_of([](auto& o) { o.usable = 1.5; }),
             RolePlannerFault::kUsable);
 }
 
-// An engine more never serves less, and no split serves more than one whose
-// engines all lose nothing to mixing.
+// Adding an engine never reduces the served part, and no split serves more than
+// one whose engines lose nothing to mixing.
 RC_GTEST_PROP(RoleModelTest, MoreEnginesServeNoLess, ()) {
   const RoleCounts counts = {*rc::gen::inRange(0, 10), *rc::gen::inRange(0, 10),
                              *rc::gen::inRange(0, 10)};
   const TokenDemand demand = {*rc::gen::inRange(0, 60000) * 1.0,
                               *rc::gen::inRange(0, 30000) * 1.0};
-  const double served = ServedPart(kRates, counts, demand);
+  const double served = ServedFraction(kRates, counts, demand);
   RC_ASSERT(served >= 0.0);
   RC_ASSERT(served <= 1.0);
   const double wanted = demand.prefill / kRates.prefill_tokens_per_s +
@@ -308,11 +313,11 @@
        {EngineRole::kPrefill, EngineRole::kDecode, EngineRole::kMixed}) {
     RoleCounts more = counts;
     ++more.Of(role);
-    RC_ASSERT(ServedPart(kRates, more, demand) >= served - 1e-5);
+    RC_ASSERT(ServedFraction(kRates, more, demand) >= served - 1e-5);
   }
 }
 
-TEST(DemandEstimatorTest, FollowsARampAndTrustsItselfLessFurtherAhead) {
+TEST(DemandEstimatorTest, FollowsARampWithDeviationGrowingAhead) {
   DemandEstimator estimator(seconds(10), seconds(40), seconds(60));
   const base::RandomSource random = base::SeededRandom(3);
   double level = 1000;
--- a/tests/process/role_planning_test.cc
+++ b/tests/process/role_planning_test.cc
@@ -19,11 +19,11 @@
 using std::chrono::seconds;
 
 const base::ServiceName kService("llm");
-constexpr int kEnginesAZone = 6;
+constexpr int kEnginesPerZone = 6;
 constexpr base::Duration kChangeTime = seconds(8);
 
-// Two zones, each with its own planning, over one fleet that obeys whichever
-// instance is asked.
+// Two zones, each with its own planning, over one fleet that applies the roles
+// from the instances marked as holder.
 class TwoZones {
  public:
   TwoZones() {
@@ -36,7 +36,7 @@
     configuration_ =
         std::make_shared<const version::Configuration>(configuration);
     for (const char* zone : {"a", "b"}) {
-      for (int i = 0; i < kEnginesAZone; ++i) {
+      for (int i = 0; i < kEnginesPerZone; ++i) {
         Target target;
         target.id = base::TargetId(zone + std::to_string(i));
         target.service = kService;
@@ -50,7 +50,7 @@
     }
   }
 
-  // A second in which each instance is offered half of the tokens.
+  // One second in which each instance is offered half of the tokens.
   void Second(double prefill, double decode) {
     now_ += seconds(1);
     wall_ms_ += 1000;
@@ -59,8 +59,8 @@
     offered_.worth += base::Worth(5);
     for (const auto& [zone, planning] : planning_) {
       planning->Tick();
-      if (asked[zone]) {
-        Obey(zone, planning->Wishes());
+      if (is_holder[zone]) {
+        ApplyRoles(zone, planning->RequestedRoles());
       }
     }
     EndChanges();
@@ -71,7 +71,7 @@
 
   int Changed(const std::string& zone) const { return changed_.at(zone); }
 
-  std::map<std::string, bool> asked = {{"a", true}, {"b", true}};
+  std::map<std::string, bool> is_holder = {{"a", true}, {"b", true}};
   int most_out = 0;
 
   RolePlanning& planning(const std::string& zone) {
@@ -94,18 +94,18 @@
     return std::make_unique<RolePlanning>(options, hooks);
   }
 
-  void Obey(const std::string& zone,
-            const std::map<base::TargetId, EngineRole>& wishes) {
+  void ApplyRoles(const std::string& zone,
+                  const std::map<base::TargetId, EngineRole>& requested_roles) {
     for (Target& it : targets_) {
-      const auto wish = wishes.find(it.id);
-      if (wish == wishes.end()) {
+      const auto requested = requested_roles.find(it.id);
+      if (requested == requested_roles.end()) {
         continue;
       }
-      // A zone's holder gives orders to its own engines only.
+      // The holder of a zone sends orders only to engines of its zone.
       EXPECT_EQ(it.zone.str(), zone);
-      if (it.state == TargetState::kServing && it.role != wish->second) {
+      if (it.state == TargetState::kServing && it.role != requested->second) {
         it.state = TargetState::kChanging;
-        changing_[it.id] = {wish->second, now_ + kChangeTime};
+        changing_[it.id] = {requested->second, now_ + kChangeTime};
         ++changed_[zone];
       }
     }
@@ -132,7 +132,7 @@
   std::map<std::string, int> changed_ = {{"a", 0}, {"b", 0}};
 };
 
-// A mix that wants far more decode than the engines at first give.
+// A mix that needs far more decode than the initial split provides.
 constexpr double kPrefill = 5000;
 constexpr double kDecode = 13000;
 
@@ -146,22 +146,22 @@
   EXPECT_EQ(zones.most_out, 1);
 }
 
-TEST(RolePlanningTest, AnInstanceThatIsNotTheHolderKeepsNoWishes) {
+TEST(RolePlanningTest, OnlyTheHolderRequestsRoles) {
   TwoZones zones;
-  zones.asked["b"] = false;
+  zones.is_holder["b"] = false;
   for (int i = 0; i < 200; ++i) {
     zones.Second(kPrefill, kDecode);
   }
   EXPECT_GE(zones.Changed("a"), 1);
   EXPECT_EQ(zones.Changed("b"), 0);
-  // Asked for the first time, it has nothing stale to give.
-  EXPECT_TRUE(zones.planning("b").Wishes().empty());
+  // Requested roles must not be left over from before its first call.
+  EXPECT_TRUE(zones.planning("b").RequestedRoles().empty());
   const std::string status = zones.planning("b").StatusJson();
   EXPECT_NE(status.find("\"prefill_tokens_per_s\":5"), std::string::npos)
       << status;
 }
 
-TEST(RolePlanningTest, ChangesNothingWhenTheSplitFits) {
+TEST(RolePlanningTest, RequestsNoChangeWhenTheSplitFits) {
   TwoZones zones;
   for (int i = 0; i < 300; ++i) {
     zones.Second(18000, 4500);
--- a/tests/process/stage_orders_test.cc
+++ b/tests/process/stage_orders_test.cc
@@ -23,18 +23,18 @@
 
 const base::ServiceName kService("llm");
 
-// Engines that take orders, and one holder of the authority over them.
+// Six decode engines and one instance that can hold the authority.
 class StageOrdersTest : public testing::Test {
  protected:
   StageOrdersTest()
       : store_(loop_),
         presence_(loop_, store_, {.instance = base::InstanceId("me")}, clock_),
-        authority_(
-            store_,
-            presence_,
-            {.quiet = base::Duration(0), .claim_spread = base::Duration(0)},
-            clock_,
-            base::SeededRandom(1)),
+        authority_(store_,
+                   presence_,
+                   {.takeover_delay = base::Duration(0),
+                    .max_acquire_delay = base::Duration(0)},
+                   clock_,
+                   base::SeededRandom(1)),
         orders_(
             loop_,
             table_,
@@ -45,23 +45,23 @@
              },
              .order = [this](EngineHandle it,
                              StageOrder order) -> Awaitable<OrderResult> {
-               given_.push_back({it->entry.id.str(), order});
-               before_answer_(it);
-               if (answer_ == OrderResult::kTaken) {
+               sent_.push_back({it->entry.id.str(), order});
+               before_result_(it);
+               if (result_ == OrderResult::kAccepted) {
                  EngineReport& report = reports_[it->entry.id.str()];
                  report.stage = order.stage;
-                 ++report.orders;
+                 ++report.accepted_orders;
                  EngineEntry entry = it->entry;
                  entry.stage = order.stage;
                  table_.Put(entry, now_);
                }
-               co_return answer_;
+               co_return result_;
              }},
             {.instance = base::InstanceId("me"), .period = milliseconds(1)},
             [] { return std::vector<base::ServiceName>{kService}; },
             [this] { return idle_; },
             [this](const base::ServiceName&) { return backlog_; },
-            /*room=*/{},
+            /*capacity=*/{},
             clock_,
             metrics_) {
     asio::co_spawn(loop_, presence_.Run(), asio::detached);
@@ -80,15 +80,15 @@
   void Start() {
     asio::co_spawn(loop_, orders_.Run(), asio::detached);
     RunUntil(loop_, [this] { return !store_.items().empty(); });
-    ShowHolder();
+    PassHolder();
   }
-  void ShowHolder() {
+  void PassHolder() {
     RunUntil(loop_, [this] {
       return store_.items().contains("lynxglade/orders/holder");
     });
     authority_.OnList({store_.items().at("lynxglade/orders/holder")});
   }
-  void RunRounds(int n) {
+  void RunPeriods(int n) {
     for (int i = 0; i < n; ++i) {
       asio::steady_timer timer(loop_, milliseconds(2));
       bool fired = false;
@@ -106,58 +106,57 @@
   InstancePresence presence_;
   OrderAuthority authority_;
   std::map<std::string, EngineReport> reports_;
-  std::vector<std::pair<std::string, StageOrder>> given_;
-  OrderResult answer_ = OrderResult::kTaken;
-  // What happens while an order is under way.
-  std::function<void(const EngineHandle&)> before_answer_ =
+  std::vector<std::pair<std::string, StageOrder>> sent_;
+  OrderResult result_ = OrderResult::kAccepted;
+  // Runs while an order is in flight.
+  std::function<void(const EngineHandle&)> before_result_ =
       [](const EngineHandle&) {};
   bool idle_ = true;
-  // All engines generate at first, so every prompt waits.
+  // All engines start in decode, so prompts are backlogged.
   base::Duration backlog_ = seconds(1);
   StageOrders orders_;
 };
 
-TEST_F(StageOrdersTest, BringsAnIdleFleetToItsSplit) {
+TEST_F(StageOrdersTest, BringsAnIdleServiceToItsSplit) {
   Start();
-  RunUntil(loop_, [this] { return given_.size() == 4; });
-  RunRounds(5);
-  EXPECT_EQ(given_.size(), 4U);
-  EXPECT_EQ(given_[0].second.holder, "me");
-  EXPECT_GT(given_[0].second.token.value(), 0);
+  RunUntil(loop_, [this] { return sent_.size() == 4; });
+  RunPeriods(5);
+  EXPECT_EQ(sent_.size(), 4U);
+  EXPECT_EQ(sent_[0].second.holder, "me");
+  EXPECT_GT(sent_[0].second.token.value(), 0);
 }
 
-TEST_F(StageOrdersTest, UnderLoadTheNextWaitsUntilTheLastHasSettled) {
+TEST_F(StageOrdersTest, UnderLoadTheNextOrderWaitsForTheSettleTime) {
   idle_ = false;
   Start();
-  RunRounds(2);
-  // Long enough to know what is asked for.
+  RunPeriods(2);
+  // The demand estimate needs its averaging time.
   now_ += seconds(2);
-  RunUntil(loop_, [this] { return given_.size() == 1; });
-  RunRounds(5);
-  EXPECT_EQ(given_.size(), 1U);
+  RunUntil(loop_, [this] { return sent_.size() == 1; });
+  RunPeriods(5);
+  EXPECT_EQ(sent_.size(), 1U);
   now_ += seconds(6);
-  RunUntil(loop_, [this] { return given_.size() == 2; });
+  RunUntil(loop_, [this] { return sent_.size() == 2; });
 }
 
-// Engines have carried out an order twelve seconds after it was sent, and
-// after newer ones; an order is tied to the count of orders before it, and
-// its repeat waits.
-TEST_F(StageOrdersTest, AnOrderWithoutAnAnswerIsNotRepeatedSoon) {
-  answer_ = OrderResult::kUnknown;
+// An engine may carry out an order twelve seconds late, after newer ones: the
+// order carries the count of accepted orders, and its repeat is delayed.
+TEST_F(StageOrdersTest, OrderWithoutResponseIsRepeatedOnlyAfterSettleTime) {
+  result_ = OrderResult::kUnknown;
   Start();
-  RunUntil(loop_, [this] { return given_.size() == 4; });
+  RunUntil(loop_, [this] { return sent_.size() == 4; });
   now_ += seconds(14);
-  RunRounds(5);
-  EXPECT_EQ(given_.size(), 4U);
+  RunPeriods(5);
+  EXPECT_EQ(sent_.size(), 4U);
   now_ += seconds(1);
-  RunUntil(loop_, [this] { return given_.size() == 8; });
-  EXPECT_EQ(given_.back().second.if_orders, 0);
+  RunUntil(loop_, [this] { return sent_.size() == 8; });
+  EXPECT_EQ(sent_.back().second.expected_orders, 0);
 }
 
-// Another instance has taken the key, and this one has not heard of it.
-TEST_F(StageOrdersTest, WithoutTheKeyNoOrderLeaves) {
+// Another instance has taken the key, and this one has not observed it yet.
+TEST_F(StageOrdersTest, SendsNoOrderAfterLosingTheKey) {
   Start();
-  RunUntil(loop_, [this] { return given_.size() == 4; });
+  RunUntil(loop_, [this] { return sent_.size() == 4; });
   store_.Write("lynxglade/orders/holder", "other/1");
   EngineEntry fresh = table_.Find(base::TargetId("e0"))->entry;
   fresh.stage = EngineStage::kPrefill;
@@ -166,42 +165,43 @@
   other.stage = EngineStage::kPrefill;
   table_.Put(other, now_);
   now_ += seconds(60);
-  RunRounds(5);
-  EXPECT_EQ(given_.size(), 4U);
+  RunPeriods(5);
+  EXPECT_EQ(sent_.size(), 4U);
 }
 
-// The plan was made by the entry of the life before: the new one counts its
-// orders anew, so an order could be taken twice.
-TEST_F(StageOrdersTest, AnEngineThatWasBornAgainGetsNoOrderForItsLifeBefore) {
+// The plan was made from the table entry of the previous process. A restarted
+// engine counts orders from zero, so it could accept an order twice.
+TEST_F(StageOrdersTest, RestartedEngineGetsNoOrderPlannedBeforeTheRestart) {
   for (auto& [id, report] : reports_) {
-    report.born = base::BornMillis(5);
+    report.start_time = base::StartMillis(5);
   }
   Start();
-  RunRounds(5);
-  EXPECT_TRUE(given_.empty());
+  RunPeriods(5);
+  EXPECT_TRUE(sent_.empty());
 }
 
-// Something else writes under the engine's key while its order is under way.
-TEST_F(StageOrdersTest, AnEntryOfAnotherServiceEndsNothing) {
-  answer_ = OrderResult::kConflict;
-  before_answer_ = [this](const EngineHandle& it) {
+// The engine's table entry is rewritten for an unknown service while an order
+// to it is in flight.
+TEST_F(StageOrdersTest, SurvivesAServiceChangeDuringAnOrder) {
+  result_ = OrderResult::kConflict;
+  before_result_ = [this](const EngineHandle& it) {
     EngineEntry entry = it->entry;
     entry.service = base::ServiceName("unheard-of");
     table_.Put(entry, now_);
   };
   Start();
-  RunUntil(loop_, [this] { return given_.size() == 4; });
-  RunRounds(5);
+  RunUntil(loop_, [this] { return sent_.size() == 4; });
+  RunPeriods(5);
   EXPECT_LE(table_.OfService(kService).size(), 2U);
 }
 
-TEST_F(StageOrdersTest, AnEngineThatIsChangingIsLeftAlone) {
+TEST_F(StageOrdersTest, EngineThatIsChangingGetsNoOrder) {
   for (auto& [id, report] : reports_) {
     report.changing = true;
   }
   Start();
-  RunRounds(5);
-  EXPECT_TRUE(given_.empty());
+  RunPeriods(5);
+  EXPECT_TRUE(sent_.empty());
 }
 
 }  // namespace
--- a/tests/process/watch_sharing_test.cc
+++ b/tests/process/watch_sharing_test.cc
@@ -39,38 +39,39 @@
   return peers;
 }
 
-// --- Who relays
+// --- Relay selection
 
-TEST(RelaysOf, InASmallZoneEachWatchesForItself) {
+TEST(SelectRelays, SmallZoneHasNoRelays) {
   const WatchSharingOptions options{.zone = kZone};
-  EXPECT_TRUE(RelaysOf(Peers(7), base::InstanceId("i0"), options).empty());
-  EXPECT_EQ(RelaysOf(Peers(8), base::InstanceId("i0"), options).size(), 2U);
+  EXPECT_TRUE(SelectRelays(Peers(7), base::InstanceId("i0"), options).empty());
+  EXPECT_EQ(SelectRelays(Peers(8), base::InstanceId("i0"), options).size(), 2U);
 }
 
-TEST(RelaysOf, InstancesOfOtherZonesDoNotRelayHere) {
+TEST(SelectRelays, SelectsOnlyInstancesOfTheZone) {
   const WatchSharingOptions options{.zone = kZone};
   std::vector<InstancePeer> peers = Peers(8);
   for (int i = 0; i < 50; ++i) {
     peers.push_back(Peer("o" + std::to_string(i), base::ZoneId("b")));
   }
-  for (const auto& it : RelaysOf(peers, base::InstanceId("i0"), options)) {
+  for (const auto& it : SelectRelays(peers, base::InstanceId("i0"), options)) {
     EXPECT_TRUE(it.str().starts_with("i"));
   }
 }
 
-// All agree, and who comes or goes takes no other's place as a relay.
-RC_GTEST_PROP(RelaysOf, AllAgreeAndOneThatGoesIsReplacedAlone, ()) {
+// All instances select the same relays, and when an instance leaves, the other
+// relays stay.
+RC_GTEST_PROP(SelectRelays, IsConsistentAndStable, ()) {
   const WatchSharingOptions options{.zone = kZone};
   const int n = *rc::gen::inRange(10, 80);
   std::vector<InstancePeer> peers = Peers(n);
-  const auto relays = RelaysOf(peers, peers[0].instance, options);
+  const auto relays = SelectRelays(peers, peers[0].instance, options);
   for (const InstancePeer& peer : peers) {
-    RC_ASSERT(RelaysOf(peers, peer.instance, options) == relays);
+    RC_ASSERT(SelectRelays(peers, peer.instance, options) == relays);
   }
   const auto gone = *rc::gen::inRange(0, n);
   const base::InstanceId gone_id = peers[gone].instance;
   peers.erase(peers.begin() + gone);
-  const auto after = RelaysOf(peers, peers[0].instance, options);
+  const auto after = SelectRelays(peers, peers[0].instance, options);
   for (const base::InstanceId& it : relays) {
     RC_ASSERT(it == gone_id || std::ranges::find(after, it) != after.end());
   }
@@ -78,28 +79,28 @@
 
 // --- A zone of instances on one loop
 
-// One instance: a follower of the store over its shared watch.
+// One instance: a follower of the store through WatchSharing.
 struct Instance {
   Instance(asio::io_context& loop,
            FakeStorePort& store,
            std::string name,
            const std::vector<InstancePeer>& peers,
-           AskRelay ask,
+           QueryRelay query,
            const base::Time& now)
       : watches(
             loop,
             store,
             {.instance = base::InstanceId(std::move(name)), .zone = kZone},
             [&peers]() -> const std::vector<InstancePeer>& { return peers; },
-            std::move(ask),
+            std::move(query),
             [&now] { return now; },
             metrics),
         follower(
             loop,
             watches,
-            {.gather = [] { return base::Duration(0); },
-             .first_pause = std::chrono::milliseconds(1),
-             .longest_pause = std::chrono::milliseconds(1)},
+            {.batch_delay = [] { return base::Duration(0); },
+             .min_retry_delay = std::chrono::milliseconds(1),
+             .max_retry_delay = std::chrono::milliseconds(1)},
             {.on_list =
                  [this](const std::vector<StoreItem>& items) {
                    seen.clear();
@@ -107,13 +108,13 @@
                      seen[it.key] = it.value;
                    });
                  },
-             .on_change = [this](const StoreItem& it) { Take(it); },
-             .on_returned = [] {}},
+             .on_change = [this](const StoreItem& it) { ApplyChange(it); },
+             .on_recovered = [] {}},
             [&now] { return now; },
             base::SeededRandom(1),
             metrics) {}
 
-  void Take(const StoreItem& it) {
+  void ApplyChange(const StoreItem& it) {
     in_order = in_order && it.revision > last;
     last = it.revision;
     if (it.deleted) {
@@ -138,28 +139,28 @@
 
 class WatchSharingTest : public testing::Test {
  protected:
-  // The clock stands still unless a test moves it, so that nothing ages.
+  // The clock advances only when a test moves it, so nothing becomes stale.
   void StartZone(int n) {
     peers_ = Peers(n);
     for (const InstancePeer& peer : peers_) {
       zone_.push_back(std::make_unique<Instance>(
-          loop_, store_, peer.instance.str(), peers_, Ask(), now_));
+          loop_, store_, peer.instance.str(), peers_, MakeFakeQuery(), now_));
       asio::co_spawn(loop_, zone_.back()->follower.Run(), asio::detached);
     }
     RunUntil(loop_, [this] {
       return std::ranges::all_of(
           zone_, [](const auto& it) { return it->follower.Age().has_value(); });
     });
-    // Relays that had not begun are asked again, and hear the store by then.
+    // The backoff from relays that had not started yet has ended by then.
     now_ += std::chrono::seconds(3);
     store_.Write("start", "1");
     ExpectAllSee();
   }
 
-  AskRelay Ask() {
+  QueryRelay MakeFakeQuery() {
     return [this](InstancePeer relay, base::Revision after, base::Duration wait,
                   RelayFault* fault) -> Awaitable<std::optional<StoreItems>> {
-      ++asked_[relay.instance];
+      ++queries_[relay.instance];
       const auto silent = faults_.find(relay.instance);
       if (silent != faults_.end()) {
         *fault = silent->second;
@@ -168,7 +169,7 @@
       const auto it =
           std::ranges::find(peers_, relay.instance, &InstancePeer::instance);
       auto& watches = zone_[it - peers_.begin()]->watches;
-      const auto changes = co_await watches.Answer(after, wait, fault);
+      const auto changes = co_await watches.ServeChanges(after, wait, fault);
       if (!changes) {
         co_return std::nullopt;
       }
@@ -190,7 +191,7 @@
   }
 
   std::vector<base::InstanceId> Relays() const {
-    return RelaysOf(peers_, peers_[0].instance, {.zone = kZone});
+    return SelectRelays(peers_, peers_[0].instance, {.zone = kZone});
   }
 
   std::map<std::string, std::string> Stored() const {
@@ -217,11 +218,9 @@
   std::vector<InstancePeer> peers_;
   std::vector<std::unique_ptr<Instance>> zone_;
   std::map<base::InstanceId, RelayFault> faults_;
-  std::map<base::InstanceId, int> asked_;
+  std::map<base::InstanceId, int> queries_;
 };
 
-// The load this answers: 295 instances that each watch the store for
-// themselves, 9,400 calls on a day on which next to nothing changes.
 TEST_F(WatchSharingTest, OnlyRelaysWatchTheStore) {
   StartZone(30);
   for (int i = 0; i < 40; ++i) {
@@ -231,37 +230,37 @@
     }
     ExpectAllSee();
   }
-  // An instance whose relay has not begun asks the store, once or twice.
+  // An instance whose relays have not started queries the store once or twice.
   for (const auto& it : zone_) {
     EXPECT_EQ(IsRelay(*it), it->Watches("store") > 5);
   }
 }
 
-TEST_F(WatchSharingTest, StartingInstancesTakeAListThatMayLag) {
+TEST_F(WatchSharingTest, StartingInstancesAcceptAStaleListing) {
   StartZone(30);
   EXPECT_EQ(store_.lists(), 30);
-  EXPECT_EQ(store_.lagging_lists(), 30);
+  EXPECT_EQ(store_.stale_lists(), 30);
 }
 
-TEST_F(WatchSharingTest, ARelayThatDoesNotAnswerIsAvoidedAndTheStoreAsked) {
+TEST_F(WatchSharingTest, BacksOffFromSilentRelaysAndQueriesTheStore) {
   StartZone(10);
   store_.Write("a", "1");
   ExpectAllSee();
   for (const base::InstanceId& it : Relays()) {
     faults_[it] = RelayFault::kTimeout;
   }
-  asked_.clear();
+  queries_.clear();
   for (int i = 0; i < 10; ++i) {
     store_.Write("a", "x" + std::to_string(i));
     ExpectAllSee();
   }
-  // Once by each other instance at most: the clock stands still.
-  for (const auto& [relay, n] : asked_) {
+  // At most once by each other instance, as the clock does not advance.
+  for (const auto& [relay, n] : queries_) {
     EXPECT_LE(n, 8);
   }
 }
 
-TEST_F(WatchSharingTest, OneRelayIsEnough) {
+TEST_F(WatchSharingTest, OneReachableRelayIsEnough) {
   StartZone(10);
   store_.Write("a", "1");
   ExpectAllSee();
@@ -272,8 +271,8 @@
   }
 }
 
-// A relay that is cut off from the store does not say that nothing changes.
-TEST_F(WatchSharingTest, ARelayThatDoesNotHearTheStoreDoesNotAnswerForIt) {
+// Guards against a relay without access to the store reporting "no changes".
+TEST_F(WatchSharingTest, StaleRelayDoesNotServeChanges) {
   StartZone(10);
   store_.Write("a", "1");
   ExpectAllSee();
@@ -286,7 +285,7 @@
       loop_,
       [&]() -> Awaitable<void> {
         const auto changes =
-            co_await zone_[at - peers_.begin()]->watches.Answer(
+            co_await zone_[at - peers_.begin()]->watches.ServeChanges(
                 base::Revision(1), std::chrono::seconds(1), &fault);
         answered = changes.has_value();
       },
@@ -296,19 +295,18 @@
   EXPECT_EQ(fault, RelayFault::kNotWatching);
 }
 
-TEST_F(WatchSharingTest, WhatIsTooLargeForARelayComesFromTheStore) {
+TEST_F(WatchSharingTest, TooLargeChangesComeFromTheStore) {
   StartZone(10);
-  store_.Write("big", std::string(kMostRelayedBytes + 1, 'x'));
+  store_.Write("big", std::string(kMaxRelayedBytes + 1, 'x'));
   ExpectAllSee();
   store_.Write("small", "y");
   ExpectAllSee();
 }
 
-// The loads this answers: a store that fails, cuts its watches or drops its
-// history, relays that fall silent, time that passes, in any order; in the end
-// all know what the store holds, and nobody was told an older change after a
-// newer one.
-RC_GTEST_FIXTURE_PROP(WatchSharingTest, AllAgreeAfterAnySeriesOfFaults, ()) {
+// After any sequence of store faults, cut watches, dropped history, relay
+// faults and clock advances, all instances converge to the store's contents and
+// none has received changes out of order.
+RC_GTEST_FIXTURE_PROP(WatchSharingTest, ConvergesAfterAnyFaults, ()) {
   StartZone(10);
   const base::RandomSource random =
       base::SeededRandom(*rc::gen::arbitrary<std::uint64_t>());
@@ -326,7 +324,7 @@
         store_.Compact();
         break;
       case 2:
-        store_.CutWatches();
+        store_.CloseWatches();
         break;
       case 3:
         store_.Fail(draw(2) == 0 ? StoreFault::kTimeout : StoreFault::kBusy);
@@ -359,14 +357,14 @@
   RC_ASSERT(!HasFailure());
 }
 
-// --- Over connections
+// --- Over TCP connections
 
 class ChangeRelayTest : public WatchSharingTest {
  protected:
   ChangeRelayTest() {
     peers_ = Peers(10);
     instance_ = std::make_unique<Instance>(loop_, store_, Relays()[0].str(),
-                                           peers_, Ask(), now_);
+                                           peers_, MakeFakeQuery(), now_);
     relay_ = std::make_unique<ChangeRelay>(
         loop_,
         connection::event::Tcp::endpoint(asio::ip::make_address("127.0.0.1"),
@@ -376,10 +374,11 @@
     EXPECT_TRUE(relay_->Start(&reason)) << reason;
   }
 
-  // Asks over a connection; nothing and the fault, or the changes.
-  std::optional<StoreItems> AskOverConnection(std::int64_t after,
-                                              RelayFault* fault) {
-    const AskRelay ask = MakeAskRelay(loop_, channels_);
+  // Queries the relay over a connection. Returns nullopt and sets `*fault` on
+  // failure.
+  std::optional<StoreItems> QueryOverConnection(std::int64_t after,
+                                                RelayFault* fault) {
+    const QueryRelay query = MakeQueryRelay(loop_, channels_);
     InstancePeer peer = Peer("r");
     peer.endpoint.port(relay_->port());
     std::optional<StoreItems> changes;
@@ -387,8 +386,8 @@
     asio::co_spawn(
         loop_,
         [&]() -> Awaitable<void> {
-          changes = co_await ask(peer, base::Revision(after),
-                                 std::chrono::milliseconds(50), fault);
+          changes = co_await query(peer, base::Revision(after),
+                                   std::chrono::milliseconds(50), fault);
           done = true;
         },
         asio::detached);
@@ -402,13 +401,13 @@
   std::unique_ptr<ChangeRelay> relay_;
 };
 
-TEST_F(ChangeRelayTest, AnInstanceThatDoesNotWatchSaysSo) {
+TEST_F(ChangeRelayTest, InstanceWithoutWatchReportsNotWatching) {
   RelayFault fault{};
-  EXPECT_FALSE(AskOverConnection(1, &fault));
+  EXPECT_FALSE(QueryOverConnection(1, &fault));
   EXPECT_EQ(fault, RelayFault::kNotWatching);
 }
 
-TEST_F(ChangeRelayTest, TellsWhatChanged) {
+TEST_F(ChangeRelayTest, ReturnsChanges) {
   asio::co_spawn(loop_, instance_->follower.Run(), asio::detached);
   RunUntil(loop_, [this] { return instance_->follower.Age().has_value(); });
   const std::int64_t before = 1;
@@ -416,16 +415,16 @@
   store_.Remove("a");
   RunUntil(loop_, [this] { return instance_->last > base::Revision(0); });
   RelayFault fault{};
-  const auto changes = AskOverConnection(before, &fault);
+  const auto changes = QueryOverConnection(before, &fault);
   ASSERT_TRUE(changes) << ToString(fault);
   ASSERT_EQ(changes->items.size(), 2U);
   EXPECT_EQ(changes->items[0].value, "1");
   EXPECT_TRUE(changes->items[1].deleted);
 }
 
-TEST_F(ChangeRelayTest, NobodyListeningIsUnreachable) {
+TEST_F(ChangeRelayTest, ClosedPortIsUnreachable) {
   const auto port = relay_->port();
-  const AskRelay ask = MakeAskRelay(loop_, channels_);
+  const QueryRelay query = MakeQueryRelay(loop_, channels_);
   InstancePeer peer = Peer("r");
   peer.endpoint.port(static_cast<std::uint16_t>(port == 1 ? 2 : 1));
   RelayFault fault{};
@@ -433,8 +432,8 @@
   asio::co_spawn(
       loop_,
       [&]() -> Awaitable<void> {
-        co_await ask(peer, base::Revision(1), std::chrono::milliseconds(50),
-                     &fault);
+        co_await query(peer, base::Revision(1), std::chrono::milliseconds(50),
+                       &fault);
         done = true;
       },
       asio::detached);
--- a/tests/request/passthrough/engine_health_test.cc
+++ b/tests/request/passthrough/engine_health_test.cc
@@ -10,58 +10,58 @@
 
 const base::Time kNow = base::Time() + std::chrono::hours(1);
 
-TEST(EngineHealth, AFailureAvoidsForATimeThatGrows) {
+TEST(EngineHealth, AvoidancePeriodGrowsWithEachFailure) {
   EngineHealth health;
-  EXPECT_FALSE(health.Avoided(kNow));
+  EXPECT_FALSE(health.IsAvoided(kNow));
   health.OnFailure(kNow);
-  EXPECT_TRUE(health.Avoided(kNow + milliseconds(499)));
-  EXPECT_FALSE(health.Avoided(kNow + milliseconds(500)));
+  EXPECT_TRUE(health.IsAvoided(kNow + milliseconds(499)));
+  EXPECT_FALSE(health.IsAvoided(kNow + milliseconds(500)));
   health.OnFailure(kNow);
-  EXPECT_TRUE(health.Avoided(kNow + milliseconds(999)));
+  EXPECT_TRUE(health.IsAvoided(kNow + milliseconds(999)));
   health.OnAccepted();
-  EXPECT_FALSE(health.Avoided(kNow));
+  EXPECT_FALSE(health.IsAvoided(kNow));
 }
 
-// The load this answers: an engine goes silent. Each time it was tried again
-// all requests of the moment went there, and each waited for 300 ms.
-TEST(EngineHealth, OneRequestTriesATargetThatFailed) {
+// Guards against all waiting requests going to an unresponsive engine at once
+// whenever its avoidance ends.
+TEST(EngineHealth, OneRequestProbesATargetThatFailed) {
   EngineHealth health;
   health.OnFailure(kNow);
   const base::Time later = kNow + milliseconds(600);
-  EXPECT_FALSE(health.Avoided(later));
+  EXPECT_FALSE(health.IsAvoided(later));
   health.OnTry(later);
-  EXPECT_TRUE(health.Avoided(later));
+  EXPECT_TRUE(health.IsAvoided(later));
   health.OnAccepted();
-  EXPECT_FALSE(health.Avoided(later));
+  EXPECT_FALSE(health.IsAvoided(later));
 }
 
-TEST(EngineHealth, ATryDoesNotConcernATargetThatIsWell) {
+TEST(EngineHealth, RequestsToAHealthyTargetAreNotProbes) {
   EngineHealth health;
   health.OnTry(kNow);
-  EXPECT_FALSE(health.Avoided(kNow));
+  EXPECT_FALSE(health.IsAvoided(kNow));
 }
 
-TEST(EngineHealth, ARejectedFetchMayBeTheCachesFault) {
+TEST(EngineHealth, OneRejectedFetchDoesNotAvoidTheTarget) {
   EngineHealth health;
   health.OnRejection(true, kNow);
-  EXPECT_FALSE(health.Avoided(kNow));
+  EXPECT_FALSE(health.IsAvoided(kNow));
   EXPECT_FALSE(health.RejectsAll());
   health.OnRejection(true, kNow);
-  EXPECT_TRUE(health.Avoided(kNow));
+  EXPECT_TRUE(health.IsAvoided(kNow));
   EXPECT_TRUE(health.RejectsAll());
   health.OnAccepted();
   EXPECT_FALSE(health.RejectsAll());
 }
 
-TEST(EngineHealth, ARejectionWithoutAFetchIsTheTargets) {
+TEST(EngineHealth, ARejectionWithoutAFetchAvoidsTheTarget) {
   EngineHealth health;
   health.OnRejection(false, kNow);
-  EXPECT_TRUE(health.Avoided(kNow));
+  EXPECT_TRUE(health.IsAvoided(kNow));
 }
 
-// Whatever happens, a target is tried again within the longest time, and one
-// that accepts is used at once.
-RC_GTEST_PROP(EngineHealth, NoTargetIsAvoidedForEver, ()) {
+// Random events: a target is avoided for the longest period at most, and not at
+// all once it accepts.
+RC_GTEST_PROP(EngineHealth, AvoidanceEnds, ()) {
   EngineHealth health;
   base::Time now = kNow;
   const int n = *rc::gen::inRange(1, 40);
@@ -79,10 +79,10 @@
         break;
       default:
         health.OnAccepted();
-        RC_ASSERT(!health.Avoided(now));
+        RC_ASSERT(!health.IsAvoided(now));
     }
   }
-  RC_ASSERT(!health.Avoided(now + EngineHealthOptions().avoid_most));
+  RC_ASSERT(!health.IsAvoided(now + EngineHealthOptions().max_avoidance));
 }
 
 }  // namespace
--- a/tests/request/passthrough/zone_health_test.cc
+++ b/tests/request/passthrough/zone_health_test.cc
@@ -18,63 +18,61 @@
 }
 
 // Three different targets of the zone fail.
-void CutOff(ZoneHealth& zones) {
+void FailThreeTargets(ZoneHealth& zones) {
   for (int i = 0; i < 3; ++i) {
     zones.OnUnreachable(kZone, Target(i), kNow);
   }
 }
 
-// The load this answers: one of three zones is cut off for five seconds. Each
-// instance tried 60 engines there one by one, and prompts whose homes they were
-// went to the engines that generate: 3,140 of 7,979 quick requests were late.
-TEST(ZoneHealth, SeveralTargetsInARowSayItForAll) {
+// Guards against each target of a partitioned zone having to fail on its own.
+TEST(ZoneHealth, SeveralTargetsInARowMakeAZoneUnreachable) {
   ZoneHealth zones;
   zones.OnUnreachable(kZone, Target(0), kNow);
   zones.OnUnreachable(kZone, Target(1), kNow);
-  EXPECT_FALSE(zones.CutOff(kZone, kNow));
+  EXPECT_FALSE(zones.IsUnreachable(kZone, kNow));
   zones.OnUnreachable(kZone, Target(2), kNow);
-  EXPECT_TRUE(zones.CutOff(kZone, kNow));
-  EXPECT_FALSE(zones.CutOff(base::ZoneId("b"), kNow));
+  EXPECT_TRUE(zones.IsUnreachable(kZone, kNow));
+  EXPECT_FALSE(zones.IsUnreachable(base::ZoneId("b"), kNow));
 }
 
-TEST(ZoneHealth, OneTargetSaysNothingOfTheOthers) {
+TEST(ZoneHealth, RepeatedFailuresOfOneTargetDoNot) {
   ZoneHealth zones;
   for (int i = 0; i < 10; ++i) {
     zones.OnUnreachable(kZone, Target(0), kNow);
   }
-  EXPECT_FALSE(zones.CutOff(kZone, kNow));
+  EXPECT_FALSE(zones.IsUnreachable(kZone, kNow));
 }
 
-TEST(ZoneHealth, ATargetThatAnswersEndsIt) {
+TEST(ZoneHealth, TargetThatAnswersMakesItsZoneReachable) {
   ZoneHealth zones;
-  CutOff(zones);
+  FailThreeTargets(zones);
   zones.OnReached(kZone);
-  EXPECT_FALSE(zones.CutOff(kZone, kNow));
+  EXPECT_FALSE(zones.IsUnreachable(kZone, kNow));
   zones.OnUnreachable(kZone, Target(3), kNow);
-  EXPECT_FALSE(zones.CutOff(kZone, kNow));
+  EXPECT_FALSE(zones.IsUnreachable(kZone, kNow));
 }
 
-TEST(ZoneHealth, FailuresLongAgoDoNotCount) {
+TEST(ZoneHealth, OldFailuresDoNotCount) {
   ZoneHealth zones;
   zones.OnUnreachable(kZone, Target(0), kNow);
   zones.OnUnreachable(kZone, Target(1), kNow);
   zones.OnUnreachable(kZone, Target(2), kNow + milliseconds(2001));
-  EXPECT_FALSE(zones.CutOff(kZone, kNow + milliseconds(2001)));
+  EXPECT_FALSE(zones.IsUnreachable(kZone, kNow + milliseconds(2001)));
 }
 
-TEST(ZoneHealth, OneRequestAtATimeTriesTheZone) {
+TEST(ZoneHealth, OneRequestAtATimeProbesTheZone) {
   ZoneHealth zones;
-  CutOff(zones);
+  FailThreeTargets(zones);
   const base::Time later = kNow + milliseconds(500);
-  EXPECT_FALSE(zones.CutOff(kZone, later));
+  EXPECT_FALSE(zones.IsUnreachable(kZone, later));
   zones.OnTry(kZone, later);
-  EXPECT_TRUE(zones.CutOff(kZone, later));
-  EXPECT_TRUE(zones.CutOff(kZone, later + milliseconds(499)));
-  EXPECT_FALSE(zones.CutOff(kZone, later + milliseconds(500)));
+  EXPECT_TRUE(zones.IsUnreachable(kZone, later));
+  EXPECT_TRUE(zones.IsUnreachable(kZone, later + milliseconds(499)));
+  EXPECT_FALSE(zones.IsUnreachable(kZone, later + milliseconds(500)));
 }
 
-// Whatever happens, a zone is tried again within the time between tries.
-RC_GTEST_PROP(ZoneHealth, NoZoneIsLeftForEver, ()) {
+// Random events: a zone is probed again within the probe interval.
+RC_GTEST_PROP(ZoneHealth, UnreachableZoneIsProbedAgain, ()) {
   ZoneHealth zones;
   base::Time now = kNow;
   const int n = *rc::gen::inRange(1, 60);
@@ -83,7 +81,7 @@
     switch (*rc::gen::inRange(0, 6)) {
       case 0:
         zones.OnReached(kZone);
-        RC_ASSERT(!zones.CutOff(kZone, now));
+        RC_ASSERT(!zones.IsUnreachable(kZone, now));
         break;
       case 1:
         zones.OnTry(kZone, now);
@@ -92,7 +90,8 @@
         zones.OnUnreachable(kZone, Target(*rc::gen::inRange(0, 5)), now);
     }
   }
-  RC_ASSERT(!zones.CutOff(kZone, now + ZoneHealthOptions().try_every));
+  RC_ASSERT(
+      !zones.IsUnreachable(kZone, now + ZoneHealthOptions().probe_interval));
 }
 
 }  // namespace
