--- a/tests/connection/scripted_server.cc
+++ b/tests/connection/scripted_server.cc
@@ -7,6 +7,7 @@
 
 #include <algorithm>
 #include <array>
+#include <chrono>
 #include <cstdlib>
 #include <utility>
 
@@ -98,10 +99,24 @@
     }
     if (reply.then != Then::kKeep) {
       End(fd, reply.then);
+      CountEnded();
       return;
     }
   }
   ::shutdown(fd, SHUT_RDWR);
+  CountEnded();
+}
+
+void ScriptedServer::CountEnded() {
+  const std::lock_guard lock(mutex_);
+  ++ended_;
+  ended_changed_.notify_all();
+}
+
+bool ScriptedServer::AwaitEnded(int count) {
+  std::unique_lock lock(mutex_);
+  return ended_changed_.wait_for(lock, std::chrono::seconds(10),
+                                 [&] { return ended_ >= count; });
 }
 
 bool ScriptedServer::ReadRequest(int fd, std::string* request) {
--- a/tests/connection/scripted_server.h
+++ b/tests/connection/scripted_server.h
@@ -2,6 +2,7 @@
 #ifndef LYNXGLADE_TESTS_CONNECTION_SCRIPTED_SERVER_H_
 #define LYNXGLADE_TESTS_CONNECTION_SCRIPTED_SERVER_H_
 
+#include <condition_variable>
 #include <functional>
 #include <mutex>
 #include <string>
@@ -31,10 +32,14 @@
   int connections() const;
   // Complete requests in order of arrival.
   std::vector<std::string> requests() const;
+  // Waits until the server has ended `count` connections; returns false if it
+  // has not within 10 s.
+  bool AwaitEnded(int count);
 
  private:
   void Accept();
   void Talk(int fd);
+  void CountEnded();
   // Returns false if the peer closed the connection before the end.
   static bool ReadRequest(int fd, std::string* request);
   static void End(int fd, Then then);
@@ -43,6 +48,8 @@
   int listener_ = -1;
   int port_ = 0;
   mutable std::mutex mutex_;
+  std::condition_variable ended_changed_;
+  int ended_ = 0;
   bool ending_ = false;
   std::vector<int> fds_;
   std::vector<std::string> requests_;
--- a/tests/platform/relay_test.cc
+++ b/tests/platform/relay_test.cc
@@ -230,7 +230,10 @@
   });
   for (int i = 0; i < 5; ++i) {
     EXPECT_TRUE(Call(Request("/unsafe/x")).ends_with("fine"));
+    // A request that races with the close may fail, as it is not retried.
+    ASSERT_TRUE(targets_[0]->AwaitEnded(i + 1));
   }
+  EXPECT_EQ(targets_[0]->connections(), 5);
 }
 
 // --- Streams
