--- a/src/version/intent_api.cc
+++ b/src/version/intent_api.cc
@@ -286,8 +286,7 @@
     return PlanErrorAnswer(fault);
   }
   if (!MaySee(caller, plan->delta)) {
-    return PlanErrorAnswer({PlanError::kUnknownPlan, "",
-                            "no plan " + id.str() + "; it may have expired"});
+    return PlanErrorAnswer(UnknownPlanFault(id));
   }
   return Ok(PlanToJson(*plan));
 }
--- a/src/version/plan_service.cc
+++ b/src/version/plan_service.cc
@@ -58,6 +58,11 @@
 
 }  // namespace
 
+PlanFault UnknownPlanFault(const base::PlanId& id) {
+  return {PlanError::kUnknownPlan, "",
+          "no plan " + id.str() + "; it may have expired"};
+}
+
 std::string_view ToString(ConfirmOutcome outcome) noexcept {
   switch (outcome) {
     case ConfirmOutcome::kInForce:
@@ -191,8 +196,8 @@
   }
   // The digest of an altered value does not match its key.
   if (!plan || plan->id != id) {
-    return Reject(fault, PlanError::kUnknownPlan,
-                  "no plan " + id.str() + "; it may have expired");
+    *fault = UnknownPlanFault(id);
+    return std::nullopt;
   }
   return plan;
 }
--- a/src/version/plan_service.h
+++ b/src/version/plan_service.h
@@ -65,6 +65,10 @@
   base::Duration plan_ttl = std::chrono::hours(1);
 };
 
+// The fault for a plan that does not exist, or that the caller may not see: the
+// two must not be told apart.
+PlanFault UnknownPlanFault(const base::PlanId& id);
+
 // Thread-safe.
 class PlanService {
  public:
